--- a/src/main/java/dev/windbend/job/JobSpec.java
+++ b/src/main/java/dev/windbend/job/JobSpec.java
@@ -1,25 +1,26 @@
 package dev.windbend.job;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /** What a user asked for; immutable once accepted. VersionedValue as it is. */
 public record JobSpec(
-    String uid,
-    String kind,
-    String team,
-    Urgency urgency,
-    int tasks,
-    double cores,
-    double cards,
-    double ram,
-    String image,
-    double imageGb,
-    List<String> types,
-    String zone,
-    boolean together,
-    boolean spread,
-    boolean spot,
-    double estimateS,
-    double checkpointS,
-    double saveS,
-    Double dueS) {}
+    @JsonProperty("uid") String uid,
+    @JsonProperty("kind") String kind,
+    @JsonProperty("team") String team,
+    @JsonProperty("urgency") Urgency urgency,
+    @JsonProperty("tasks") int tasks,
+    @JsonProperty("cores") double cores,
+    @JsonProperty("cards") double cards,
+    @JsonProperty("ram") double ram,
+    @JsonProperty("image") String image,
+    @JsonProperty("imageGb") double imageGb,
+    @JsonProperty("types") List<String> types,
+    @JsonProperty("zone") String zone,
+    @JsonProperty("together") boolean together,
+    @JsonProperty("spread") boolean spread,
+    @JsonProperty("spot") boolean spot,
+    @JsonProperty("estimateS") double estimateS,
+    @JsonProperty("checkpointS") double checkpointS,
+    @JsonProperty("saveS") double saveS,
+    @JsonProperty("dueS") Double dueS) {}
--- a/src/main/java/dev/windbend/job/Urgency.java
+++ b/src/main/java/dev/windbend/job/Urgency.java
@@ -1,10 +1,16 @@
 package dev.windbend.job;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /** Priorities, the highest first. */
 public enum Urgency {
+  @JsonProperty("PRODUCTION")
   PRODUCTION(0),
+  @JsonProperty("URGENT")
   URGENT(1),
+  @JsonProperty("STANDARD")
   STANDARD(2),
+  @JsonProperty("IDLE")
   IDLE(3);
 
   private final int rank;
