--- /dev/null
+++ b/src/test/java/dev/windbend/job/JobRecordTest.java
@@ -0,0 +1,189 @@
+package dev.windbend.job;
+
+import static dev.windbend.JsonPins.assertPinned;
+import static dev.windbend.JsonPins.assertPinnedWithArrays;
+import static dev.windbend.JsonPins.assertRead;
+import static dev.windbend.JsonPins.assertWritten;
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
+
+import dev.windbend.daemon.io.Json;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** What the state service keeps of jobs: these bytes are read by the next version, too. */
+class JobRecordTest {
+  private static final JobSpec FULL =
+      new JobSpec(
+          "wk-000412",
+          "train",
+          "vision",
+          Urgency.URGENT,
+          16,
+          8.5,
+          1.25,
+          64.0,
+          "img-07",
+          6.2,
+          List.of("g8", "t4"),
+          "a",
+          true,
+          false,
+          true,
+          240.0,
+          30.0,
+          4.0,
+          900.0);
+
+  private static final String FULL_JSON =
+      """
+      {"uid":"wk-000412","kind":"train","team":"vision","urgency":"URGENT","tasks":16,
+      "cores":8.5,"cards":1.25,"ram":64.0,"image":"img-07","imageGb":6.2,
+      "types":["g8","t4"],"zone":"a","together":true,"spread":false,"spot":true,
+      "estimateS":240.0,"checkpointS":30.0,"saveS":4.0,"dueS":900.0}""";
+
+  private static final JobSpec LEAST =
+      new JobSpec(
+          "wk-000001",
+          "web",
+          "guests",
+          Urgency.IDLE,
+          1,
+          1.0,
+          0.0,
+          0.0,
+          "img-01",
+          0.0,
+          null,
+          null,
+          false,
+          true,
+          false,
+          5.0,
+          0.0,
+          0.0,
+          null);
+
+  private static final String LEAST_JSON =
+      """
+      {"uid":"wk-000001","kind":"web","team":"guests","urgency":"IDLE","tasks":1,
+      "cores":1.0,"cards":0.0,"ram":0.0,"image":"img-01","imageGb":0.0,
+      "together":false,"spread":true,"spot":false,
+      "estimateS":5.0,"checkpointS":0.0,"saveS":0.0}""";
+
+  static Stream<Arguments> records() {
+    return Stream.of(
+        arguments("spec", FULL, FULL_JSON),
+        arguments("spec without what may be missing", LEAST, LEAST_JSON),
+        arguments(
+            "live job",
+            new JobRecord.Live(FULL, 1_760_000_000_123L, true),
+            "{\"spec\":" + FULL_JSON + ",\"at\":1760000000123,\"cancelled\":true}"),
+        arguments(
+            "live job without what may be missing",
+            new JobRecord.Live(LEAST, 0, false),
+            "{\"spec\":" + LEAST_JSON + ",\"at\":0,\"cancelled\":false}"),
+        arguments("ended job", new JobRecord.Ended("done", 16), "{\"s\":\"done\",\"n\":16}"),
+        arguments("ended job without status", new JobRecord.Ended(null, 0), "{\"n\":0}"));
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("records")
+  void isStoredAs(String name, Object object, String json) {
+    assertPinned(object, json);
+  }
+
+  static Stream<Arguments> recordsWithArrays() {
+    return Stream.of(
+        arguments(
+            "piece: tasks 0, 2 and 15 are done",
+            new JobRecord.Piece(new byte[] {5, (byte) 128}),
+            "{\"d\":\"BYA=\"}"),
+        arguments("piece: no task is done", new JobRecord.Piece(new byte[0]), "{\"d\":\"\"}"),
+        arguments("piece without tasks", new JobRecord.Piece(null), "{}"),
+        arguments(
+            "placement batch",
+            new JobRecord.PlacementBatch(
+                7, "host-0000", List.of("12", "34"), new long[] {0, 8, 0, 8, 4, 1}),
+            """
+            {"a":7,"x":"host-0000","m":["12","34"],"p":[0,8,0,8,4,1]}"""),
+        arguments(
+            "placement batch, made from machines",
+            JobRecord.PlacementBatch.of(
+                3, List.of("host-000012", "host-000134"), new long[] {5, 1, 1}),
+            """
+            {"a":3,"x":"host-000","m":["012","134"],"p":[5,1,1]}"""),
+        arguments(
+            "placement batch of which nothing is left",
+            JobRecord.PlacementBatch.of(9, List.of(), new long[0]),
+            """
+            {"a":9,"x":"","m":[],"p":[]}"""),
+        arguments(
+            "placement batch without what may be missing",
+            new JobRecord.PlacementBatch(1, null, null, null),
+            "{\"a\":1}"));
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("recordsWithArrays")
+  void isStoredAsWithArrays(String name, Object object, String json) {
+    assertPinnedWithArrays(object, json);
+  }
+
+  @Test
+  void readsArraysBack() {
+    JobRecord.Piece piece = read("{\"d\":\"BYA=\"}", JobRecord.Piece.class);
+    assertThat(piece.done()).containsExactly(5, 128);
+    JobRecord.PlacementBatch batch =
+        read(
+            "{\"a\":7,\"x\":\"host-0000\",\"m\":[\"12\",\"34\"],\"p\":[0,8,0,8,4,1]}",
+            JobRecord.PlacementBatch.class);
+    assertThat(batch.attempt()).isEqualTo(7);
+    assertThat(batch.front()).isEqualTo("host-0000");
+    assertThat(batch.rest()).containsExactly("12", "34");
+    assertThat(batch.placed()).containsExactly(0, 8, 0, 8, 4, 1);
+  }
+
+  private static <T> T read(String json, Class<T> type) {
+    return Json.read(json.getBytes(StandardCharsets.UTF_8), type);
+  }
+
+  /** Stored in capitals, though users write it in small letters. */
+  @ParameterizedTest
+  @CsvSource({"PRODUCTION,0", "URGENT,1", "STANDARD,2", "IDLE,3"})
+  void storesUrgencies(String stored, int rank) {
+    Urgency urgency = read("\"" + stored + "\"", Urgency.class);
+    assertThat(urgency.rank()).isEqualTo(rank);
+    assertWritten(urgency, "\"" + stored + "\"");
+  }
+
+  @Test
+  void knowsNoOtherUrgencies() {
+    assertThat(Urgency.values()).hasSize(4);
+    assertThat(read("\"urgent\"", Urgency.class)).isNull();
+  }
+
+  /** A field that is missing or null is null, 0 or false. */
+  @Test
+  void readsRecordsOfWhichFieldsAreMissing() {
+    JobSpec nothing =
+        new JobSpec(
+            null, null, null, null, 0, 0, 0, 0, null, 0, null, null, false, false, false, 0, 0, 0,
+            null);
+    assertRead("{}", JobSpec.class, nothing);
+    assertRead(
+        """
+        {"uid":null,"kind":null,"team":null,"urgency":null,"tasks":null,"cores":null,
+        "types":null,"zone":null,"together":null,"dueS":null}""",
+        JobSpec.class,
+        nothing);
+    assertRead("{}", JobRecord.Live.class, new JobRecord.Live(null, 0, false));
+    assertRead("{}", JobRecord.Ended.class, new JobRecord.Ended(null, 0));
+  }
+}
--- /dev/null
+++ b/src/test/java/dev/windbend/job/UserMessagesTest.java
@@ -0,0 +1,151 @@
+package dev.windbend.job;
+
+import static dev.windbend.JsonPins.assertPinned;
+import static dev.windbend.JsonPins.assertRead;
+import static dev.windbend.JsonPins.tree;
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
+
+import com.fasterxml.jackson.databind.node.NullNode;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Messages from and to users. */
+class UserMessagesTest {
+  private static final String SUBMISSION =
+      """
+      {"uid":"wk-000412","fleet":"train","crew":"vision","shape":"batch","urgency":"urgent",
+      "drops":16,"cores":8.5,"cards":1.25,"ram_gb":64.0,"load":"img-07","pull_gb":6.2,
+      "rigs":["g8"],"yard":"a","together":true,"spread":false,"standby":true,
+      "haul_s":240.0,"waypoint_s":30.0,"stow_s":4.0,"due_s":900.0}""";
+
+  static Stream<Arguments> messages() {
+    return Stream.of(
+        arguments(
+            "submission",
+            new UserMessages.Submission(
+                tree("\"wk-000412\""),
+                tree("\"train\""),
+                tree("\"vision\""),
+                tree("\"batch\""),
+                tree("\"urgent\""),
+                tree("16"),
+                tree("8.5"),
+                tree("1.25"),
+                tree("64.0"),
+                tree("\"img-07\""),
+                tree("6.2"),
+                tree("[\"g8\"]"),
+                tree("\"a\""),
+                tree("true"),
+                tree("false"),
+                tree("true"),
+                tree("240.0"),
+                tree("30.0"),
+                tree("4.0"),
+                tree("900.0")),
+            SUBMISSION),
+        arguments(
+            "status",
+            new UserMessages.Status("wk-000412", "pending", 3, 13, "zone a is unreachable"),
+            """
+            {"uid":"wk-000412","status":"pending","done":3,"running":13,
+            "reason":"zone a is unreachable"}"""),
+        arguments(
+            "status without what may be missing",
+            UserMessages.Status.of("wk-000412", "aborted", null, null),
+            """
+            {"uid":"wk-000412","status":"aborted"}"""),
+        arguments(
+            "problem",
+            new UserMessages.Problem("unknown team"),
+            """
+            {"error":"unknown team"}"""),
+        arguments("problem without text", new UserMessages.Problem(null), "{}"));
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("messages")
+  void isOnTheWireAs(String name, Object object, String json) {
+    assertPinned(object, json);
+  }
+
+  /** A field of a submission that is not there differs from one that is null. */
+  @Test
+  void readsSubmissionsOfWhichFieldsAreMissing() {
+    assertRead(
+        "{\"yard\":null}",
+        UserMessages.Submission.class,
+        new UserMessages.Submission(
+            null,
+            null,
+            null,
+            null,
+            null,
+            null,
+            null,
+            null,
+            null,
+            null,
+            null,
+            null,
+            NullNode.getInstance(),
+            null,
+            null,
+            null,
+            null,
+            null,
+            null,
+            null));
+  }
+
+  @ParameterizedTest
+  @CsvSource({"production,0", "urgent,1", "standard,2", "idle,3"})
+  void readsUrgencies(String urgency, int rank) throws SubmissionValidator.Malformed {
+    assertThat(spec(SUBMISSION.replace("\"urgent\"", "\"" + urgency + "\"")).urgency().rank())
+        .isEqualTo(rank);
+  }
+
+  /** Each field of a submission goes where it belongs. */
+  @Test
+  void acceptsASubmissionAsAJob() throws SubmissionValidator.Malformed {
+    assertThat(spec(SUBMISSION))
+        .isEqualTo(
+            new JobSpec(
+                "wk-000412",
+                "train",
+                "vision",
+                Urgency.URGENT,
+                16,
+                8.5,
+                1.25,
+                64.0,
+                "img-07",
+                6.2,
+                List.of("g8"),
+                "a",
+                true,
+                false,
+                true,
+                240.0,
+                30.0,
+                4.0,
+                900.0));
+  }
+
+  @Test
+  void namesTheStatesOfJobs() {
+    assertThat(List.of(Statuses.PENDING, Statuses.RUNNING, Statuses.DONE, Statuses.CANCELLED))
+        .containsExactly("pending", "running", "done", "aborted");
+  }
+
+  private static JobSpec spec(String json) throws SubmissionValidator.Malformed {
+    return SubmissionValidator.read(json.getBytes(StandardCharsets.UTF_8));
+  }
+}
--- /dev/null
+++ b/src/test/java/dev/windbend/machine/CloudMessagesTest.java
@@ -0,0 +1,103 @@
+package dev.windbend.machine;
+
+import static dev.windbend.JsonPins.assertPinned;
+import static dev.windbend.JsonPins.assertRead;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
+
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Messages from and to the cloud, and what the state service keeps of machines. */
+class CloudMessagesTest {
+  static Stream<Arguments> messages() {
+    return Stream.of(
+        arguments(
+            "machine types",
+            new CloudMessages.Types(
+                List.of(
+                    new CloudMessages.Type(
+                        "g8", 96, 8, 768, 200, 1.5, 12.0, 4.5, 45, List.of("a", "b")))),
+            """
+            {"rigs":[{"label":"g8","cores":96.0,"cards":8.0,"ram_gb":768.0,"cache_gb":200.0,
+            "pull_gb_per_s":1.5,"rate":12.0,"low_price":4.5,"ready_s":45.0,"yards":["a","b"]}]}"""),
+        arguments(
+            "rental",
+            new CloudMessages.Rental("r-17", "g8", "a", true, 12),
+            """
+            {"hire":"r-17","rig":"g8","yard":"a","standby":true,"how_many":12}"""),
+        arguments(
+            "machines rented or given back",
+            new CloudMessages.Machines(List.of("host-000231", "host-000232")),
+            """
+            {"trucks":["host-000231","host-000232"]}"""),
+        arguments(
+            "list of machines",
+            new CloudMessages.Listing(
+                List.of(new CloudMessages.Listed("host-000231", "g8", "a", true, "running", 61.5)),
+                true),
+            """
+            {"trucks":[{"uid":"host-000231","rig":"g8","yard":"a","standby":true,
+            "status":"running","age_s":61.5}],"has_next":true}"""),
+        arguments(
+            "empty list of machines",
+            new CloudMessages.Listing(List.of(), false),
+            """
+            {"trucks":[],"has_next":false}"""),
+        arguments(
+            "stored: rental that the cloud has answered",
+            new RentalRecord("g8", "a", true, 12, List.of("host-000231"), null),
+            """
+            {"type":"g8","zone":"a","spot":true,"count":12,"machines":["host-000231"]}"""),
+        arguments(
+            "stored: rental that the cloud has not answered yet",
+            new RentalRecord("g8", "a", false, 12, null, null),
+            """
+            {"type":"g8","zone":"a","spot":false,"count":12}"""),
+        arguments(
+            "stored: transfer, as first written",
+            new RentalRecord("g8", "b", true, 2, List.of("host-1", "host-2"), 0L),
+            """
+            {"type":"g8","zone":"b","spot":true,"count":2,"machines":["host-1","host-2"],
+            "fence":0}"""),
+        arguments(
+            "stored: transfer, rewritten",
+            new RentalRecord("g8", "b", true, 1, List.of("host-2"), 9_007_199_254_740_993L),
+            """
+            {"type":"g8","zone":"b","spot":true,"count":1,"machines":["host-2"],
+            "fence":9007199254740993}"""));
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("messages")
+  void isOnTheWireAs(String name, Object object, String json) {
+    assertPinned(object, json);
+  }
+
+  @Test
+  void readsMessagesOfWhichFieldsAreMissing() {
+    assertRead("{}", CloudMessages.Types.class, new CloudMessages.Types(null));
+    assertRead(
+        "{}", CloudMessages.Type.class, new CloudMessages.Type(null, 0, 0, 0, 0, 0, 0, 0, 0, null));
+    assertRead("{}", CloudMessages.Machines.class, new CloudMessages.Machines(null));
+    assertRead("{}", CloudMessages.Listing.class, new CloudMessages.Listing(null, false));
+    assertRead(
+        "{}",
+        CloudMessages.Listed.class,
+        new CloudMessages.Listed(null, null, null, false, null, 0));
+    assertRead(
+        "{\"machines\":null,\"fence\":null}",
+        RentalRecord.class,
+        new RentalRecord(null, null, false, 0, null, null));
+    // The cloud says more of a machine than we ask for.
+    assertRead(
+        """
+        {"uid":"host-000231","addr":"10.1.0.232:9000","rig":"g8","yard":"a","standby":true,
+        "status":"booting","age_s":61}""",
+        CloudMessages.Listed.class,
+        new CloudMessages.Listed("host-000231", "g8", "a", true, "booting", 61));
+  }
+}
--- /dev/null
+++ b/src/test/java/dev/windbend/peer/PeerMessagesTest.java
@@ -0,0 +1,99 @@
+package dev.windbend.peer;
+
+import static dev.windbend.JsonPins.assertPinned;
+import static dev.windbend.JsonPins.assertRead;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
+
+import dev.windbend.job.Cancellations.Cancelled;
+import dev.windbend.machine.TaskRequirements;
+import dev.windbend.shard.MachineRequest;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Messages between nodes: a node of another version may be at the other end. */
+class PeerMessagesTest {
+  static Stream<Arguments> messages() {
+    return Stream.of(
+        arguments("question about the state service", new Peers.Ask(41), "{\"known_up_to\":41}"),
+        arguments(
+            "answer about the state service",
+            new Peers.View(250, List.of(new Cancelled("wk-000412", 42))),
+            """
+            {"answered_ms_ago":250,"cancelled":[{"job":"wk-000412","revision":42}]}"""),
+        arguments(
+            "answer about the state service that can't tell cancellations",
+            new Peers.View(250, null),
+            """
+            {"answered_ms_ago":250}"""),
+        arguments(
+            "cancellations",
+            new Peers.Told(List.of(new Cancelled("wk-000412", 42), new Cancelled("wk-000413", 43))),
+            """
+            {"cancelled":[{"job":"wk-000412","revision":42},{"job":"wk-000413","revision":43}]}"""),
+        arguments(
+            "question for machines",
+            new TransferClient.Ask(
+                1,
+                2,
+                new MachineRequest(
+                    5,
+                    0.25,
+                    new MachineRequest.Overdue(
+                        new TaskRequirements(
+                            8.5, 1.25, 64, List.of("g8", "t4"), List.of("a"), true),
+                        3))),
+            """
+            {"from":1,"to":2,"request":{"count":5,"has":0.25,"overdue":{
+            "task":{"cores":8.5,"cards":1.25,"ram":64.0,"types":["g8","t4"],"zones":["a"],
+            "spot":true},"count":3}}}"""),
+        arguments(
+            "question for machines, a task that may run anywhere",
+            new TransferClient.Ask(
+                0,
+                1,
+                new MachineRequest(
+                    0,
+                    1,
+                    new MachineRequest.Overdue(
+                        new TaskRequirements(1, 0, 1, null, null, false), 1))),
+            """
+            {"from":0,"to":1,"request":{"count":0,"has":1.0,"overdue":{
+            "task":{"cores":1.0,"cards":0.0,"ram":1.0,"spot":false},"count":1}}}"""),
+        arguments(
+            "question for machines, no task is overdue",
+            new TransferClient.Ask(0, 1, new MachineRequest(5, 0.5, null)),
+            """
+            {"from":0,"to":1,"request":{"count":5,"has":0.5}}"""),
+        arguments(
+            "answer about machines",
+            new MachineRequest.Reply(4, 1),
+            """
+            {"count":4,"overdue":1}"""),
+        arguments(
+            "answer about machines: none",
+            MachineRequest.Reply.NOTHING,
+            """
+            {"count":0,"overdue":0}"""));
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("messages")
+  void isOnTheWireAs(String name, Object object, String json) {
+    assertPinned(object, json);
+  }
+
+  @Test
+  void readsMessagesOfWhichFieldsAreMissing() {
+    assertRead("{}", Peers.Ask.class, new Peers.Ask(0));
+    assertRead("{\"cancelled\":null}", Peers.View.class, new Peers.View(0, null));
+    assertRead("{}", Peers.Told.class, new Peers.Told(null));
+    assertRead("{}", Cancelled.class, new Cancelled(null, 0));
+    assertRead("{}", TransferClient.Ask.class, new TransferClient.Ask(0, 0, null));
+    assertRead("{\"overdue\":null}", MachineRequest.class, new MachineRequest(0, 0, null));
+    assertRead("{}", MachineRequest.Reply.class, new MachineRequest.Reply(0, 0));
+  }
+}
--- /dev/null
+++ b/src/test/java/dev/windbend/store/StoreMessagesTest.java
@@ -0,0 +1,141 @@
+package dev.windbend.store;
+
+import static dev.windbend.JsonPins.assertPinned;
+import static dev.windbend.JsonPins.assertRead;
+import static dev.windbend.JsonPins.assertWritten;
+import static dev.windbend.JsonPins.tree;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Messages from and to the state service, and pages of entries as stored there. */
+class StoreMessagesTest {
+  static Stream<Arguments> messages() {
+    return Stream.of(
+        arguments(
+            "key",
+            new StoreMessages.Pair("a/b", tree("{\"k\":1}"), 412),
+            """
+            {"path":"a/b","v":{"k":1},"stamp":412}"""),
+        arguments(
+            "list of keys",
+            new StoreMessages.Page(
+                List.of(new StoreMessages.Pair("c/8", tree("true"), 430)), true, 431),
+            """
+            {"pairs":[{"path":"c/8","v":true,"stamp":430}],"has_next":true,"ledger":431}"""),
+        arguments(
+            "transaction that was applied",
+            new StoreMessages.Revision(432, null),
+            """
+            {"ledger":432}"""),
+        arguments(
+            "transaction that was not applied",
+            new StoreMessages.Revision(431, List.of("a/b", "c/d")),
+            """
+            {"ledger":431,"failed":["a/b","c/d"]}"""),
+        arguments(
+            "transaction",
+            new StoreMessages.Transaction(
+                List.of(
+                    new StoreMessages.Condition("a/b", 0), new StoreMessages.Condition("a/c", 412)),
+                List.of(
+                    new StoreMessages.Change("a/b", tree("{\"k\":1}"), 7L, null, null),
+                    new StoreMessages.Change("a/c", tree("[2]"), null, null, null),
+                    new StoreMessages.Change(null, null, null, "c/d", null))),
+            """
+            {"when":[{"path":"a/b","stamp":0},{"path":"a/c","stamp":412}],
+            "then":[{"set":"a/b","v":{"k":1},"permit":7},{"set":"a/c","v":[2]},
+            {"remove":"c/d"}]}"""),
+        arguments(
+            "transaction of nothing",
+            new StoreMessages.Transaction(List.of(), List.of()),
+            """
+            {"when":[],"then":[]}"""),
+        arguments(
+            "lease wanted",
+            new StoreMessages.Life(5_000),
+            """
+            {"life_ms":5000}"""),
+        arguments(
+            "lease",
+            new StoreMessages.Lease(7),
+            """
+            {"permit":7}"""),
+        arguments(
+            "changes",
+            new StoreMessages.Events(
+                433,
+                List.of(
+                    new StoreMessages.Change("c/9", tree("{\"k\":1}"), null, null, 433L),
+                    new StoreMessages.Change(null, null, null, "c/d", 432L))),
+            """
+            {"ledger":433,
+            "log":[{"set":"c/9","v":{"k":1},"stamp":433},{"remove":"c/d","stamp":432}]}"""),
+        arguments(
+            "page of entries as stored",
+            new PagedStore.Page(
+                entries("wk-000001:2", "{\"a\":1}", "wk-000001/0", "{\"d\":\"BYA=\"}")),
+            """
+            {"e":{"wk-000001:2":{"a":1},"wk-000001/0":{"d":"BYA="}}}"""),
+        arguments("empty page as stored", new PagedStore.Page(Map.of()), "{\"e\":{}}"),
+        arguments("page without entries", new PagedStore.Page(null), "{}"));
+  }
+
+  private static Map<String, JsonNode> entries(
+      String id, String json, String otherId, String otherJson) {
+    Map<String, JsonNode> all = new LinkedHashMap<>();
+    all.put(id, tree(json));
+    all.put(otherId, tree(otherJson));
+    return all;
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("messages")
+  void isOnTheWireAs(String name, Object object, String json) {
+    assertPinned(object, json);
+  }
+
+  @Test
+  void readsMessagesOfWhichFieldsAreMissing() {
+    assertRead("{}", StoreMessages.Pair.class, new StoreMessages.Pair(null, null, 0));
+    assertRead("{}", StoreMessages.Page.class, new StoreMessages.Page(null, false, 0));
+    assertRead("{}", StoreMessages.Revision.class, new StoreMessages.Revision(0, null));
+    assertRead("{}", StoreMessages.Lease.class, new StoreMessages.Lease(0));
+    assertRead("{}", StoreMessages.Events.class, new StoreMessages.Events(0, null));
+    assertRead(
+        "{\"set\":null,\"permit\":null,\"remove\":null,\"stamp\":null}",
+        StoreMessages.Change.class,
+        new StoreMessages.Change(null, null, null, null, null));
+    // The state service says more of a key than we ask for.
+    assertRead(
+        "{\"path\":\"a/b\",\"v\":{\"k\":1},\"stamp\":412,\"permit\":7}",
+        StoreMessages.Pair.class,
+        new StoreMessages.Pair("a/b", tree("{\"k\":1}"), 412));
+  }
+
+  /** Values go in whole, and within them too what is null is left out. */
+  @Test
+  void putsTogetherTransactions() {
+    TransactionBuilder draft =
+        new TransactionBuilder()
+            .when("a", 3)
+            .when("a", 4)
+            .putHeld("a", new StoreMessages.Revision(1, null), 9)
+            .put("b", new StoreMessages.Lease(2))
+            .delete("c");
+    assertWritten(
+        new StoreMessages.Transaction(draft.conditions, draft.changes),
+        """
+        {"when":[{"path":"a","stamp":3}],
+        "then":[{"set":"a","v":{"ledger":1},"permit":9},{"set":"b","v":{"permit":2}},
+        {"remove":"c"}]}""");
+  }
+}
--- /dev/null
+++ b/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
@@ -0,0 +1,97 @@
+package dev.windbend.worker;
+
+import static dev.windbend.JsonPins.assertPinned;
+import static dev.windbend.JsonPins.assertRead;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
+
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Messages from and to workers. */
+class WorkerMessagesTest {
+  static Stream<Arguments> messages() {
+    return Stream.of(
+        arguments(
+            "report",
+            new WorkerMessages.Report(
+                "host-000231",
+                "10.1.0.232:9000",
+                "g8",
+                "a",
+                true,
+                1,
+                88,
+                41,
+                12.5,
+                List.of(
+                    new WorkerMessages.TaskState("wk-000412/3", 2, "running", null, null),
+                    new WorkerMessages.TaskState("wk-000398/0", 5, "exited", "halted", true))),
+            """
+            {"truck":"host-000231","addr":"10.1.0.232:9000","rig":"g8","yard":"a","standby":true,
+            "shift":1,"tally":88,"baton":41,"recall_s":12.5,
+            "drops":[{"drop":"wk-000412/3","run":2,"status":"running"},
+            {"drop":"wk-000398/0","run":5,"status":"exited","cause":"halted","saved":true}]}"""),
+        arguments(
+            "report without what may be missing",
+            new WorkerMessages.Report(
+                "host-000231", null, "g8", "a", false, 3, 0, 0, null, List.of()),
+            """
+            {"truck":"host-000231","rig":"g8","yard":"a","standby":false,
+            "shift":3,"tally":0,"baton":0,"drops":[]}"""),
+        arguments(
+            "answer to a report",
+            new WorkerMessages.Orders(
+                41,
+                List.of(
+                    WorkerMessages.Order.start("wk-000412/4", 2),
+                    WorkerMessages.Order.stop("wk-000377/1", 1, 10),
+                    WorkerMessages.Order.forget("wk-000398/0", 3))),
+            """
+            {"baton":41,"orders":[
+            {"order":"start","drop":"wk-000412/4","run":2},
+            {"order":"kill","drop":"wk-000377/1","run":1,"wind_down_s":10.0},
+            {"order":"reap","drop":"wk-000398/0","run":3}]}"""),
+        arguments(
+            "answer to a report, no orders",
+            new WorkerMessages.Orders(9_007_199_254_740_993L, List.of()),
+            """
+            {"baton":9007199254740993,"orders":[]}"""),
+        arguments(
+            "direct command",
+            new WorkerMessages.Commands(
+                41, 7, List.of(WorkerMessages.Order.stop("wk-000377/1", 1, 0))),
+            """
+            {"baton":41,"shift":7,
+            "orders":[{"order":"kill","drop":"wk-000377/1","run":1,"wind_down_s":0.0}]}"""),
+        arguments(
+            "answer that names another node",
+            new WorkerMessages.Elsewhere("mast-2"),
+            """
+            {"dispatcher":"mast-2"}"""),
+        arguments("answer that names no node", new WorkerMessages.Elsewhere(null), "{}"));
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("messages")
+  void isOnTheWireAs(String name, Object object, String json) {
+    assertPinned(object, json);
+  }
+
+  @Test
+  void readsMessagesOfWhichFieldsAreMissing() {
+    assertRead(
+        "{}",
+        WorkerMessages.Report.class,
+        new WorkerMessages.Report(null, null, null, null, false, 0, 0, 0, null, null));
+    assertRead(
+        "{\"drop\":null,\"run\":null,\"status\":null,\"cause\":null,\"saved\":null}",
+        WorkerMessages.TaskState.class,
+        new WorkerMessages.TaskState(null, 0, null, null, null));
+    assertRead("{}", WorkerMessages.Orders.class, new WorkerMessages.Orders(0, null));
+    assertRead("{}", WorkerMessages.Order.class, new WorkerMessages.Order(null, null, 0, null));
+  }
+}
--- /dev/null
+++ b/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
@@ -0,0 +1,152 @@
+package dev.windbend.zone;
+
+import static dev.windbend.JsonPins.assertPinned;
+import static dev.windbend.JsonPins.assertRead;
+import static dev.windbend.JsonPins.assertWritten;
+import static dev.windbend.JsonPins.tree;
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
+
+import dev.windbend.daemon.io.Json;
+import dev.windbend.job.Urgency;
+import dev.windbend.store.VersionedValue;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** What the state service keeps of zones, and what operators are shown of them. */
+class ZoneMessagesTest {
+  static Stream<Arguments> messages() {
+    return Stream.of(
+        arguments(
+            "stored: zone",
+            new ZoneRecord(
+                ZoneState.UNREACHABLE, 1_760_000_000_123L, 3, List.of("wk-000412", "wk-000001")),
+            """
+            {"state":"unreachable","since_ms":1760000000123,"losses":3,
+            "displaced":["wk-000412","wk-000001"]}"""),
+        arguments(
+            "stored: zone of which no job is displaced",
+            new ZoneRecord(ZoneState.HEALTHY, 0, 0, null),
+            """
+            {"state":"healthy","since_ms":0,"losses":0,"displaced":[]}"""),
+        arguments(
+            "stored: zone without a state",
+            new ZoneRecord(null, 1, 2, List.of()),
+            """
+            {"since_ms":1,"losses":2,"displaced":[]}"""),
+        arguments(
+            "zone for operators",
+            new ZoneStatus(1, "a", ZoneState.DEGRADED, 2, 3, 4, 5, 6, 7, 8, 9),
+            """
+            {"shard":1,"zone":"a","state":"degraded","since_s":2,"heard":3,"silent":4,"deaf":5,
+            "losses":6,"return_in_s":7,"others_lost":8,"displaced":9}"""));
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("messages")
+  void isOnTheWireAs(String name, Object object, String json) {
+    assertPinned(object, json);
+  }
+
+  @Test
+  void readsRecordsOfWhichFieldsAreMissing() {
+    assertRead("{}", ZoneRecord.class, new ZoneRecord(null, 0, 0, List.of()));
+    assertRead(
+        "{\"state\":null,\"displaced\":null}",
+        ZoneRecord.class,
+        new ZoneRecord(null, 0, 0, List.of()));
+  }
+
+  /** A record of a later version, with a state that this one lacks, counts as none. */
+  @Test
+  void takesAnUnknownStateForNoRecord() {
+    assertThat(ZoneRecord.read(new VersionedValue(tree("{\"state\":\"frozen\"}"), 1))).isNull();
+    assertThat(ZoneRecord.read(new VersionedValue(tree("{\"losses\":1}"), 1))).isNull();
+    assertThat(ZoneRecord.read(null)).isNull();
+  }
+
+  @Test
+  void keepsRecordsBelowShardAndZone() {
+    assertThat(ZoneRecord.key(2, "a")).isEqualTo("w/z/2/a");
+  }
+
+  static Stream<Arguments> states() {
+    return Stream.of(
+        arguments(ZoneState.HEALTHY, "healthy"),
+        arguments(ZoneState.DEGRADED, "degraded"),
+        arguments(ZoneState.UNREACHABLE, "unreachable"),
+        arguments(ZoneState.RETURNING, "returning"));
+  }
+
+  @ParameterizedTest
+  @MethodSource("states")
+  void namesStates(ZoneState state, String name) {
+    assertWritten(state, "\"" + name + "\"");
+    assertThat(Json.read(tree("\"" + name + "\""), ZoneState.class)).isEqualTo(state);
+    assertThat(state.label()).isEqualTo(name);
+  }
+
+  @Test
+  void knowsNoOtherStates() {
+    assertThat(ZoneState.values()).hasSize(4);
+  }
+
+  @Test
+  void namesMetrics() {
+    ZoneMetrics metrics = new ZoneMetrics();
+    metrics.runsAgain(Urgency.PRODUCTION, 1);
+    metrics.runsAgain(Urgency.URGENT, 1);
+    metrics.runsAgain(Urgency.STANDARD, 1);
+    metrics.runsAgain(Urgency.IDLE, 1);
+    assertThat(metrics.values().keySet())
+        .containsExactlyInAnyOrder(
+            "windbend.zone.losses",
+            "windbend.zone.relapses",
+            "windbend.zone.evacuated",
+            "windbend.zone.taken_back",
+            "windbend.zone.runs_again_ms.production.count",
+            "windbend.zone.runs_again_ms.production.p50",
+            "windbend.zone.runs_again_ms.production.p99",
+            "windbend.zone.runs_again_ms.production.max",
+            "windbend.zone.runs_again_ms.urgent.count",
+            "windbend.zone.runs_again_ms.urgent.p50",
+            "windbend.zone.runs_again_ms.urgent.p99",
+            "windbend.zone.runs_again_ms.urgent.max",
+            "windbend.zone.runs_again_ms.standard.count",
+            "windbend.zone.runs_again_ms.standard.p50",
+            "windbend.zone.runs_again_ms.standard.p99",
+            "windbend.zone.runs_again_ms.standard.max",
+            "windbend.zone.runs_again_ms.idle.count",
+            "windbend.zone.runs_again_ms.idle.p50",
+            "windbend.zone.runs_again_ms.idle.p99",
+            "windbend.zone.runs_again_ms.idle.max");
+  }
+
+  /** Each count and measure under its own name. */
+  @Test
+  void countsUnderTheRightNames() {
+    ZoneMetrics metrics = new ZoneMetrics();
+    metrics.lost(true);
+    metrics.lost(false);
+    metrics.lost(false);
+    metrics.evacuated(4);
+    metrics.takenBack(5);
+    assertThat(metrics.values())
+        .containsEntry("windbend.zone.losses", 3.0)
+        .containsEntry("windbend.zone.relapses", 1.0)
+        .containsEntry("windbend.zone.evacuated", 4.0)
+        .containsEntry("windbend.zone.taken_back", 5.0);
+  }
+
+  @ParameterizedTest
+  @EnumSource(ZoneState.class)
+  void readsItsOwnStates(ZoneState state) {
+    ZoneRecord record = new ZoneRecord(state, 1, 2, List.of());
+    assertThat(ZoneRecord.read(new VersionedValue(Json.tree(record), 1))).isEqualTo(record);
+  }
+}
