--- /dev/null
+++ b/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
@@ -0,0 +1,353 @@
+package dev.windbend.daemon;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import dev.windbend.daemon.io.Web;
+import io.undertow.server.DefaultByteBufferPool;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.URI;
+import java.net.http.HttpClient;
+import java.net.http.HttpRequest;
+import java.net.http.HttpResponse;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeSet;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.Xnio;
+import org.xnio.XnioWorker;
+
+/**
+ * What others see of windbend beside the messages: keys, paths, headers and metrics, all as
+ * literals.
+ */
+class OuterSurfaceTest {
+  private static final String ZONES_LOOKED_AFTER = "[zone]\nenabled = true\n";
+  private static final List<String> ZONES = List.of("a", "b");
+
+  private static final String KEY_PATH = "/keys/";
+
+  /** Keys written, with 0 for each number in them. */
+  private final TreeSet<String> keys = new TreeSet<>();
+
+  /** Keys read one by one, in the same form. */
+  private final TreeSet<String> keysRead = new TreeSet<>();
+
+  /** Ids of entries in pages, in the same form. */
+  private final TreeSet<String> entries = new TreeSet<>();
+
+  /** Names of requests for machines, in the same form. */
+  private final TreeSet<String> rentals = new TreeSet<>();
+
+  /** Requests that nodes send, by receiver, method and path. */
+  private final TreeSet<String> requests = new TreeSet<>();
+
+  private SimulatedCluster cluster(String settings) throws Settings.Invalid {
+    SimulatedCluster w = new SimulatedCluster(5);
+    w.loss = 0;
+    w.late = 0;
+    w.policy = Operator.parse(settings, ZONES);
+    return w;
+  }
+
+  private static Web.Reply ask(
+      SimulatedCluster w, String address, String method, String path, String body) {
+    Web.Reply[] got = {Web.Reply.NONE};
+    byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
+    w.call("users", address, method, path, bytes, 5_000, r -> got[0] = r);
+    w.time.runUntil(w.time.nowMs() + 1_000);
+    return got[0];
+  }
+
+  private static String shape(String text) {
+    return text.replaceAll("[0-9]+", "0");
+  }
+
+  private void note(SimulatedCluster w, String address, String method, String path, byte[] body) {
+    String receiver =
+        switch (address) {
+          case "state:1" -> "state";
+          case "cloud:1" -> "cloud";
+          default -> address.endsWith(":81") ? "peer" : path.equals("/commands") ? "worker" : "";
+        };
+    if (receiver.isEmpty()) {
+      return;
+    }
+    if (path.startsWith(KEY_PATH)) {
+      keysRead.add(shape(path.substring(KEY_PATH.length())));
+      requests.add(receiver + " " + method + " " + KEY_PATH + "{key}");
+    } else {
+      requests.add(receiver + " " + method + " " + path.replaceAll("(from=|/holds/)[0-9]+", "$10"));
+    }
+    if (path.equals("/hosts")) {
+      rentals.add(shape(w.json(body).path("hire").asText()));
+    }
+    if (path.equals("/txn")) {
+      for (JsonNode change : w.json(body).path("then")) {
+        String key = change.has("set") ? change.get("set").asText() : change.get("remove").asText();
+        keys.add(shape(key));
+        if (key.startsWith("w/p/")) {
+          change.path("v").path("e").fieldNames().forEachRemaining(id -> entries.add(shape(id)));
+        }
+      }
+    }
+  }
+
+  /** A day with all that makes nodes write keys and send requests. */
+  private void watchADay() throws Settings.Invalid {
+    SimulatedCluster w = cluster(ZONES_LOOKED_AFTER);
+    w.delivery =
+        (from, address, method, path, body, done) -> {
+          note(w, address, method, path, body);
+          w.deliver(from, address, method, path, body, done);
+        };
+    w.leastRunMs = 12_000;
+    w.begin(40, 60_000);
+    w.time.at(30_000, () -> w.cancelNow(5, ""));
+    ZoneLossTest.lose(w, 40_000, 60_000);
+    w.time.at(130_000, () -> w.store.outage = true);
+    w.time.at(140_000, w.store::recover);
+    w.time.runUntil(300_000);
+  }
+
+  /** The keys below which the state service keeps each kind of record, and what they end in. */
+  @Test
+  void writesTheseKeysAndSendsTheseRequests() throws Settings.Invalid {
+    watchADay();
+    assertThat(keys)
+        .containsExactlyInAnyOrder(
+            "a/wk-0", "w/c/0", "w/h/0/g0-0-0", "w/h/0/p0-0-0", "w/j/wk-0", "w/p/0/0", "w/z/0/b");
+    assertThat(keys).as("keys read").containsAll(keysRead);
+    assertThat(keysRead).contains("a/wk-0", "w/j/wk-0");
+    assertThat(entries).containsExactlyInAnyOrder("wk-0/0", "wk-0:0");
+    assertThat(rentals).containsExactly("p0-0-0");
+    assertThat(requests)
+        .containsExactlyInAnyOrder(
+            "cloud GET /hosts?limit=500",
+            "cloud GET /machine_types",
+            "cloud POST /hosts",
+            "cloud POST /hosts/return",
+            "peer POST /peer/cancelled",
+            "peer POST /peer/lend",
+            "peer POST /peer/store",
+            "state GET /follow?prefix=w/&from=0&block_ms=3000",
+            "state GET /keys/{key}",
+            "state GET /keys?prefix=w/&limit=1000",
+            "state POST /holds",
+            "state POST /holds/0/renew",
+            "state POST /txn",
+            "worker POST /commands");
+  }
+
+  /** What nodes and operators ask; NodeTest has what users and workers ask. */
+  @ParameterizedTest(name = "{0} {1} {2} {3}: {4}")
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      value = {
+        "81|GET|/metrics||200",
+        "81|POST|/metrics||405",
+        "81|GET|/zones||200",
+        "81|POST|/zones||405",
+        "81|POST|/peer/store|{\"known_up_to\":0}|200",
+        "81|POST|/peer/store|nonsense|400",
+        "81|GET|/peer/store||405",
+        "81|POST|/peer/cancelled|{\"cancelled\":[]}|200",
+        "81|POST|/peer/cancelled|{}|400",
+        "81|POST|/peer/cancelled|{\"cancelled\":[null]}|400",
+        "81|GET|/peer/cancelled||405",
+        "81|POST|/peer/lend|{\"from\":0,\"to\":1,\"request\":{\"count\":0,\"has\":1.0}}|200",
+        "81|POST|/peer/lend|{\"from\":1,\"to\":1,\"request\":{\"count\":0,\"has\":1.0}}|400",
+        "81|POST|/peer/lend|{\"from\":0,\"to\":9,\"request\":{\"count\":0,\"has\":1.0}}|400",
+        "81|POST|/peer/lend|{}|400",
+        "81|GET|/peer/lend||405",
+        "81|GET|/up||404",
+        "81|POST|/hello||404",
+        "81|GET|/v1/jobs/wk-000001||404",
+        "80|GET|/hello||405",
+        "80|GET|/metrics||404",
+        "80|GET|/zones||404",
+        "80|POST|/peer/store|{}|404",
+        "80|POST|/peer/cancelled|{}|404",
+        "80|POST|/peer/lend|{}|404",
+      })
+  void servesPaths(int port, String method, String path, String body, int status)
+      throws Settings.Invalid {
+    SimulatedCluster w = cluster("");
+    w.begin(0, 1);
+    w.time.runUntil(4_000);
+    String text = body == null ? "" : body;
+    assertThat(ask(w, "n0:" + port, method, path, text).status()).isEqualTo(status);
+  }
+
+  /** A user who asks for what does not exist or can't be answered gets an empty object. */
+  @Test
+  void answersWithoutAMessageWithAnEmptyObject() throws Settings.Invalid {
+    SimulatedCluster w = cluster("");
+    w.begin(0, 1);
+    w.time.runUntil(4_000);
+    assertThat(ask(w, "n0:80", "GET", "/nothing", "").body()).asString().isEqualTo("{}");
+    assertThat(ask(w, "n0:80", "GET", "/up", "").body()).asString().isEqualTo("{}");
+  }
+
+  @Test
+  void showsTheseMetrics() throws Settings.Invalid {
+    SimulatedCluster w = cluster("");
+    w.begin(0, 1);
+    w.time.runUntil(4_000);
+    ask(w, "n0:80", "GET", "/up", "");
+    ask(w, "n0:80", "GET", "/nothing", "");
+    assertThat(metricNames(w))
+        .containsExactly(
+            "windbend.answers.200.count",
+            "windbend.answers.404.count",
+            "windbend.jobs.live.value",
+            "windbend.machines.value",
+            "windbend.shards.value",
+            "windbend.store.failing.ms.value",
+            "windbend.waiting.oldest.s.value");
+  }
+
+  @Test
+  void showsTheseMetricsWhereZonesAreLookedAfter() throws Settings.Invalid {
+    SimulatedCluster w = cluster(ZONES_LOOKED_AFTER);
+    w.begin(0, 1);
+    w.time.runUntil(4_000);
+    assertThat(metricNames(w))
+        .containsExactly(
+            "windbend.jobs.live.value",
+            "windbend.machines.value",
+            "windbend.shards.value",
+            "windbend.store.failing.ms.value",
+            "windbend.waiting.oldest.s.value",
+            "windbend.zone.evacuated",
+            "windbend.zone.losses",
+            "windbend.zone.relapses",
+            "windbend.zone.taken_back");
+  }
+
+  private static List<String> metricNames(SimulatedCluster w) {
+    JsonNode all = w.json(ask(w, "n0:81", "GET", "/metrics", "").body());
+    TreeSet<String> names = new TreeSet<>();
+    all.fieldNames().forEachRemaining(names::add);
+    return List.copyOf(names);
+  }
+
+  private static final String JOB =
+      "{'uid':'wk-000001','fleet':'k','crew':'red','shape':'batch','urgency':'idle','drops':2,"
+          + "'cores':1.0,'cards':0.0,'ram_gb':1.0,'load':'i','pull_gb':1.0,'haul_s':5.0,"
+          + "'together':false,'spread':false,'standby':true,'waypoint_s':0.0,'stow_s':0.0}";
+
+  /** The answers to submissions in full; NodeTest has more cases of their status. */
+  @ParameterizedTest(name = "{0} -> {1}: {2} {3}")
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      value = {
+        "'drops':2|'drops':2|201|{\"uid\":\"wk-000001\",\"status\":\"pending\"}",
+        "'drops':2|'drops':0|400|{\"error\":\"missing or invalid: drops\"}",
+        "'urgency':'idle'|'urgency':'IDLE'|400|{\"error\":\"missing or invalid: urgency\"}",
+        "'shape':'batch'|'shape':'gang'|400|{\"error\":\"missing or invalid: shape\"}",
+        "'crew':'red'|'crew':'pink'|422|{\"error\":\"unknown team\"}",
+        "'cores':1.0|'cores':41.0|422|{\"error\":\"one task is over the team's limit\"}",
+        "'cores':1.0|'cores':5.0|422|{\"error\":\"a task fits no allowed machine type\"}",
+        "{'uid'|['uid'|400|{\"error\":\"not a JSON object\"}",
+      })
+  void answersSubmissions(String from, String to, int status, String answer)
+      throws Settings.Invalid {
+    SimulatedCluster w = cluster("");
+    w.begin(0, 1);
+    w.time.runUntil(4_000);
+    assertThat(JOB).contains(from);
+    Web.Reply reply = ask(w, "n0:80", "POST", "/v1/jobs", JOB.replace(from, to).replace('\'', '"'));
+    assertThat(reply.status()).isEqualTo(status);
+    assertThat(reply.body()).asString().isEqualTo(answer);
+  }
+
+  /** A user whom a node can't answer for now is told to come back after a second. */
+  @ParameterizedTest(name = "{0} {1}")
+  @CsvSource({
+    "POST,/v1/jobs",
+    "GET,/v1/jobs/wk-000001",
+    "POST,/v1/jobs/wk-000001/cancel",
+  })
+  void sendsUsersAwayForASecondIfItIsNotAnswered(String method, String path)
+      throws Settings.Invalid {
+    SimulatedCluster w = cluster("");
+    Node node =
+        new Node(
+            Settings.parse(w.settings(0)),
+            w.policy,
+            w.time.new ProcessLoop(0, 0, () -> 0L),
+            (address, callMethod, callPath, body, limitMs, done) ->
+                w.time.at(limitMs, () -> done.accept(Web.Reply.NONE)));
+    List<Web.Answer> answers = new ArrayList<>();
+    byte[] body = JOB.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
+    node.serve(new Web.Request(method, path, Map.of(), body), answers::add);
+    w.time.runUntil(30_000);
+    assertThat(answers).hasSize(1);
+    assertThat(answers.get(0).status()).isEqualTo(503);
+    assertThat(answers.get(0).retryAfterS()).isEqualTo(1);
+    assertThat(answers.get(0).body()).asString().isEqualTo("{}");
+  }
+
+  // ---- headers
+
+  @Test
+  void sendsHeaders() throws IOException, InterruptedException {
+    XnioWorker worker =
+        Xnio.getInstance()
+            .createWorker(
+                OptionMap.builder()
+                    .set(Options.WORKER_IO_THREADS, 1)
+                    .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                    .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                    .getMap());
+    try {
+      DefaultByteBufferPool buffers = new DefaultByteBufferPool(true, 8_192, 100, 4);
+      InetSocketAddress address =
+          Server.listen(
+              worker,
+              buffers,
+              "127.0.0.1:0",
+              (request, done) ->
+                  done.accept(
+                      request.path().equals("/later")
+                          ? Web.Answer.later(7)
+                          : Web.Answer.bare(200)));
+      HttpResponse<String> later = post(address, "/later", 2);
+      assertThat(later.statusCode()).isEqualTo(503);
+      assertThat(later.headers().firstValue("Retry-After")).hasValue("7");
+      assertThat(later.headers().firstValue("Content-Type")).hasValue("application/json");
+      assertThat(later.body()).isEqualTo("{}");
+      HttpResponse<String> now = post(address, "/now", 64 * 1024);
+      assertThat(now.statusCode()).isEqualTo(200);
+      assertThat(now.headers().map().keySet())
+          .containsExactlyInAnyOrder("content-type", "content-length");
+      assertThat(post(address, "/now", 64 * 1024 + 1).statusCode()).isEqualTo(413);
+    } finally {
+      worker.shutdownNow();
+      worker.awaitTermination(5, TimeUnit.SECONDS);
+    }
+  }
+
+  private static HttpResponse<String> post(InetSocketAddress to, String path, int bytes)
+      throws IOException, InterruptedException {
+    return HttpClient.newBuilder()
+        .version(HttpClient.Version.HTTP_1_1)
+        .build()
+        .send(
+            HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + to.getPort() + path))
+                .POST(HttpRequest.BodyPublishers.ofString("x".repeat(bytes)))
+                .build(),
+            HttpResponse.BodyHandlers.ofString());
+  }
+}
