--- /dev/null
+++ b/src/test/java/dev/windbend/daemon/MessageRecorder.java
@@ -0,0 +1,29 @@
+package dev.windbend.daemon;
+
+import dev.windbend.daemon.io.Web;
+
+/** Sees all that the simulated controllers send, at the moment at which they send it. */
+interface MessageRecorder {
+  /** Sees nothing. */
+  MessageRecorder NONE =
+      new MessageRecorder() {
+        @Override
+        public void requested(
+            String node, String address, String method, String path, byte[] body, long limitMs) {}
+
+        @Override
+        public void answered(String node, String asker, Web.Request request, Web.Answer answer) {}
+      };
+
+  /**
+   * A controller sends a request, whether it arrives or not.
+   *
+   * @param body null: none
+   * @param limitMs how long the controller waits for the answer
+   */
+  void requested(
+      String node, String address, String method, String path, byte[] body, long limitMs);
+
+  /** A controller answers a request, whether the answer arrives or not. */
+  void answered(String node, String asker, Web.Request request, Web.Answer answer);
+}
--- a/src/test/java/dev/windbend/daemon/SimulatedCluster.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedCluster.java
@@ -55,6 +55,9 @@
   /** How messages of workers and users reach the nodes. */
   Delivery delivery = this::deliver;
 
+  /** Sees all that the nodes send; changes nothing. */
+  MessageRecorder recorder = MessageRecorder.NONE;
+
   /** What each team but the guests may use at most. */
   double teamCores = TEAM_CORES;
 
@@ -165,8 +168,10 @@
               Settings.parse(settings(i)),
               policy,
               loop,
-              (address, method, path, body, limit, done) ->
-                  callFrom(loop, "n" + i, address, method, path, body, limit, done));
+              (address, method, path, body, limit, done) -> {
+                recorder.requested("n" + i, address, method, path, body, limit);
+                callFrom(loop, "n" + i, address, method, path, body, limit, done);
+              });
     } catch (Settings.Invalid e) {
       throw new AssertionError(e);
     }
@@ -367,14 +372,15 @@
         return;
       }
       VirtualTime.ProcessLoop loop = loops[i];
+      Web.Request request =
+          new Web.Request(method, path, Map.of(), body == null ? new byte[0] : body);
       Consumer<Web.Answer> answer =
           a -> {
             if (!loop.dead()) {
+              recorder.answered("n" + i, from, request, a);
               done.accept(new Web.Reply(a.status(), a.body()));
             }
           };
-      Web.Request request =
-          new Web.Request(method, path, Map.of(), body == null ? new byte[0] : body);
       Node node = nodes[i];
       loop.after(
           0,
--- /dev/null
+++ b/src/test/java/dev/windbend/daemon/TraceDigest.java
@@ -0,0 +1,100 @@
+package dev.windbend.daemon;
+
+import dev.windbend.daemon.io.Web;
+import java.io.PrintWriter;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.LongSupplier;
+
+/**
+ * Digests the messages of the controllers of one day, in their order: virtual time, ends, method,
+ * path, time limit or status and Retry-After, and the bytes of the body. No name of a class or a
+ * member of the sources goes into it.
+ */
+final class TraceDigest implements MessageRecorder {
+  private static final byte[] NO_BODY = {};
+
+  private final LongSupplier nowMs;
+  private final PrintWriter dump;
+  private final MessageDigest digest;
+  private final Map<String, Integer> counts = new TreeMap<>();
+  private int messages;
+
+  /**
+   * @param nowMs virtual time
+   * @param dump takes each message as text; null: nobody reads them
+   */
+  TraceDigest(LongSupplier nowMs, PrintWriter dump) {
+    this.nowMs = nowMs;
+    this.dump = dump;
+    try {
+      this.digest = MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  @Override
+  public void requested(
+      String node, String address, String method, String path, byte[] body, long limitMs) {
+    add(node + " -> " + address + " " + method + " " + path + " limit_ms=" + limitMs, body);
+    count(receiver(address) + " " + method + " " + shape(path));
+  }
+
+  @Override
+  public void answered(String node, String asker, Web.Request request, Web.Answer answer) {
+    String asked = request.method() + " " + request.path();
+    String status = " status=" + answer.status() + " retry_after_s=" + answer.retryAfterS();
+    add(node + " => " + asker + " " + asked + status, answer.body());
+    count("answer " + request.method() + " " + shape(request.path()) + " " + answer.status());
+  }
+
+  private void add(String message, byte[] body) {
+    byte[] bytes = body == null ? NO_BODY : body;
+    String length = body == null ? "none" : Integer.toString(bytes.length);
+    String line = nowMs.getAsLong() + " " + message + " body_bytes=" + length + "\n";
+    digest.update(line.getBytes(StandardCharsets.UTF_8));
+    digest.update(bytes);
+    digest.update((byte) '\n');
+    messages++;
+    if (dump != null) {
+      dump.print(line);
+      dump.println("    " + new String(bytes, StandardCharsets.UTF_8));
+    }
+  }
+
+  private void count(String kind) {
+    counts.merge(kind, 1, Integer::sum);
+  }
+
+  private static String receiver(String address) {
+    if (address.startsWith("state:") || address.startsWith("cloud:")) {
+      return SimulatedCluster.to(address);
+    }
+    return address.startsWith("host-") ? "worker" : "peer";
+  }
+
+  /** The path without what differs from one job, machine or revision to the next. */
+  private static String shape(String path) {
+    String plain = path.indexOf('?') < 0 ? path : path.substring(0, path.indexOf('?'));
+    return plain.replaceAll("/(?!v1/)[^/]*\\d[^/]*", "/*");
+  }
+
+  /** Of all messages so far; nothing may be recorded after it. */
+  String hex() {
+    return HexFormat.of().formatHex(digest.digest());
+  }
+
+  int messages() {
+    return messages;
+  }
+
+  /** Messages by receiver, method and path; answers by method, path and status. */
+  Map<String, Integer> counts() {
+    return counts;
+  }
+}
--- a/src/test/java/dev/windbend/daemon/ZoneLossTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossTest.java
@@ -184,7 +184,7 @@
             }));
   }
 
-  private static SimulatedCluster cluster(long seed) {
+  static SimulatedCluster cluster(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed);
     w.policy = policy(SETTINGS);
     w.leastRunMs = 12_000;
