--- a/src/test/java/dev/windbend/daemon/RuleJudge.java
+++ b/src/test/java/dev/windbend/daemon/RuleJudge.java
@@ -23,6 +23,9 @@
 
   final List<String> violations = new ArrayList<>();
 
+  /** Each start of a task, in order. */
+  final List<String> starts = new ArrayList<>();
+
   /** From then on every question must be answered within 75 s. */
   long calmFromMs = Long.MAX_VALUE;
 
@@ -38,6 +41,23 @@
     violations.add(cluster.time.nowMs() + " " + what);
   }
 
+  /** A task that ran before the simulation began. */
+  void runsAlready(String drop, StandInWorker w) {
+    if (!on.computeIfAbsent(drop, k -> new HashSet<>()).add(w) || on.get(drop).size() > 1) {
+      broken("ran_twice: " + drop + " from the beginning");
+    }
+  }
+
+  /** A task that had completed before the simulation began. */
+  void finishedAlready(String drop) {
+    finished.add(drop);
+  }
+
+  /** Tasks that have completed, in order of their names. */
+  List<String> finished() {
+    return finished.stream().sorted().toList();
+  }
+
   static String uid(String drop) {
     return drop.substring(0, drop.indexOf('/'));
   }
@@ -53,6 +73,7 @@
       broken("ran_twice: " + drop);
     }
     places.add(w);
+    starts.add(drop);
     if (u == null || u.firstSentMs < 0) {
       broken("unknown task " + drop);
       return;
--- a/src/test/java/dev/windbend/daemon/SimulatedCluster.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedCluster.java
@@ -14,6 +14,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import java.util.TreeMap;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
@@ -549,6 +550,58 @@
         });
   }
 
+  /** All but the nodes: what the state service, the machines, the cloud and the users hold. */
+  ObjectNode save() {
+    ObjectNode out =
+        StandInStore.JSON
+            .createObjectNode()
+            .put("now_ms", time.nowMs())
+            .put("capacity", capacity)
+            .put("next_machine", nextMachine);
+    out.set("store", store.save());
+    ArrayNode workers = out.putArray("machines");
+    machines.values().forEach(w -> workers.add(w.save().put("listed", listed.contains(w.name))));
+    ObjectNode requests = out.putObject("rented");
+    new TreeMap<>(hires).forEach((hire, names) -> names.forEach(requests.putArray(hire)::add));
+    ArrayNode all = out.putArray("users");
+    users.values().stream().filter(u -> u.firstSentMs >= 0).forEach(u -> all.add(u.save()));
+    judge.finished().forEach(out.putArray("finished")::add);
+    return out;
+  }
+
+  /** Goes on from what was saved, at the same time of day; the nodes are to be started. */
+  void load(JsonNode saved) {
+    time.runUntil(saved.get("now_ms").asLong());
+    capacity = saved.get("capacity").asInt();
+    nextMachine = saved.get("next_machine").asInt();
+    saved.get("users").forEach(u -> SimulatedUser.load(this, u));
+    saved.get("finished").forEach(drop -> judge.finishedAlready(drop.asText()));
+    saved
+        .get("rented")
+        .properties()
+        .forEach(
+            e -> {
+              List<String> names = new ArrayList<>();
+              e.getValue().forEach(name -> names.add(name.asText()));
+              hires.put(e.getKey(), names);
+            });
+    for (JsonNode m : saved.get("machines")) {
+      String name = m.get("machine").asText();
+      StandInWorker w =
+          new StandInWorker(this, name, m.get("zone").asText(), m.get("spot").asBoolean());
+      machines.put(name, w);
+      if (m.get("listed").asBoolean()) {
+        listed.add(name);
+      } else {
+        time.at(4_000, () -> listed.add(name));
+      }
+      w.load(m);
+    }
+    store.load(saved.get("store"));
+    time.at(5_000, this::askForNothing);
+    time.at(5_000, judge::judgeWaiting);
+  }
+
   void begin(int jobs, long spanMs) {
     for (int i = 0; i < size; i++) {
       startNode(i);
--- a/src/test/java/dev/windbend/daemon/SimulatedUser.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedUser.java
@@ -1,5 +1,6 @@
 package dev.windbend.daemon;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dev.windbend.daemon.io.Web;
 import java.nio.charset.StandardCharsets;
@@ -18,6 +19,9 @@
   boolean together;
   boolean spread;
 
+  /** The one machine type that the job names; null: it names none. */
+  String type;
+
   /** Submitted with a mistake: its tasks fail on every machine. */
   boolean mistaken;
 
@@ -58,6 +62,53 @@
     cluster.users.put(uid, this);
   }
 
+  /** What the user wants and has been answered. */
+  ObjectNode save() {
+    return StandInStore.JSON
+        .createObjectNode()
+        .put("job", uid)
+        .put("team", team)
+        .put("tasks", tasks)
+        .put("zone", zone)
+        .put("spot", spot)
+        .put("together", together)
+        .put("spread", spread)
+        .put("type", type)
+        .put("cancels", cancels)
+        .put("status", told)
+        .put("sent_ms", firstSentMs)
+        .put("begun_ms", begunMs)
+        .put("cancelled_ms", toldCancelledMs);
+  }
+
+  static SimulatedUser load(SimulatedCluster cluster, JsonNode saved) {
+    SimulatedUser user =
+        new SimulatedUser(
+            cluster,
+            Integer.parseInt(saved.get("job").asText().substring("wk-".length())),
+            saved.get("team").asText(),
+            saved.get("tasks").asInt(),
+            saved.get("zone").isNull() ? null : saved.get("zone").asText(),
+            saved.get("spot").asBoolean(),
+            saved.get("cancels").asBoolean());
+    user.together = saved.get("together").asBoolean();
+    user.spread = saved.get("spread").asBoolean();
+    user.type = saved.get("type").isNull() ? null : saved.get("type").asText();
+    user.told = saved.get("status").asText();
+    user.firstSentMs = saved.get("sent_ms").asLong();
+    user.begunMs = saved.get("begun_ms").asLong();
+    user.toldCancelledMs = saved.get("cancelled_ms").asLong();
+    user.answeredMs = cluster.time.nowMs();
+    user.overSinceMs = cluster.time.nowMs();
+    user.couldStartMs = cluster.time.nowMs();
+    boolean over = user.told.equals("done") || user.told.equals("aborted");
+    cluster.time.at(1_000, user.told.isEmpty() ? user::submit : user::poll);
+    if (user.cancels && !over && !user.told.isEmpty()) {
+      cluster.time.at(8_000, user::cancel);
+    }
+    return user;
+  }
+
   void submit() {
     long sentMs = cluster.time.nowMs();
     if (firstSentMs < 0) {
@@ -94,6 +145,9 @@
     j.put("pull_gb", 0.1).put("yard", zone).put("together", together).put("spread", spread);
     j.put("standby", spot).put("haul_s", 6.0).put("waypoint_s", 0.0).put("stow_s", 0.0);
     j.put("due_s", tasks % 2 == 0 ? 60.0 : null);
+    if (type != null) {
+      j.putArray("rigs").add(type);
+    }
     return j.toString().getBytes(StandardCharsets.UTF_8);
   }
 
--- a/src/test/java/dev/windbend/daemon/StandInStore.java
+++ b/src/test/java/dev/windbend/daemon/StandInStore.java
@@ -69,6 +69,46 @@
     return n;
   }
 
+  /** All keys with their versions and leases, and all leases with the time left to them. */
+  ObjectNode save() {
+    ObjectNode out = JSON.createObjectNode().put("revision", ledger).put("next_lease", nextHold);
+    ArrayNode leases = out.putArray("leases");
+    new TreeMap<>(holds)
+        .forEach(
+            (id, h) ->
+                leases
+                    .addObject()
+                    .put("id", id)
+                    .put("life_ms", h[0])
+                    .put("left_ms", h[1] - time.nowMs()));
+    ArrayNode all = out.putArray("keys");
+    keys.forEach(
+        (key, value) ->
+            all.addObject()
+                .put("key", key)
+                .put("version", value.stamp)
+                .put("lease", value.permit)
+                .set("value", value.v));
+    return out;
+  }
+
+  /** Goes on from what was saved; what changed before can be followed no more. */
+  void load(JsonNode saved) {
+    ledger = saved.get("revision").asLong();
+    forgotten = ledger;
+    nextHold = saved.get("next_lease").asLong();
+    for (JsonNode k : saved.get("keys")) {
+      Value value = new Value(k.get("value"), k.get("version").asLong(), k.get("lease").asLong());
+      keys.put(k.get("key").asText(), value);
+    }
+    for (JsonNode l : saved.get("leases")) {
+      long id = l.get("id").asLong();
+      long endMs = time.nowMs() + l.get("left_ms").asLong();
+      holds.put(id, new long[] {l.get("life_ms").asLong(), endMs});
+      watchHold(id);
+    }
+  }
+
   /** An outage ends: every hold has its full time again. */
   void recover() {
     outage = false;
--- a/src/test/java/dev/windbend/daemon/StandInWorker.java
+++ b/src/test/java/dev/windbend/daemon/StandInWorker.java
@@ -57,6 +57,60 @@
     this.node = world.random.nextInt(world.size);
   }
 
+  /** The machine as it is, with the tasks on it. */
+  ObjectNode save() {
+    ObjectNode out =
+        StandInStore.JSON
+            .createObjectNode()
+            .put("machine", name)
+            .put("zone", zone)
+            .put("spot", spot)
+            .put("up", up)
+            .put("controller", node)
+            .put("session", shift)
+            .put("report", tally)
+            .put("token", baton);
+    ArrayNode all = out.putArray("tasks");
+    for (Task t : tasks.values()) {
+      all.addObject()
+          .put("task", t.drop)
+          .put("attempt", t.run)
+          .put("status", t.status)
+          .put("cause", t.cause);
+    }
+    return out;
+  }
+
+  /** Goes on from what was saved: its tasks run on, and its lease has its full time. */
+  void load(JsonNode saved) {
+    node = saved.get("controller").asInt();
+    shift = saved.get("session").asLong();
+    tally = saved.get("report").asLong();
+    baton = saved.get("token").asLong();
+    for (JsonNode s : saved.get("tasks")) {
+      Task t = new Task();
+      t.drop = s.get("task").asText();
+      t.run = s.get("attempt").asLong();
+      t.status = s.get("status").asText();
+      t.cause = s.get("cause").isNull() ? null : s.get("cause").asText();
+      tasks.put(t.drop, t);
+      if (t.status.equals("pulling")) {
+        world.time.at(FETCH_MS, () -> begin(t));
+      } else if (t.status.equals("running")) {
+        t.counted = true;
+        world.judge.runsAlready(t.drop, this);
+        world.time.at(world.runMs(t.drop), () -> end(t));
+      }
+    }
+    world.time.at(
+        saved.get("up").asBoolean() ? world.random.nextInt(1_000) : world.bootMs, this::start);
+  }
+
+  /** The highest fencing token it has been sent. */
+  long token() {
+    return baton;
+  }
+
   void start() {
     up = true;
     leaseFromMs = world.time.nowMs();
