--- a/src/main/java/dev/windbend/job/Job.java
+++ b/src/main/java/dev/windbend/job/Job.java
@@ -10,7 +10,9 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
+import java.util.HashSet;
 import java.util.List;
+import java.util.Set;
 
 /** A live job as its shard's owner sees it, with the records that keep it. */
 public final class Job {
@@ -20,14 +22,11 @@
   private static final long LAZY_MS = 1_500;
   private static final int ROUND_BITS = 32;
 
-  public final JobSpec spec;
-  public final String key;
-  public final long submittedWallMs;
-
-  /** Dense index of the team. */
-  public final int team;
-
-  public boolean cancelled;
+  private final JobSpec spec;
+  private final String key;
+  private final long submittedWallMs;
+  private final int team;
+  private boolean cancelled;
   private long version;
   private final PieceEntry[] pieces;
   private final List<PageEntry> entries;
@@ -51,17 +50,13 @@
   private boolean archived;
   private boolean begun;
 
-  /** Zone of the first placement, for jobs whose tasks stay together. */
-  public int zone = -1;
-
-  /** Not placed before this time (steady), after failing everywhere. */
-  public long notBeforeMs;
+  private long notBeforeMs;
 
   /** When a task of it was placed or completed last, or this owner took the job in (steady). */
   private long progressMs;
 
-  public int failures;
-  public final java.util.Set<String> failedOn = new java.util.HashSet<>();
+  private int backOffs;
+  private final Set<String> failedMachines = new HashSet<>();
 
   public Job(JobRecord.Live record, long version, int team, long nowMs) {
     this.progressMs = nowMs;
@@ -80,6 +75,72 @@
     waitingTotal = spec.tasks();
   }
 
+  /** What its user submitted. */
+  public JobSpec spec() {
+    return spec;
+  }
+
+  /** Key of its live record in the state service. */
+  public String key() {
+    return key;
+  }
+
+  /** When it was submitted (wall clock, ms). */
+  public long submittedWallMs() {
+    return submittedWallMs;
+  }
+
+  /** Dense index of its team. */
+  public int team() {
+    return team;
+  }
+
+  /** Whether it is finally cancelled: none of its tasks is placed or started any more. */
+  public boolean cancelled() {
+    return cancelled;
+  }
+
+  /** No task of it is placed before this time (steady clock, ms); 0: no such limit. */
+  public long notBeforeMs() {
+    return notBeforeMs;
+  }
+
+  /** How often it has been backed off after its tasks failed on several machines. */
+  public int backOffs() {
+    return backOffs;
+  }
+
+  /** Names of the machines on which its tasks have failed since its last back-off. */
+  public Iterable<String> failedMachines() {
+    return failedMachines;
+  }
+
+  /** How many machines its tasks have failed on since its last back-off. */
+  public int failedMachineCount() {
+    return failedMachines.size();
+  }
+
+  /** A task of it failed on this machine, which is avoided from now on. */
+  public void recordFailedMachine(String machineName) {
+    failedMachines.add(machineName);
+  }
+
+  /** No machine is avoided any more for failures of its tasks. */
+  public void clearFailedMachines() {
+    failedMachines.clear();
+  }
+
+  /** Its tasks wait until this time (steady clock, ms). */
+  public void deferUntil(long untilMs) {
+    notBeforeMs = untilMs;
+  }
+
+  /** Its tasks failed on several machines: they wait until this time (steady clock, ms). */
+  public void backOffUntil(long untilMs) {
+    backOffs++;
+    notBeforeMs = untilMs;
+  }
+
   private void setWaiting(int task, boolean is) {
     if (waiting.get(task) != is) {
       waiting.set(task, is);
@@ -119,7 +180,7 @@
       for (int k = 0; k < record.count(run); k++) {
         int task = record.first(run) + k;
         Placement before = placed.get(task);
-        if (done.get(task) || (before != null && before.attempt >= record.attempt())) {
+        if (done.get(task) || (before != null && before.attempt() >= record.attempt())) {
           continue;
         }
         if (before != null) {
@@ -162,7 +223,7 @@
 
   /** A successor must find this placement: it is not proved gone, or its end is not recorded. */
   boolean needsRecord(Placement p) {
-    return placed.get(p.task) == p || ended.get(p.task) == p;
+    return placed.get(p.task()) == p || ended.get(p.task()) == p;
   }
 
   public int waitingCount() {
@@ -229,21 +290,21 @@
 
   /** Its start may go out: the record says so. */
   public boolean startable(Placement p) {
-    return !p.inherited && !cancelled && !p.stopping() && p.batch.recorded();
+    return !p.inherited() && !cancelled && !p.stopping() && p.batch.recorded();
   }
 
   /** The attempt is proved gone; unless the task is done it waits again. */
   public void gone(Placement p) {
-    if (!placed.remove(p.task, p)) {
+    if (!placed.remove(p.task(), p)) {
       return;
     }
-    if (!done.get(p.task)) {
-      setWaiting(p.task, true);
+    if (!done.get(p.task())) {
+      setWaiting(p.task(), true);
       p.batch.close();
-    } else if (doneRecorded(p.task)) {
+    } else if (doneRecorded(p.task())) {
       p.batch.close();
     } else {
-      ended.put(p.task, p);
+      ended.put(p.task(), p);
     }
   }
 
--- a/src/main/java/dev/windbend/job/JobRegistry.java
+++ b/src/main/java/dev/windbend/job/JobRegistry.java
@@ -97,6 +97,6 @@
   }
 
   public void forget(Job job) {
-    jobs.remove(job.spec.uid());
+    jobs.remove(job.spec().uid());
   }
 }
--- a/src/main/java/dev/windbend/job/Placement.java
+++ b/src/main/java/dev/windbend/job/Placement.java
@@ -5,54 +5,112 @@
  * it is proved gone.
  */
 public final class Placement {
-  public final Job job;
-  public final int task;
-  public final long attempt;
-  public final String machine;
+  private final Job job;
+  private final int task;
+  private final long attempt;
+  private final String machineName;
 
   /** With what it is on record. */
   final PlacementBatch batch;
 
-  /** Taken over from a former owner: never started again, only found or found missing. */
-  public final boolean inherited;
-
-  public final long placedMs;
-
-  /** The report in whose response the start last went out. */
-  public long sentShift = -1;
-
-  public long sentTally = -1;
-
-  /** Some report showed it; it is never started again. */
-  public boolean seen;
-
-  /** Has its image and runs since this time, -1 before. */
-  public long runningMs = -1;
-
-  /** Must go, and how: -1 no; else the seconds it may use to save. */
-  public double stopGraceS = -1;
-
-  public boolean flushing;
+  private final boolean inherited;
+  private final long placedMs;
+  private long sentIncarnation = -1;
+  private long sentSequence = -1;
+  private boolean seen;
+  private long runningMs = -1;
+  private double stopGraceS = -1;
 
   Placement(
       Job job,
       int task,
       long attempt,
-      String machine,
+      String machineName,
       PlacementBatch batch,
       boolean inherited,
       long placedMs) {
     this.job = job;
     this.task = task;
     this.attempt = attempt;
-    this.machine = machine;
+    this.machineName = machineName;
     this.batch = batch;
     this.inherited = inherited;
     this.placedMs = placedMs;
   }
 
+  /** The job whose task it is. */
+  public Job job() {
+    return job;
+  }
+
+  /** Index of the task in its job. */
+  public int task() {
+    return task;
+  }
+
+  /** Number of the attempt, which only grows for a task. */
+  public long attempt() {
+    return attempt;
+  }
+
+  /** Name of the machine it is placed on. */
+  public String machineName() {
+    return machineName;
+  }
+
+  /** Taken over from a former owner: never started again, only found or found missing. */
+  public boolean inherited() {
+    return inherited;
+  }
+
+  /** When it was decided, or taken over from a former owner (steady clock, ms). */
+  public long placedMs() {
+    return placedMs;
+  }
+
+  /** Incarnation of the agent whose heartbeat the start last answered; -1: not sent. */
+  public long sentIncarnation() {
+    return sentIncarnation;
+  }
+
+  /** Sequence number of the heartbeat that the start last answered; -1: not sent. */
+  public long sentSequence() {
+    return sentSequence;
+  }
+
+  /** The start goes out in the response to this heartbeat. */
+  public void recordStartSent(long incarnation, long sequence) {
+    sentIncarnation = incarnation;
+    sentSequence = sequence;
+  }
+
+  /** Some heartbeat showed it; it is never started again. */
+  public boolean seen() {
+    return seen;
+  }
+
+  /** A heartbeat shows it. */
+  public void recordSeen() {
+    seen = true;
+  }
+
+  /** Since when it has its image and runs (steady clock, ms); -1: it does not run yet. */
+  public long runningMs() {
+    return runningMs;
+  }
+
+  /** It has its image and runs since this time (steady clock, ms). */
+  public void recordRunning(long sinceMs) {
+    runningMs = sinceMs;
+  }
+
+  /** Seconds it may use to save before it is stopped; -1: it is not to be stopped. */
+  public double stopGraceS() {
+    return stopGraceS;
+  }
+
   public String taskName() {
-    return job.spec.uid() + "/" + task;
+    return job.spec().uid() + "/" + task;
   }
 
   public boolean stopping() {
--- a/src/main/java/dev/windbend/job/PlacementBatch.java
+++ b/src/main/java/dev/windbend/job/PlacementBatch.java
@@ -38,7 +38,9 @@
 
   void add(Placement p) {
     Placement last = tasks.isEmpty() ? null : tasks.get(tasks.size() - 1);
-    if (last == null || last.task + 1 != p.task || !last.machine.equals(p.machine)) {
+    if (last == null
+        || last.task() + 1 != p.task()
+        || !last.machineName().equals(p.machineName())) {
       runs++;
     }
     tasks.add(p);
@@ -95,17 +97,19 @@
       if (!job.needsRecord(p)) {
         continue;
       }
-      if (last != null && p.task == last.task + 1 && p.machine.equals(last.machine)) {
+      if (last != null
+          && p.task() == last.task() + 1
+          && p.machineName().equals(last.machineName())) {
         int count = runs.size() - JobRecord.PlacementBatch.RUN + 1;
         runs.set(count, runs.getLong(count) + 1);
       } else {
-        if (!indices.containsKey(p.machine)) {
-          indices.put(p.machine, machines.size());
-          machines.add(p.machine);
+        if (!indices.containsKey(p.machineName())) {
+          indices.put(p.machineName(), machines.size());
+          machines.add(p.machineName());
         }
-        runs.add(p.task);
+        runs.add(p.task());
         runs.add(1);
-        runs.add(indices.getInt(p.machine));
+        runs.add(indices.getInt(p.machineName()));
       }
       last = p;
     }
@@ -117,7 +121,7 @@
     inFlight = true;
     if (!written) {
       // Cancelled or ended meanwhile: then nothing of it may start.
-      draft.when(job.key, job.version());
+      draft.when(job.key(), job.version());
     }
   }
 
@@ -134,7 +138,7 @@
 
   @Override
   public boolean dependsOn(String key) {
-    return key.equals(job.key);
+    return key.equals(job.key());
   }
 
   @Override
--- a/src/main/java/dev/windbend/machine/Machine.java
+++ b/src/main/java/dev/windbend/machine/Machine.java
@@ -125,7 +125,7 @@
   public double freeCores() {
     double free = type.cores();
     for (Placement p : tasks.values()) {
-      free -= p.job.spec.cores();
+      free -= p.job().spec().cores();
     }
     return free;
   }
@@ -135,9 +135,9 @@
     double freeCards = type.cards() + ROUNDING;
     double freeRam = type.ram() + ROUNDING;
     for (Placement p : tasks.values()) {
-      freeCores -= p.job.spec.cores();
-      freeCards -= p.job.spec.cards();
-      freeRam -= p.job.spec.ram();
+      freeCores -= p.job().spec().cores();
+      freeCards -= p.job().spec().cards();
+      freeRam -= p.job().spec().ram();
     }
     return freeCores >= cores && freeCards >= cards && freeRam >= ram;
   }
--- a/src/main/java/dev/windbend/shard/GradualStart.java
+++ b/src/main/java/dev/windbend/shard/GradualStart.java
@@ -23,8 +23,8 @@
   private static final int ALL_JOBS = 1 << 29;
 
   private static final Comparator<Job> ORDER =
-      Comparator.<Job>comparingInt(job -> job.spec.urgency().rank())
-          .thenComparingLong(job -> job.submittedWallMs);
+      Comparator.<Job>comparingInt(job -> job.spec().urgency().rank())
+          .thenComparingLong(job -> job.submittedWallMs());
 
   private final EventLoop loop;
   private final long longestWaitMs;
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -30,7 +30,7 @@
 
   /** Whose recent times tell how long a task will run. */
   private static String user(Job job) {
-    return job.spec.team() + "/" + job.spec.kind();
+    return job.spec().team() + "/" + job.spec().kind();
   }
 
   /** A task of the job has completed after so long. */
@@ -39,7 +39,7 @@
   }
 
   double estimateS(Job job) {
-    return Math.max(SHORTEST_S, estimates.of(user(job), job.spec.estimateS()));
+    return Math.max(SHORTEST_S, estimates.of(user(job), job.spec().estimateS()));
   }
 
   @Override
@@ -48,7 +48,7 @@
   }
 
   long ageMs(Job job) {
-    return loop.wallMs() - job.submittedWallMs;
+    return loop.wallMs() - job.submittedWallMs();
   }
 
   /** The next of its time limits that the job can still meet. */
@@ -57,9 +57,9 @@
         facts
             .aims()
             .limits(
-                job.spec.kind(),
-                job.spec.dueS(),
-                policy.impliedDue() * job.spec.estimateS(),
+                job.spec().kind(),
+                job.spec().dueS(),
+                policy.impliedDue() * job.spec().estimateS(),
                 policy.dueFromAims());
     return Deadlines.next(limits, ageMs / MS, estimateS(job));
   }
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -256,12 +256,12 @@
     m.promisedTo = to;
     m.draining = true;
     m.tasks.values().stream()
-        .filter(p -> p.job.spec.checkpointS() > 0)
+        .filter(p -> p.job().spec().checkpointS() > 0)
         .forEach(MachineTransfers::stop);
   }
 
   private static void stop(Placement p) {
-    p.stop(p.job.spec.saveS() + 1);
+    p.stop(p.job().spec().saveS() + 1);
   }
 
   private double lostByStopping(Machine m) {
@@ -269,7 +269,8 @@
     long now = loop.nowMs();
     for (Placement p : m.tasks.values()) {
       all +=
-          p.job.spec.cores() * (p.job.spec.checkpointS() > 0 ? 1 : Math.max(1, now - p.placedMs));
+          p.job().spec().cores()
+              * (p.job().spec().checkpointS() > 0 ? 1 : Math.max(1, now - p.placedMs()));
     }
     return all;
   }
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -21,23 +21,24 @@
       long wallMs) {
     Job oldest = null;
     for (Job j : board.all()) {
-      if (j.waitingCount() > 0 && (oldest == null || j.submittedWallMs < oldest.submittedWallMs)) {
+      if (j.waitingCount() > 0
+          && (oldest == null || j.submittedWallMs() < oldest.submittedWallMs())) {
         oldest = j;
       }
     }
     if (oldest == null) {
       return null;
     }
-    long ageS = (wallMs - oldest.submittedWallMs) / 1000;
-    if (oldest.spec.zone() != null && zones.unreachable(oldest.spec.zone())) {
-      String reason = "its zone " + oldest.spec.zone() + ", which is unreachable";
-      return new OldestWaitingJob(oldest.spec.uid(), ageS, reason);
+    long ageS = (wallMs - oldest.submittedWallMs()) / 1000;
+    if (oldest.spec().zone() != null && zones.unreachable(oldest.spec().zone())) {
+      String reason = "its zone " + oldest.spec().zone() + ", which is unreachable";
+      return new OldestWaitingJob(oldest.spec().uid(), ageS, reason);
     }
     int teams = facts.teams().size();
-    double used = TeamUsage.cores(board.all(), teams)[oldest.team];
-    double usedCards = TeamUsage.cards(board.all(), teams)[oldest.team];
+    double used = TeamUsage.cores(board.all(), teams)[oldest.team()];
+    double usedCards = TeamUsage.cards(board.all(), teams)[oldest.team()];
     TaskRequirements task = overdueJobs.requirements(oldest);
-    Facts.TeamFact team = facts.teams().get(oldest.team);
+    Facts.TeamFact team = facts.teams().get(oldest.team());
     int booting = 0;
     int unsure = 0;
     boolean room = false;
@@ -48,13 +49,13 @@
     }
     int asked = fleet.pending().stream().mapToInt(Fleet.Pending::count).sum();
     boolean atLimit =
-        used + oldest.spec.cores() > team.coresMost() + 1e-6
-            || usedCards + oldest.spec.cards() > team.cardsMost() + 1e-6;
+        used + oldest.spec().cores() > team.coresMost() + 1e-6
+            || usedCards + oldest.spec().cards() > team.cardsMost() + 1e-6;
     return new OldestWaitingJob(
-        oldest.spec.uid(),
+        oldest.spec().uid(),
         ageS,
         reason(
-            oldest.notBeforeMs - nowMs,
+            oldest.notBeforeMs() - nowMs,
             atLimit ? used : -1,
             team.coresMost(),
             room,
--- a/src/main/java/dev/windbend/shard/OverdueJobs.java
+++ b/src/main/java/dev/windbend/shard/OverdueJobs.java
@@ -35,7 +35,7 @@
   }
 
   static boolean overdue(Job job, long now) {
-    return job.waitingCount() > 0 && job.notBeforeMs <= now && job.stalledMs(now) >= OVERDUE_MS;
+    return job.waitingCount() > 0 && job.notBeforeMs() <= now && job.stalledMs(now) >= OVERDUE_MS;
   }
 
   /** One task of each overdue job that no machine of this shard has room for; null: none. */
@@ -44,15 +44,15 @@
     double cores = 0;
     double[] used = TeamUsage.cores(jobs.all(), facts.teams().size());
     for (Job j : jobs.all()) {
-      double limit = facts.teams().get(j.team).coresMost();
+      double limit = facts.teams().get(j.team()).coresMost();
       if (!overdue(j, now)
           || failsEverywhere(j)
-          || used[j.team] + j.spec.cores() > limit
+          || used[j.team()] + j.spec().cores() > limit
           || hasRoom(requirements(j), now)) {
         continue;
       }
-      used[j.team] += j.spec.cores();
-      cores += j.spec.cores();
+      used[j.team()] += j.spec().cores();
+      cores += j.spec().cores();
       if (longest == null || longest.stalledMs(now) < j.stalledMs(now)) {
         longest = j;
       }
@@ -65,7 +65,7 @@
 
   /** No machine is vacated for a job that was most likely submitted with a mistake. */
   private static boolean failsEverywhere(Job job) {
-    return job.failures > 0 && job.doneCount() == 0;
+    return job.backOffs() > 0 && job.doneCount() == 0;
   }
 
   private boolean hasRoom(TaskRequirements task, long now) {
@@ -75,24 +75,24 @@
   /** What the next task of a job needs, beside those that are placed. */
   TaskRequirements requirements(Job j) {
     return new TaskRequirements(
-        j.spec.cores(),
-        j.spec.cards(),
-        j.spec.ram(),
-        j.spec.types(),
+        j.spec().cores(),
+        j.spec().cards(),
+        j.spec().ram(),
+        j.spec().types(),
         allowedZones(j),
-        j.spec.spot());
+        j.spec().spot());
   }
 
   private List<String> allowedZones(Job j) {
-    if (j.spec.zone() != null) {
-      return List.of(j.spec.zone());
+    if (j.spec().zone() != null) {
+      return List.of(j.spec().zone());
     }
     int[] placed = placedPerZone(j);
     boolean anyPlaced = Arrays.stream(placed).anyMatch(n -> n > 0);
     List<String> zones = new ArrayList<>();
     for (int z = 0; z < placed.length; z++) {
-      boolean apart = j.spec.together() && anyPlaced && placed[z] == 0;
-      boolean full = j.spec.spread() && placed[z] + 1 > (j.spec.tasks() + 1) / 2;
+      boolean apart = j.spec().together() && anyPlaced && placed[z] == 0;
+      boolean full = j.spec().spread() && placed[z] + 1 > (j.spec().tasks() + 1) / 2;
       if (!apart && !full) {
         zones.add(catalog.zones.name(z));
       }
@@ -102,9 +102,9 @@
 
   int[] placedPerZone(Job j) {
     int[] perZone = new int[catalog.zones.size()];
-    if (j.spec.spread() || j.spec.together()) {
+    if (j.spec().spread() || j.spec().together()) {
       for (Placement p : j.placements()) {
-        Machine m = fleet.find(p.machine);
+        Machine m = fleet.find(p.machineName());
         if (m != null) {
           perZone[m.zone]++;
         }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -227,7 +227,7 @@
       List<List<Placement>> running) {
     for (Wanted.Stop stop : wanted.stops()) {
       Placement p = running.get(stop.room()).get(stop.running());
-      LOG.info("stopping {} on {} to make room", p.taskName(), p.machine);
+      LOG.info("stopping {} on {} to make room", p.taskName(), p.machineName());
       p.stop(0);
     }
     Set<Job> changed = new LinkedHashSet<>();
--- a/src/main/java/dev/windbend/shard/ShardLog.java
+++ b/src/main/java/dev/windbend/shard/ShardLog.java
@@ -81,8 +81,8 @@
     double waiting = 0;
     double placed = 0;
     for (Job j : board.all()) {
-      waiting += j.waitingCount() * j.spec.cores();
-      placed += j.placements().size() * j.spec.cores();
+      waiting += j.waitingCount() * j.spec().cores();
+      placed += j.placements().size() * j.spec().cores();
     }
     int up = 0;
     int booting = 0;
--- a/src/main/java/dev/windbend/shard/ShardOwner.java
+++ b/src/main/java/dev/windbend/shard/ShardOwner.java
@@ -286,7 +286,7 @@
       return false;
     }
     for (Placement p : List.copyOf(job.placements())) {
-      Machine m = fleet.find(p.machine);
+      Machine m = fleet.find(p.machineName());
       if (m != null) {
         m.add(p);
       } else {
@@ -294,7 +294,7 @@
         job.gone(p);
       }
     }
-    if (job.cancelled || cancellations.ahead(job.spec.uid())) {
+    if (job.cancelled() || cancellations.ahead(job.spec().uid())) {
       job.cancel();
     }
     board.touched(job);
@@ -321,9 +321,9 @@
     }
     JobRecord.Live r = Json.read(now.value(), JobRecord.Live.class);
     if (r != null) {
-      boolean before = job.cancelled;
+      boolean before = job.cancelled();
       job.changed(r, now.version());
-      if (job.cancelled && !before) {
+      if (job.cancelled() && !before) {
         cancelled(job);
       }
     }
@@ -332,14 +332,14 @@
   /** Confirmed to its user, though the mirror may not show it yet. */
   public void cancel(String uid) {
     Job job = ready() ? board.find(uid) : null;
-    if (job != null && !job.cancelled) {
+    if (job != null && !job.cancelled()) {
       job.cancel();
       cancelled(job);
     }
   }
 
   private void cancelled(Job job) {
-    LOG.info("{} is cancelled", job.spec.uid());
+    LOG.info("{} is cancelled", job.spec().uid());
     reports.cancelled(job);
     board.touched(job);
     rounds.want();
@@ -348,10 +348,10 @@
   private void forget(Job job) {
     board.forget(job);
     if (job.doneCount() == 0) {
-      fleet.machines().forEach(m -> m.failedJobs.remove(job.spec.uid()));
+      fleet.machines().forEach(m -> m.failedJobs.remove(job.spec().uid()));
     }
     for (Placement p : job.placements()) {
-      Machine m = fleet.find(p.machine);
+      Machine m = fleet.find(p.machineName());
       if (m != null) {
         m.remove(p, loop.nowMs());
       }
@@ -406,7 +406,7 @@
   @Override
   public boolean cancelled(String uid) {
     Job job = board.find(uid);
-    return (job != null && job.cancelled) || cancellations.ahead(uid);
+    return (job != null && job.cancelled()) || cancellations.ahead(uid);
   }
 
   @Override
@@ -416,8 +416,8 @@
 
   @Override
   public void completed(Placement p, long nowMs) {
-    if (p.runningMs >= 0) {
-      deadlines.finished(p.job, (nowMs - p.runningMs) / 1000.0);
+    if (p.runningMs() >= 0) {
+      deadlines.finished(p.job(), (nowMs - p.runningMs()) / 1000.0);
     }
   }
 
@@ -444,8 +444,8 @@
     }
     for (Placement p : List.copyOf(m.tasks.values())) {
       m.remove(p, now);
-      p.job.gone(p);
-      board.touched(p.job);
+      p.job().gone(p);
+      board.touched(p.job());
     }
     rounds.want();
   }
@@ -500,7 +500,7 @@
       }
       watch.look(now, sureSinceMs, zones::evacuates);
       for (Job job : board.all()) {
-        if (job.cancelled && job.over()) {
+        if (job.cancelled() && job.over()) {
           board.touched(job);
         }
       }
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -88,7 +88,7 @@
       roomOf.put(m.name, rooms.size());
       List<Placement> on = new ArrayList<>(m.tasks.values());
       // What is stopped without grace is gone before the next start on its machine.
-      on.removeIf(p -> p.stopGraceS == 0);
+      on.removeIf(p -> p.stopGraceS() == 0);
       running.add(on);
       rooms.add(room(m, on, now));
     }
@@ -124,7 +124,8 @@
     double lately = 1000 * Math.max(LATELY_S, bootS);
     double cores = 0;
     for (Job j : board.all()) {
-      cores += loop.wallMs() - j.submittedWallMs <= lately ? j.spec.tasks() * j.spec.cores() : 0;
+      cores +=
+          loop.wallMs() - j.submittedWallMs() <= lately ? j.spec().tasks() * j.spec().cores() : 0;
     }
     return cores;
   }
@@ -132,16 +133,16 @@
   /** Jobs that fit into their team's guarantee together with the team's earlier ones. */
   private Set<Job> guaranteed() {
     List<Job> jobs = new ArrayList<>(board.all());
-    jobs.sort(Comparator.comparingLong(j -> j.submittedWallMs));
+    jobs.sort(Comparator.comparingLong(j -> j.submittedWallMs()));
     double[] cores = new double[facts.teams().size()];
     double[] cards = new double[cores.length];
     Set<Job> all = new HashSet<>();
     for (Job j : jobs) {
       int open = j.waitingCount() + j.placements().size();
-      cores[j.team] += open * j.spec.cores();
-      cards[j.team] += open * j.spec.cards();
-      Facts.TeamFact t = facts.teams().get(j.team);
-      if (cores[j.team] <= t.cores() + 1e-6 && cards[j.team] <= t.cards() + 1e-6) {
+      cores[j.team()] += open * j.spec().cores();
+      cards[j.team()] += open * j.spec().cards();
+      Facts.TeamFact t = facts.teams().get(j.team());
+      if (cores[j.team()] <= t.cores() + 1e-6 && cards[j.team()] <= t.cards() + 1e-6) {
         all.add(j);
       }
     }
@@ -153,11 +154,11 @@
     Snapshot.Size free = new Snapshot.Size(t.cores(), t.cards(), t.ram());
     List<Snapshot.Running> running = new ArrayList<>();
     for (Placement p : on) {
-      Snapshot.Size size = size(p.job);
+      Snapshot.Size size = size(p.job());
       free = free.minus(size);
       running.add(
           new Snapshot.Running(
-              expectedEnd(p, t, now), size, p.job.spec.urgency().rank(), lostMs(p, now)));
+              expectedEnd(p, t, now), size, p.job().spec().urgency().rank(), lostMs(p, now)));
     }
     boolean up = m.usable(now);
     long sinceS = (now - m.rentedMs) / 1000;
@@ -190,11 +191,11 @@
 
   /** What stopping it at once would lose; -1: it is being stopped, or its state is not known. */
   private static long lostMs(Placement p, long now) {
-    if (p.stopping() || (p.inherited && !p.seen)) {
+    if (p.stopping() || (p.inherited() && !p.seen())) {
       return -1;
     }
-    long ran = p.runningMs < 0 ? 0 : now - p.runningMs;
-    long step = (long) (1000 * p.job.spec.checkpointS());
+    long ran = p.runningMs() < 0 ? 0 : now - p.runningMs();
+    long step = (long) (1000 * p.job().spec().checkpointS());
     return step > 0 ? ran % step : ran;
   }
 
@@ -219,32 +220,32 @@
   }
 
   private static Snapshot.Size size(Job j) {
-    return new Snapshot.Size(j.spec.cores(), j.spec.cards(), j.spec.ram());
+    return new Snapshot.Size(j.spec().cores(), j.spec().cards(), j.spec().ram());
   }
 
   private long expectedEnd(Placement p, MachineType t, long now) {
     if (p.stopping()) {
-      return now + (long) (1000 * p.stopGraceS) + 1_000;
+      return now + (long) (1000 * p.stopGraceS()) + 1_000;
     }
-    double e = deadlines.estimateS(p.job);
-    if (p.runningMs < 0) {
-      return p.placedMs
-          + (long) (1000 * (e + p.job.spec.imageGb() / Math.max(0.01, t.fetchGbPerS())));
+    double e = deadlines.estimateS(p.job());
+    if (p.runningMs() < 0) {
+      return p.placedMs()
+          + (long) (1000 * (e + p.job().spec().imageGb() / Math.max(0.01, t.fetchGbPerS())));
     }
-    return p.runningMs + (long) (1000 * Estimates.corrected(e, (now - p.runningMs) / 1000.0));
+    return p.runningMs() + (long) (1000 * Estimates.corrected(e, (now - p.runningMs()) / 1000.0));
   }
 
   private Snapshot.Work work(
       Job j, long now, Object2IntOpenHashMap<String> roomOf, Set<Job> guaranteed) {
     boolean[] types = null;
-    if (j.spec.types() != null) {
+    if (j.spec().types() != null) {
       types = new boolean[catalog.all().size()];
       for (MachineType t : catalog.all()) {
-        types[t.index()] = j.spec.types().contains(t.name());
+        types[t.index()] = j.spec().types().contains(t.name());
       }
     }
     IntOpenHashSet avoid = new IntOpenHashSet();
-    for (String m : j.failedOn) {
+    for (String m : j.failedMachines()) {
       if (roomOf.containsKey(m)) {
         avoid.add(roomOf.getInt(m));
       }
@@ -253,21 +254,21 @@
     double estimateS = deadlines.estimateS(j);
     double startS =
         Math.max(
-            facts.aims().waitS().getOrDefault(j.spec.kind(), 0.0),
+            facts.aims().waitS().getOrDefault(j.spec().kind(), 0.0),
             guaranteed.contains(j) ? facts.aims().guaranteeS() : 0);
     Deadlines due = deadlines.next(j, age);
     return new Snapshot.Work(
-        j.team,
-        j.spec.urgency().rank(),
+        j.team(),
+        j.spec().urgency().rank(),
         size(j),
         types,
-        j.spec.zone() == null ? -1 : catalog.zones.index(j.spec.zone()),
-        j.spec.together(),
-        j.spec.spread(),
-        j.spec.spot(),
-        images.index(j.spec.image()),
-        j.spec.imageGb(),
-        j.spec.tasks(),
+        j.spec().zone() == null ? -1 : catalog.zones.index(j.spec().zone()),
+        j.spec().together(),
+        j.spec().spread(),
+        j.spec().spot(),
+        images.index(j.spec().image()),
+        j.spec().imageGb(),
+        j.spec().tasks(),
         j.waitingCount(),
         overdueJobs.placedPerZone(j),
         (long) (1000 * estimateS),
@@ -279,7 +280,7 @@
         j.begun(),
         OverdueJobs.overdue(j, now),
         zones.displaced(j),
-        j.notBeforeMs,
+        j.notBeforeMs(),
         avoid);
   }
 }
--- a/src/main/java/dev/windbend/shard/TaskFailures.java
+++ b/src/main/java/dev/windbend/shard/TaskFailures.java
@@ -37,19 +37,19 @@
   }
 
   void failed(Placement p, Machine m) {
-    Job job = p.job;
+    Job job = p.job();
     LOG.info("{} failed on {}", p.taskName(), m.name);
-    job.failedOn.add(m.name);
-    m.failedJobs.add(job.spec.uid());
+    job.recordFailedMachine(m.name);
+    m.failedJobs.add(job.spec().uid());
     if (m.failedJobs.stream().filter(this::runsElsewhere).count() >= BAD_JOBS) {
       quarantine(m);
     }
-    if (job.failedOn.size() >= BAD_MACHINES) {
+    if (job.failedMachineCount() >= BAD_MACHINES) {
       // It fails everywhere: the job's fault, most likely. Machines are blamed no more for it.
-      job.notBeforeMs =
-          loop.nowMs() + (BACK_OFF_MS << Math.min(job.failures++, BACK_OFF_DOUBLINGS));
-      fleet.machines().forEach(x -> x.failedJobs.remove(job.spec.uid()));
-      job.failedOn.clear();
+      job.backOffUntil(
+          loop.nowMs() + (BACK_OFF_MS << Math.min(job.backOffs(), BACK_OFF_DOUBLINGS)));
+      fleet.machines().forEach(x -> x.failedJobs.remove(job.spec().uid()));
+      job.clearFailedMachines();
     }
   }
 
@@ -66,7 +66,7 @@
     if (!m.draining) {
       LOG.warn("{} fails tasks of several jobs: quarantined", m.name);
       m.draining = true;
-      m.tasks.values().forEach(p -> p.stop(p.job.spec.saveS() + 1));
+      m.tasks.values().forEach(p -> p.stop(p.job().spec().saveS() + 1));
       wantRound.run();
     }
   }
--- a/src/main/java/dev/windbend/shard/TeamUsage.java
+++ b/src/main/java/dev/windbend/shard/TeamUsage.java
@@ -9,17 +9,17 @@
   private TeamUsage() {}
 
   static double[] cores(Collection<Job> jobs, int teams) {
-    return sum(jobs, teams, job -> job.spec.cores());
+    return sum(jobs, teams, job -> job.spec().cores());
   }
 
   static double[] cards(Collection<Job> jobs, int teams) {
-    return sum(jobs, teams, job -> job.spec.cards());
+    return sum(jobs, teams, job -> job.spec().cards());
   }
 
   private static double[] sum(Collection<Job> jobs, int teams, ToDoubleFunction<Job> ofOneTask) {
     double[] used = new double[teams];
     for (Job job : jobs) {
-      used[job.team] += job.placements().size() * ofOneTask.applyAsDouble(job);
+      used[job.team()] += job.placements().size() * ofOneTask.applyAsDouble(job);
     }
     return used;
   }
--- a/src/main/java/dev/windbend/worker/ReportHandler.java
+++ b/src/main/java/dev/windbend/worker/ReportHandler.java
@@ -116,7 +116,7 @@
     }
     if (m.draining) {
       // What has not started there never will: without this it would stay placed for ever.
-      m.tasks.values().stream().filter(p -> !p.seen && !p.inherited).forEach(p -> p.stop(0));
+      m.tasks.values().stream().filter(p -> !p.seen() && !p.inherited()).forEach(p -> p.stop(0));
     }
     boolean free = m.tasks.isEmpty();
     int before = m.tasks.size();
@@ -193,7 +193,7 @@
 
   private static boolean startPending(Machine m) {
     for (Placement p : m.tasks.values()) {
-      if (!p.seen && p.job.startable(p)) {
+      if (!p.seen() && p.job().startable(p)) {
         return true;
       }
     }
@@ -203,8 +203,8 @@
   /** Tasks that can save do so in time; the others may still finish before the machine goes. */
   private void drain(Machine m, long now) {
     for (Placement p : m.tasks.values()) {
-      double saveS = p.job.spec.saveS();
-      if (p.job.spec.checkpointS() > 0
+      double saveS = p.job().spec().saveS();
+      if (p.job().spec().checkpointS() > 0
           && now + RECALL_SLACK_MS + saveS * 1000 + 2 * reportMs >= m.recallMs) {
         p.stop(saveS + 1);
       }
@@ -213,7 +213,7 @@
 
   private static boolean writePending(Machine m) {
     for (Placement p : m.tasks.values()) {
-      if (!p.inherited && !p.seen && !p.stopping() && !p.job.startable(p)) {
+      if (!p.inherited() && !p.seen() && !p.stopping() && !p.job().startable(p)) {
         return true;
       }
     }
@@ -242,11 +242,11 @@
   public void cancelled(Job job) {
     Map<Machine, List<WorkerMessages.Order>> stops = new LinkedHashMap<>();
     for (Placement p : job.placements()) {
-      Machine m = fleet.find(p.machine);
-      if (m != null && (p.seen || p.inherited || p.sentTally >= 0)) {
+      Machine m = fleet.find(p.machineName());
+      if (m != null && (p.seen() || p.inherited() || p.sentSequence() >= 0)) {
         stops
             .computeIfAbsent(m, k -> new ArrayList<>())
-            .add(WorkerMessages.Order.stop(p.taskName(), p.attempt, 0));
+            .add(WorkerMessages.Order.stop(p.taskName(), p.attempt(), 0));
       }
     }
     stops.forEach(
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -48,23 +48,22 @@
     Set<Placement> present = new HashSet<>();
     for (TaskState t : r.tasks()) {
       Placement p = m.tasks.get(t.task());
-      if (p != null && p.attempt == t.attempt()) {
+      if (p != null && p.attempt() == t.attempt()) {
         present.add(p);
-        p.seen = true;
+        p.recordSeen();
         if (t.exited()) {
           exited(m, p, t, nowMs);
-        } else if (t.running() && p.runningMs < 0) {
-          p.runningMs = nowMs;
-          m.images.add(book.image(p.job.spec.image()));
+        } else if (t.running() && p.runningMs() < 0) {
+          p.recordRunning(nowMs);
+          m.images.add(book.image(p.job().spec().image()));
         }
-        p.flushing = t.flushing();
       } else if (t.exited() && "done".equals(t.cause())) {
         foundDone(t, nowMs);
       }
     }
     for (Placement p : List.copyOf(m.tasks.values())) {
       if (!present.contains(p) && provedGone(p, r)) {
-        LOG.info("{} attempt {} is gone from {}", p.taskName(), p.attempt, m.name);
+        LOG.info("{} attempt {} is gone from {}", p.taskName(), p.attempt(), m.name);
         leave(m, p, nowMs);
       }
     }
@@ -77,19 +76,23 @@
    * the answer that carried it was used or dropped.
    */
   private static boolean provedGone(Placement p, Report r) {
-    return p.seen
-        || p.inherited
+    return p.seen()
+        || p.inherited()
         || (p.stopping()
-            && (p.sentShift < r.shift() || (p.sentShift == r.shift() && p.sentTally < r.tally())));
+            && (p.sentIncarnation() < r.shift()
+                || (p.sentIncarnation() == r.shift() && p.sentSequence() < r.tally())));
   }
 
   /** A start went out in the answer to an earlier report, and this one does not show it. */
   boolean startMissing(Machine m, Report r) {
     for (Placement p : m.tasks.values()) {
-      if (!p.seen && !p.stopping() && p.sentShift == r.shift() && p.sentTally < r.tally()) {
+      if (!p.seen()
+          && !p.stopping()
+          && p.sentIncarnation() == r.shift()
+          && p.sentSequence() < r.tally()) {
         boolean shown = false;
         for (TaskState t : r.tasks()) {
-          shown |= t.attempt() == p.attempt && t.task().equals(p.taskName());
+          shown |= t.attempt() == p.attempt() && t.task().equals(p.taskName());
         }
         if (!shown) {
           return true;
@@ -101,22 +104,22 @@
 
   private void leave(Machine m, Placement p, long nowMs) {
     m.remove(p, nowMs);
-    p.job.gone(p);
-    book.touched(p.job);
+    p.job().gone(p);
+    book.touched(p.job());
   }
 
   private void exited(Machine m, Placement p, TaskState t, long nowMs) {
     String cause = t.cause() == null ? "" : t.cause();
-    LOG.debug("{} attempt {} exited on {}: {}", p.taskName(), p.attempt, m.name, cause);
+    LOG.debug("{} attempt {} exited on {}: {}", p.taskName(), p.attempt(), m.name, cause);
     switch (cause) {
       case "done" -> {
-        p.job.complete(p.task, nowMs);
+        p.job().complete(p.task(), nowMs);
         book.completed(p, nowMs);
         m.failedJobs.clear();
       }
       case "error" -> book.failed(p, m);
       case "no_room", "in_use" -> m.fullUntilMs = nowMs + FULL_MS;
-      case "unknown" -> p.job.notBeforeMs = nowMs + UNKNOWN_MS;
+      case "unknown" -> p.job().deferUntil(nowMs + UNKNOWN_MS);
       default -> {
         // stopped as asked: it goes back to wait
       }
@@ -128,7 +131,7 @@
   private void foundDone(TaskState t, long nowMs) {
     Job job = job(t.task());
     int task = index(t.task());
-    if (job == null || task < 0 || task >= job.spec.tasks() || job.isDone(task)) {
+    if (job == null || task < 0 || task >= job.spec().tasks() || job.isDone(task)) {
       return;
     }
     job.complete(task, nowMs);
@@ -146,7 +149,7 @@
     Set<String> reported = new HashSet<>();
     for (TaskState t : r.tasks()) {
       Placement p = m.tasks.get(t.task());
-      boolean wanted = p != null && p.attempt == t.attempt();
+      boolean wanted = p != null && p.attempt() == t.attempt();
       if (wanted) {
         reported.add(t.task());
       }
@@ -156,16 +159,15 @@
         }
       } else if (!wanted) {
         stops.add(Order.stop(t.task(), t.attempt(), 0));
-      } else if (p.stopping() && (!t.flushing() || p.stopGraceS == 0)) {
-        stops.add(Order.stop(t.task(), t.attempt(), p.stopGraceS));
+      } else if (p.stopping() && (!t.flushing() || p.stopGraceS() == 0)) {
+        stops.add(Order.stop(t.task(), t.attempt(), p.stopGraceS()));
       }
     }
     if (mayStart) {
       for (Placement p : m.tasks.values()) {
-        if (!reported.contains(p.taskName()) && !p.seen && p.job.startable(p)) {
-          p.sentShift = r.shift();
-          p.sentTally = r.tally();
-          rest.add(Order.start(p.taskName(), p.attempt));
+        if (!reported.contains(p.taskName()) && !p.seen() && p.job().startable(p)) {
+          p.recordStartSent(r.shift(), r.tally());
+          rest.add(Order.start(p.taskName(), p.attempt()));
         }
       }
     }
@@ -196,7 +198,7 @@
     }
     Job job = job(t.task());
     int task = index(t.task());
-    return job == null || task < 0 || task >= job.spec.tasks() || job.doneRecorded(task);
+    return job == null || task < 0 || task >= job.spec().tasks() || job.doneRecorded(task);
   }
 
   private Job job(String taskName) {
--- a/src/main/java/dev/windbend/zone/Displacements.java
+++ b/src/main/java/dev/windbend/zone/Displacements.java
@@ -28,7 +28,7 @@
 
   /** A machine of the zone is proved gone, with a task of this job. */
   void add(Job job, int zone, long lostMs) {
-    displaced.putIfAbsent(job.spec.uid(), new Displaced(job, zone, lostMs));
+    displaced.putIfAbsent(job.spec().uid(), new Displaced(job, zone, lostMs));
   }
 
   /** As a former owner left it. */
@@ -40,7 +40,7 @@
   }
 
   boolean contains(Job job) {
-    return displaced.containsKey(job.spec.uid());
+    return displaced.containsKey(job.spec().uid());
   }
 
   int count(int zone) {
@@ -52,11 +52,11 @@
     Iterator<Displaced> all = displaced.values().iterator();
     while (all.hasNext()) {
       Displaced d = all.next();
-      boolean known = jobs.find(d.job.spec.uid()) == d.job;
-      if (!known || d.job.cancelled || d.job.over()) {
+      boolean known = jobs.find(d.job.spec().uid()) == d.job;
+      if (!known || d.job.cancelled() || d.job.over()) {
         all.remove();
       } else if (runsAgain(d.job)) {
-        metrics.runsAgain(d.job.spec.urgency(), nowMs - d.lostMs);
+        metrics.runsAgain(d.job.spec().urgency(), nowMs - d.lostMs);
         all.remove();
       }
     }
@@ -68,7 +68,7 @@
   }
 
   private static boolean confirmedRunning(Placement placement) {
-    return placement.seen;
+    return placement.seen();
   }
 
   /** The most urgent of a zone's displaced jobs, for the record. */
@@ -79,7 +79,7 @@
         all.add(d);
       }
     }
-    all.sort(Comparator.comparingInt(d -> d.job.spec.urgency().rank()));
-    return all.stream().limit(MOST_RECORDED).map(d -> d.job.spec.uid()).toList();
+    all.sort(Comparator.comparingInt(d -> d.job.spec().urgency().rank()));
+    return all.stream().limit(MOST_RECORDED).map(d -> d.job.spec().uid()).toList();
   }
 }
--- a/src/main/java/dev/windbend/zone/EvacuationTasks.java
+++ b/src/main/java/dev/windbend/zone/EvacuationTasks.java
@@ -25,26 +25,26 @@
   }
 
   private EvacuationPlan.Task task(Placement p, String zone, long nowMs) {
-    Job job = p.job;
+    Job job = p.job();
     long estimateMs = times.estimateMs(job);
     long ranMs = ranMs(p, estimateMs, nowMs);
-    long stepMs = (long) (MS * job.spec.checkpointS());
+    long stepMs = (long) (MS * job.spec().checkpointS());
     long unsavedMs = stepMs > 0 ? ranMs % stepMs : ranMs;
     long savedMs = ranMs - unsavedMs;
     return new EvacuationPlan.Task(
-        job.spec.urgency().rank(),
+        job.spec().urgency().rank(),
         times.dueMs(job, nowMs),
         Math.max(0, estimateMs - savedMs),
         unsavedMs,
-        job.spec.cores(),
-        zone.equals(job.spec.zone()));
+        job.spec().cores(),
+        zone.equals(job.spec().zone()));
   }
 
   /** A task taken over from a former owner and not heard of since is half way, for all we know. */
   private static long ranMs(Placement p, long estimateMs, long nowMs) {
-    if (p.runningMs >= 0) {
-      return nowMs - p.runningMs;
+    if (p.runningMs() >= 0) {
+      return nowMs - p.runningMs();
     }
-    return p.inherited ? estimateMs / 2 : 0;
+    return p.inherited() ? estimateMs / 2 : 0;
   }
 }
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -296,7 +296,7 @@
     Zone zone = zones.get(m.zone);
     if (zone != null && !zone.calm()) {
       for (Placement p : m.tasks.values()) {
-        displacements.add(p.job, zone.index, zone.lostMs());
+        displacements.add(p.job(), zone.index, zone.lostMs());
       }
     }
   }
--- a/src/test/java/dev/windbend/shard/GradualStartTest.java
+++ b/src/test/java/dev/windbend/shard/GradualStartTest.java
@@ -41,7 +41,7 @@
       waiting.add(TestJobs.job(i, i < 50 ? Urgency.STANDARD : Urgency.URGENT));
     }
     List<Integer> sizes = new ArrayList<>();
-    assertThat(start.next(waiting)).allMatch(j -> j.spec.urgency() == Urgency.URGENT);
+    assertThat(start.next(waiting)).allMatch(j -> j.spec().urgency() == Urgency.URGENT);
     for (int round = 0; round < 4; round++) {
       sizes.add(start.next(waiting).size());
     }
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -167,8 +167,8 @@
       if (m.zone == zone) {
         Job job = TestJobs.job(number, URGENCIES.get(number++ % URGENCIES.size()));
         var placement = job.place(0, m.name, loop.nowMs, 7, 1);
-        placement.seen = true;
-        placement.runningMs = loop.nowMs - ranMs;
+        placement.recordSeen();
+        placement.recordRunning(loop.nowMs - ranMs);
         m.add(placement);
       }
     }
