--- a/src/main/java/dev/windbend/machine/Fleet.java
+++ b/src/main/java/dev/windbend/machine/Fleet.java
@@ -113,7 +113,7 @@
         }
         Machine m = add(n, h, loop.nowMs());
         m.listed();
-        m.inherited = inherited;
+        m.recordInherited(inherited);
       }
     }
     if (h.machines.size() < record.machines().size()) {
@@ -213,16 +213,18 @@
     Map<String, List<Machine>> kinds = new LinkedHashMap<>();
     for (Machine m : given) {
       m.lent();
-      kinds.computeIfAbsent(kind(m.type.index(), m.zone, m.spot), k -> new ArrayList<>()).add(m);
+      kinds
+          .computeIfAbsent(kind(m.type().index(), m.zone(), m.spot()), k -> new ArrayList<>())
+          .add(m);
     }
     for (List<Machine> group : kinds.values()) {
       for (int i = 0; i < group.size(); i += HIRE_BATCH) {
         List<Machine> some = List.copyOf(group.subList(i, Math.min(group.size(), i + HIRE_BATCH)));
-        List<String> names = some.stream().map(m -> m.name).toList();
+        List<String> names = some.stream().map(m -> m.name()).toList();
         LOG.info("lending {} to shard {}", names, to);
         Machine m = some.get(0);
         grant(
-            new RentalRecord(m.type.name(), catalog.zones.name(m.zone), m.spot, 0, names, 0L),
+            new RentalRecord(m.type().name(), catalog.zones.name(m.zone()), m.spot(), 0, names, 0L),
             to,
             () -> some.forEach(this::leave));
       }
@@ -244,8 +246,8 @@
   }
 
   private void leave(Machine m) {
-    if (machines.remove(m.name, m)) {
-      left.put(m.name, m.hire.fence);
+    if (machines.remove(m.name(), m)) {
+      left.put(m.name(), m.hire.fence);
     }
     m.hire.without(m, loop.nowMs());
     host.touch(m.hire);
@@ -259,9 +261,9 @@
   public void giveBack(List<Machine> some, String why) {
     boolean any = false;
     for (Machine m : some) {
-      if (!m.returning && !m.gone) {
-        LOG.info("returning {}: {}", m.name, why);
-        m.returning = true;
+      if (!m.returning() && !m.gone()) {
+        LOG.info("returning {}: {}", m.name(), why);
+        m.beginReturn();
         leaving.add(m);
         any = true;
       }
@@ -296,7 +298,7 @@
       List<Machine> batch = leaving.stream().limit(RETURN_BATCH).toList();
       givingBack = true;
       cloud.giveBack(
-          batch.stream().map(m -> m.name).toList(),
+          batch.stream().map(m -> m.name()).toList(),
           () -> !closed && host.mayAct(),
           ok -> {
             if (closed) {
@@ -320,7 +322,7 @@
 
   private void returned(Machine m) {
     leaving.remove(m);
-    m.gone = true;
+    m.recordGone();
     leave(m);
     host.gone(m);
   }
@@ -400,7 +402,7 @@
           Set<String> there = new HashSet<>();
           listed.forEach(l -> there.add(l.name()));
           for (Machine m : List.copyOf(machines.values())) {
-            if (m.inherited && m.seenMs < 0 && !there.contains(m.name)) {
+            if (m.inherited() && m.lastHeartbeatMs() < 0 && !there.contains(m.name())) {
               giveBack(m, "gone since before the takeover");
             }
           }
--- a/src/main/java/dev/windbend/machine/Machine.java
+++ b/src/main/java/dev/windbend/machine/Machine.java
@@ -6,106 +6,328 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-
-/** A machine of the shard, as its owner knows it. */
+import java.util.function.Predicate;
+
+/**
+ * A machine of the shard, as its owner knows it. Its state is told by these, which do not exclude
+ * each other:
+ *
+ * <table>
+ *   <caption>States of a machine</caption>
+ *   <tr><th>State</th><th>Told by</th><th>Ends with</th></tr>
+ *   <tr><td>booting</td><td>{@link #lastHeartbeatMs} is -1</td><td>its first heartbeat</td></tr>
+ *   <tr><td>not recorded</td><td>not {@link #recorded}</td>
+ *     <td>the write of its record; never, once another shard gets it</td></tr>
+ *   <tr><td>unconfirmed</td><td>not {@link #confirmedUnderToken}</td>
+ *     <td>a heartbeat under our token</td></tr>
+ *   <tr><td>missing responses</td><td>{@link #missedResponses} above 0</td>
+ *     <td>a heartbeat without a missed response</td></tr>
+ *   <tr><td>refusing starts</td><td>{@link #startsRefusedUntilMs} lies ahead</td>
+ *     <td>that time</td></tr>
+ *   <tr><td>zone closed</td><td>{@link #zoneClosed}</td><td>its zone being open for it</td></tr>
+ *   <tr><td>cordoned</td><td>{@link #cordoned}</td><td>never</td></tr>
+ *   <tr><td>recalled</td><td>{@link #recallMs} not -1; also cordoned</td><td>never</td></tr>
+ *   <tr><td>promised</td><td>{@link #promisedTo} not -1; also cordoned</td><td>never</td></tr>
+ *   <tr><td>evicting</td><td>{@link #evictByMs} not -1; also promised</td><td>never</td></tr>
+ *   <tr><td>returning</td><td>{@link #returning}</td><td>never</td></tr>
+ *   <tr><td>gone</td><td>{@link #gone}; also returning</td><td>never</td></tr>
+ * </table>
+ *
+ * <p>It gets new tasks in none of them. {@link #usable} covers all but missed responses, which the
+ * scheduling loop checks itself.
+ */
 public final class Machine {
   private static final double ROUNDING = 1e-6;
 
-  public final String name;
-  public final MachineType type;
-  public final int zone;
-  public final boolean spot;
+  private final String name;
+  private final MachineType type;
+  private final int zone;
+  private final boolean spot;
+  private final long requestedMs;
+  private long incarnation = -1;
+  private long heartbeatSequence = -1;
+  private long lastHeartbeatMs = -1;
+  private String address;
+  private boolean confirmedUnderToken;
+  private long recallMs = -1;
+  private boolean cordoned;
+  private boolean zoneClosed;
+  private boolean returning;
+  private boolean gone;
+  private final IntOpenHashSet images = new IntOpenHashSet();
+  private final Map<String, Placement> tasks = new LinkedHashMap<>();
+  private final Set<String> failedJobs = new HashSet<>();
+  private long idleSinceMs;
+  private long startsRefusedUntilMs;
+  private boolean inherited;
+  private boolean awaitingResponse;
+  private boolean answeredUnderToken;
+  private int missedResponses;
+  private int promisedTo = -1;
+  private long evictByMs = -1;
+
+  /** The record that names it. */
+  final Rental hire;
+
+  private boolean listing;
+
+  private boolean listed;
+
+  /** On its way to another shard. */
+  private boolean lent;
+
+  private boolean used;
+
+  /** The least that was free in this window of time, and in the one before. */
+  private double leastFreeCores;
+
+  private double leastFreeCoresBefore;
+
+  Machine(String name, Rental hire, long requestedMs, long nowMs) {
+    this.name = name;
+    this.hire = hire;
+    this.type = hire.type;
+    this.zone = hire.zone;
+    this.spot = hire.asked.spot();
+    this.requestedMs = requestedMs;
+    this.idleSinceMs = nowMs;
+    this.leastFreeCores = type.cores();
+    this.leastFreeCoresBefore = type.cores();
+  }
+
+  /** Name that the cloud gave it. */
+  public String name() {
+    return name;
+  }
+
+  /** Its machine type, at the prices of when it was asked for or taken over. */
+  public MachineType type() {
+    return type;
+  }
 
-  /** When it was asked for (steady clock); for inherited ones, when it was taken over. */
-  public final long rentedMs;
+  /** Dense index of its zone. */
+  public int zone() {
+    return zone;
+  }
 
-  /** Newest report by (shift, tally), and when it came. */
-  public long shift = -1;
+  /** Whether it is a spot instance. */
+  public boolean spot() {
+    return spot;
+  }
 
-  public long tally = -1;
-  public long seenMs = -1;
+  /** When it was asked for; for inherited ones, when it was taken over (steady clock, ms). */
+  public long requestedMs() {
+    return requestedMs;
+  }
 
-  /** Where it takes direct commands, as its newest report says; null: not known. */
-  public String address;
+  /** Incarnation of its agent in the newest heartbeat; -1: none yet. */
+  public long incarnation() {
+    return incarnation;
+  }
 
-  /** Its newest report carried our token: what it lists is all there is. */
-  public boolean confirmed;
+  /** Sequence number of the newest heartbeat within its incarnation; -1: none yet. */
+  public long heartbeatSequence() {
+    return heartbeatSequence;
+  }
 
-  /** When the cloud takes it away (steady clock), -1: no notice. */
-  public long recallMs = -1;
+  /** When the newest heartbeat came (steady clock, ms); -1: none yet. */
+  public long lastHeartbeatMs() {
+    return lastHeartbeatMs;
+  }
 
-  /** No new tasks. */
-  public boolean draining;
+  /** Where it takes direct commands, as its newest heartbeat says; null: not known. */
+  public String address() {
+    return address;
+  }
 
-  /** Its zone is unreachable, or returning and not yet open for it: no new work. */
-  public boolean zoneClosed;
+  /** Its newest heartbeat carried our token: what it lists is all there is. */
+  public boolean confirmedUnderToken() {
+    return confirmedUnderToken;
+  }
+
+  /**
+   * Takes in what its newest heartbeat says of the agent.
+   *
+   * @param agentAddress where it takes direct commands; null: not known
+   * @param underOurToken whether it carried the token that this shard uses for the machine
+   * @param nowMs steady clock
+   */
+  public void recordHeartbeat(
+      long agentIncarnation,
+      long sequence,
+      String agentAddress,
+      boolean underOurToken,
+      long nowMs) {
+    incarnation = agentIncarnation;
+    heartbeatSequence = sequence;
+    lastHeartbeatMs = nowMs;
+    address = agentAddress;
+    confirmedUnderToken = underOurToken;
+  }
+
+  /** When the cloud takes it away (steady clock, ms); -1: no notice. */
+  public long recallMs() {
+    return recallMs;
+  }
+
+  /** The cloud gives notice that it takes it away at this time (steady clock, ms). */
+  public void recordRecall(long atMs) {
+    recallMs = atMs;
+    cordoned = true;
+  }
+
+  /** Gets no new tasks, and goes once it is empty. */
+  public boolean cordoned() {
+    return cordoned;
+  }
+
+  /** From now on it gets no new tasks, and goes once it is empty. */
+  public void cordon() {
+    cordoned = true;
+  }
+
+  /** Its zone is unreachable, or returning and not yet open for it: no new tasks. */
+  public boolean zoneClosed() {
+    return zoneClosed;
+  }
+
+  /** Whether its zone is open for new tasks on it. */
+  public void setZoneOpen(boolean open) {
+    zoneClosed = !open;
+  }
 
   /** Being given back until the cloud confirms. */
-  public boolean returning;
+  public boolean returning() {
+    return returning;
+  }
 
-  public boolean gone;
+  /** From now on it is being given back to the cloud. */
+  void beginReturn() {
+    returning = true;
+  }
 
-  /** Images seen in use on it, by dense index. */
-  public final IntOpenHashSet images = new IntOpenHashSet();
+  /** The cloud has confirmed that it is given back. */
+  public boolean gone() {
+    return gone;
+  }
 
-  /** Tasks counted as on it, by name. */
-  public final Map<String, Placement> tasks = new LinkedHashMap<>();
+  /** The cloud confirms that it is given back. */
+  void recordGone() {
+    gone = true;
+  }
 
-  /** Jobs that failed on it with no success since. */
-  public final Set<String> failedJobs = new HashSet<>();
+  /** Images seen in use on it, by dense index. A view: only {@link #recordImage} changes it. */
+  public IntOpenHashSet images() {
+    return images;
+  }
 
-  /** Idle since this time, -1: busy. */
-  public long idleSinceMs;
+  /** An image, by dense index, is seen in use on it. */
+  public void recordImage(int index) {
+    images.add(index);
+  }
 
-  /** Start refused for lack of room: nothing new before this time. */
-  public long fullUntilMs;
+  /**
+   * Tasks counted as on it, by name, in the order they were placed. A view: only {@link #add} and
+   * {@link #remove} change it.
+   */
+  public Map<String, Placement> tasks() {
+    return tasks;
+  }
 
-  /** Taken over from a former owner. */
-  boolean inherited;
+  /** How many of the jobs that failed on it, with no success since, are such. */
+  public long countFailedJobs(Predicate<String> suchUid) {
+    return failedJobs.stream().filter(suchUid).count();
+  }
 
-  /** A report of it waits for its answer, so it can be told something at once. */
-  public boolean listening;
+  /** A task of this job failed on it. */
+  public void recordFailedJob(String uid) {
+    failedJobs.add(uid);
+  }
 
-  /** We have answered it under our token. */
-  public boolean answered;
+  /** The failures of this job on it count no more. */
+  public void forgetFailedJob(String uid) {
+    failedJobs.remove(uid);
+  }
 
-  /** ReportHandler one after the other that show no effect of what we answered. */
-  public int unheard;
+  /** A task succeeded on it: the failures before count no more. */
+  public void clearFailedJobs() {
+    failedJobs.clear();
+  }
 
-  /** Goes to this shard once it is empty, -1: stays. */
-  public int promisedTo = -1;
+  /** Since when it has no task (steady clock, ms); -1: it has some. */
+  public long idleSinceMs() {
+    return idleSinceMs;
+  }
 
-  /** Promised: tasks that are still on it from then on are stopped; -1: they may end first. */
-  public long vacateByMs = -1;
+  /** It refused a start for lack of room: nothing new before this time (steady clock, ms). */
+  public long startsRefusedUntilMs() {
+    return startsRefusedUntilMs;
+  }
 
-  /** The record that names it. */
-  final Rental hire;
+  /** It refused a start for lack of room, and gets none before this time (steady clock, ms). */
+  public void refuseStartsUntil(long untilMs) {
+    startsRefusedUntilMs = untilMs;
+  }
 
-  /** The record's write with its name is under way. */
-  boolean listing;
+  /** A heartbeat of it waits for its response, so it can be sent something at once. */
+  public boolean awaitingResponse() {
+    return awaitingResponse;
+  }
 
-  private boolean listed;
+  /** Its newest heartbeat has no response yet. */
+  public void beginAwaitingResponse() {
+    awaitingResponse = true;
+  }
 
-  /** On its way to another shard. */
-  private boolean lent;
+  /** Its heartbeat has its response, or has been replaced by a newer one. */
+  public void endAwaitingResponse() {
+    awaitingResponse = false;
+  }
 
-  private boolean used;
+  /** We have answered it under our token. */
+  public boolean answeredUnderToken() {
+    return answeredUnderToken;
+  }
 
-  /** The least that was free in this window of time, and in the one before. */
-  private double leastFreeCores;
+  /** A heartbeat of it is answered under our token. */
+  public void recordResponseUnderToken() {
+    answeredUnderToken = true;
+  }
 
-  private double leastFreeCoresBefore;
+  /** How many heartbeats one after the other show no effect of our responses. */
+  public int missedResponses() {
+    return missedResponses;
+  }
 
-  Machine(String name, Rental hire, long rentedMs, long nowMs) {
-    this.name = name;
-    this.hire = hire;
-    this.type = hire.type;
-    this.zone = hire.zone;
-    this.spot = hire.asked.spot();
-    this.rentedMs = rentedMs;
-    this.idleSinceMs = nowMs;
-    this.leastFreeCores = type.cores();
-    this.leastFreeCoresBefore = type.cores();
+  /** A heartbeat shows no effect of our responses. */
+  public void recordMissedResponse() {
+    missedResponses++;
+  }
+
+  /** A heartbeat gives no sign of a missed response. */
+  public void clearMissedResponses() {
+    missedResponses = 0;
+  }
+
+  /** The shard that it goes to once it is empty; -1: it stays. */
+  public int promisedTo() {
+    return promisedTo;
+  }
+
+  /** It gets no new tasks, and goes to this shard once it is empty. */
+  public void promiseTo(int shard) {
+    promisedTo = shard;
+    cordoned = true;
+  }
+
+  /** From when on its tasks are stopped (steady clock, ms); -1: they may end first. */
+  public long evictByMs() {
+    return evictByMs;
+  }
+
+  /** Tasks that are still on it from this time on are stopped (steady clock, ms). */
+  public void evictBy(long atMs) {
+    evictByMs = atMs;
   }
 
   /** Whether it was taken over from a former owner of the shard. */
@@ -113,6 +335,11 @@
     return inherited;
   }
 
+  /** Whether it comes with a record of a former owner of the shard. */
+  void recordInherited(boolean fromFormerOwner) {
+    inherited = fromFormerOwner;
+  }
+
   public String zoneName() {
     return hire.asked.zone();
   }
@@ -161,6 +388,21 @@
     return Math.max(claim, hire.fence);
   }
 
+  /** A write of the record that names it is under way. */
+  boolean listing() {
+    return listing;
+  }
+
+  /** A write of the record that names it begins. */
+  void beginListing() {
+    listing = true;
+  }
+
+  /** The write of the record that names it failed. */
+  void abandonListing() {
+    listing = false;
+  }
+
   void listed() {
     listing = false;
     listed = true;
@@ -179,17 +421,17 @@
   }
 
   public boolean newer(long s, long t) {
-    return s > shift || (s == shift && t > tally);
+    return s > incarnation || (s == incarnation && t > heartbeatSequence);
   }
 
   public boolean usable(long nowMs) {
     return recorded()
-        && confirmed
-        && !draining
+        && confirmedUnderToken
+        && !cordoned
         && !zoneClosed
         && !returning
         && !gone
-        && nowMs >= fullUntilMs;
+        && nowMs >= startsRefusedUntilMs;
   }
 
   /**
--- a/src/main/java/dev/windbend/machine/MachineHealth.java
+++ b/src/main/java/dev/windbend/machine/MachineHealth.java
@@ -67,15 +67,15 @@
 
   /** How a machine stands now. */
   public Condition condition(Machine m, long now, long sureSinceMs) {
-    if (m.seenMs < 0) {
+    if (m.lastHeartbeatMs() < 0) {
       // One that was taken over has had its time to find us; another may still boot.
-      boolean overdue = m.inherited() && now - Math.max(sureSinceMs, m.rentedMs) > silentMs;
+      boolean overdue = m.inherited() && now - Math.max(sureSinceMs, m.requestedMs()) > silentMs;
       return overdue ? Condition.SILENT : Condition.BOOTING;
     }
-    if (now - Math.max(m.seenMs, sureSinceMs) > MISSED_REPORTS * reportMs) {
+    if (now - Math.max(m.lastHeartbeatMs(), sureSinceMs) > MISSED_REPORTS * reportMs) {
       return Condition.SILENT;
     }
-    return m.unheard >= UNHEARD ? Condition.DEAF : Condition.HEARD;
+    return m.missedResponses() >= UNHEARD ? Condition.DEAF : Condition.HEARD;
   }
 
   /**
@@ -93,32 +93,33 @@
     int talking = 0;
     Map<Integer, List<Machine>> promised = new TreeMap<>();
     for (Machine m : List.copyOf(fleet.machines())) {
-      if (m.returning) {
+      if (m.returning()) {
         continue;
       }
-      boolean ownRule = !evacuated.test(m.zone);
-      if (m.seenMs < 0) {
+      boolean ownRule = !evacuated.test(m.zone());
+      if (m.lastHeartbeatMs() < 0) {
         neverSeen(m, now, sureSinceMs, ownRule);
         continue;
       }
-      long quiet = now - Math.max(m.seenMs, sureSinceMs);
+      long quiet = now - Math.max(m.lastHeartbeatMs(), sureSinceMs);
       if (quiet > silentMs && ownRule) {
         silent.add(m);
       }
       if (quiet > MISSED_REPORTS * reportMs) {
-        missed[m.zone]++;
+        missed[m.zone()]++;
       } else {
-        heard[m.zone]++;
+        heard[m.zone()]++;
         talking++;
       }
-      if (m.unheard >= UNHEARD && ownRule) {
+      if (m.missedResponses() >= UNHEARD && ownRule) {
         deaf.add(m);
       }
-      boolean empty = m.draining && m.tasks.isEmpty();
-      if ((m.recallMs >= 0 && now > m.recallMs + RECALL_SLACK_MS) || (empty && m.promisedTo < 0)) {
+      boolean empty = m.cordoned() && m.tasks().isEmpty();
+      if ((m.recallMs() >= 0 && now > m.recallMs() + RECALL_SLACK_MS)
+          || (empty && m.promisedTo() < 0)) {
         fleet.giveBack(m, "drained");
-      } else if (empty && m.confirmed && m.recorded()) {
-        promised.computeIfAbsent(m.promisedTo, k -> new ArrayList<>()).add(m);
+      } else if (empty && m.confirmedUnderToken() && m.recorded()) {
+        promised.computeIfAbsent(m.promisedTo(), k -> new ArrayList<>()).add(m);
       }
     }
     if (!promised.isEmpty() && now - lentMs >= LEND_GAP_MS) {
@@ -133,9 +134,9 @@
     }
     for (Machine m : silent) {
       // Behind a cut the tasks go on, so they get their whole lease; after it, time to find us.
-      long quiet = now - Math.max(m.seenMs, sureSinceMs);
-      boolean cut = cutMs[m.zone] == now;
-      if (cut ? quiet > leaseMs + 2 * reportMs : now - cutMs[m.zone] > silentMs) {
+      long quiet = now - Math.max(m.lastHeartbeatMs(), sureSinceMs);
+      boolean cut = cutMs[m.zone()] == now;
+      if (cut ? quiet > leaseMs + 2 * reportMs : now - cutMs[m.zone()] > silentMs) {
         fleet.giveBack(m, "silent");
       }
     }
@@ -152,18 +153,18 @@
    * @param heardMs when any worker was heard last, of this shard or another
    */
   public boolean lostWorkers(long now, long heardMs) {
-    long seen = fleet.machines().stream().filter(m -> m.seenMs >= 0).count();
+    long seen = fleet.machines().stream().filter(m -> m.lastHeartbeatMs() >= 0).count();
     return seen >= FEW && now - heardMs > Math.max(2 * reportMs, LOST_ANSWER_MS);
   }
 
   private void neverSeen(Machine m, long now, long sureSinceMs, boolean ownRule) {
     // Inherited ones count from the takeover, so they get their time to find us.
-    long patience = (long) Math.max(SHORTEST_CHARGE_MS, 1000 * BOOT_PATIENCE * m.type.bootS());
-    if (now - m.rentedMs > patience) {
+    long patience = (long) Math.max(SHORTEST_CHARGE_MS, 1000 * BOOT_PATIENCE * m.type().bootS());
+    if (now - m.requestedMs() > patience) {
       fleet.giveBack(m, "never came up");
     } else if (ownRule
-        && !m.tasks.isEmpty()
-        && now - Math.max(sureSinceMs, m.rentedMs) > 2 * silentMs) {
+        && !m.tasks().isEmpty()
+        && now - Math.max(sureSinceMs, m.requestedMs()) > 2 * silentMs) {
       fleet.giveBack(m, "silent since the takeover");
     }
   }
--- a/src/main/java/dev/windbend/machine/Rental.java
+++ b/src/main/java/dev/windbend/machine/Rental.java
@@ -122,7 +122,7 @@
     if (over) {
       draft.delete(key);
     } else {
-      List<String> names = answered ? machines.stream().map(m -> m.name).toList() : null;
+      List<String> names = answered ? machines.stream().map(m -> m.name()).toList() : null;
       draft.put(
           key,
           new RentalRecord(
@@ -132,7 +132,7 @@
               asked.count(),
               names,
               fence > 0 ? fence : null));
-      machines.forEach(m -> m.listing = true);
+      machines.forEach(m -> m.beginListing());
     }
   }
 
@@ -143,7 +143,7 @@
     writing = -1;
     removed = over;
     for (Machine m : machines) {
-      if (m.listing) {
+      if (m.listing()) {
         m.listed();
       }
     }
@@ -153,7 +153,7 @@
   public void unwritten() {
     writing = -1;
     hurry = true;
-    machines.forEach(m -> m.listing = false);
+    machines.forEach(m -> m.abandonListing());
   }
 
   @Override
--- a/src/main/java/dev/windbend/machine/TaskRequirements.java
+++ b/src/main/java/dev/windbend/machine/TaskRequirements.java
@@ -20,10 +20,10 @@
 
   /** Whether the task may run on the machine, however full that is now. */
   public boolean allows(Machine machine) {
-    return (types == null || types.contains(machine.type.name()))
+    return (types == null || types.contains(machine.type().name()))
         && (zones == null || zones.contains(machine.zoneName()))
-        && (spot || !machine.spot)
-        && machine.type.fits(cores, cards, ram);
+        && (spot || !machine.spot())
+        && machine.type().fits(cores, cards, ram);
   }
 
   /** Whether the task may run on the machine beside the tasks that are there now. */
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -111,7 +111,7 @@
   private double cores(Predicate<Machine> which) {
     double all = 0;
     for (Machine m : fleet.machines()) {
-      all += m.returning || m.promisedTo >= 0 || !which.test(m) ? 0 : m.type.cores();
+      all += m.returning() || m.promisedTo() >= 0 || !which.test(m) ? 0 : m.type().cores();
     }
     return all;
   }
@@ -128,8 +128,8 @@
       if (given.size() < count
           && m.mayBeLent()
           && m.usable(loop.nowMs())
-          && m.tasks.isEmpty()
-          && fleet.find(m.name) == m) {
+          && m.tasks().isEmpty()
+          && fleet.find(m.name()) == m) {
         given.add(m);
       }
     }
@@ -161,8 +161,8 @@
       fleet.machines().forEach(Machine::beginWindow);
     }
     for (Machine m : fleet.machines()) {
-      if (m.vacateByMs >= 0 && now >= m.vacateByMs) {
-        m.tasks.values().forEach(MachineTransfers::stop);
+      if (m.evictByMs() >= 0 && now >= m.evictByMs()) {
+        m.tasks().values().forEach(MachineTransfers::stop);
       }
     }
   }
@@ -177,11 +177,11 @@
   private int vacateFor(int to, TaskRequirements task, int count) {
     List<Machine> order = new ArrayList<>(fleet.machines());
     order.sort(
-        Comparator.<Machine, Boolean>comparing(m -> m.promisedTo != to)
+        Comparator.<Machine, Boolean>comparing(m -> m.promisedTo() != to)
             .thenComparingDouble(this::lostByStopping));
     int coming = 0;
     for (Machine m : order) {
-      if (coming < count && (m.promisedTo == to ? task.allows(m) : mayVacate(m, task))) {
+      if (coming < count && (m.promisedTo() == to ? task.allows(m) : mayVacate(m, task))) {
         vacate(m, to);
         coming++;
       }
@@ -190,10 +190,10 @@
   }
 
   private void vacate(Machine m, int to) {
-    if (m.vacateByMs < 0) {
-      LOG.info("{} is vacated for an overdue task of shard {}", m.name, to);
+    if (m.evictByMs() < 0) {
+      LOG.info("{} is vacated for an overdue task of shard {}", m.name(), to);
       promise(m, to);
-      m.vacateByMs = loop.nowMs() + VACATE_MS;
+      m.evictBy(loop.nowMs() + VACATE_MS);
     }
   }
 
@@ -203,7 +203,7 @@
    */
   private boolean mayVacate(Machine m, TaskRequirements task) {
     long now = loop.nowMs();
-    boolean justReceived = m.received() && now - m.rentedMs < KEEP_RECEIVED_MS;
+    boolean justReceived = m.received() && now - m.requestedMs() < KEEP_RECEIVED_MS;
     if (!m.usable(now)
         || justReceived
         || m.steadilyFreeCores() < task.cores()
@@ -215,13 +215,13 @@
     for (Machine other : fleet.machines()) {
       roomElsewhere += other != m && other.usable(now) ? other.freeCores() : 0;
     }
-    return left >= guaranteedCores || roomElsewhere >= m.type.cores() - m.freeCores();
+    return left >= guaranteedCores || roomElsewhere >= m.type().cores() - m.freeCores();
   }
 
   private int promised(int to) {
     int n = 0;
     for (Machine m : fleet.machines()) {
-      n += m.promisedTo == to ? 1 : 0;
+      n += m.promisedTo() == to ? 1 : 0;
     }
     return n;
   }
@@ -242,10 +242,10 @@
     List<Machine> busy = new ArrayList<>(fleet.machines());
     busy.sort(Comparator.comparingDouble(this::lostByStopping));
     for (Machine m : busy) {
-      if (left > 0 && above >= m.type.cores() && m.usable(loop.nowMs())) {
-        LOG.info("{} is promised to shard {}", m.name, to);
+      if (left > 0 && above >= m.type().cores() && m.usable(loop.nowMs())) {
+        LOG.info("{} is promised to shard {}", m.name(), to);
         promise(m, to);
-        above -= m.type.cores();
+        above -= m.type().cores();
         left--;
       }
     }
@@ -253,9 +253,8 @@
 
   /** What can save is stopped; the other tasks may finish first. */
   private static void promise(Machine m, int to) {
-    m.promisedTo = to;
-    m.draining = true;
-    m.tasks.values().stream()
+    m.promiseTo(to);
+    m.tasks().values().stream()
         .filter(p -> p.job().spec().checkpointS() > 0)
         .forEach(MachineTransfers::stop);
   }
@@ -267,7 +266,7 @@
   private double lostByStopping(Machine m) {
     double all = 0;
     long now = loop.nowMs();
-    for (Placement p : m.tasks.values()) {
+    for (Placement p : m.tasks().values()) {
       all +=
           p.job().spec().cores()
               * (p.job().spec().checkpointS() > 0 ? 1 : Math.max(1, now - p.placedMs()));
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -43,8 +43,8 @@
     int unsure = 0;
     boolean room = false;
     for (Machine m : fleet.machines()) {
-      booting += m.seenMs < 0 ? 1 : 0;
-      unsure += m.seenMs >= 0 && !m.usable(nowMs) ? 1 : 0;
+      booting += m.lastHeartbeatMs() < 0 ? 1 : 0;
+      unsure += m.lastHeartbeatMs() >= 0 && !m.usable(nowMs) ? 1 : 0;
       room |= m.usable(nowMs) && task.hasRoomOn(m);
     }
     int asked = fleet.pending().stream().mapToInt(Fleet.Pending::count).sum();
--- a/src/main/java/dev/windbend/shard/OverdueJobs.java
+++ b/src/main/java/dev/windbend/shard/OverdueJobs.java
@@ -106,7 +106,7 @@
       for (Placement p : j.placements()) {
         Machine m = fleet.find(p.machineName());
         if (m != null) {
-          perZone[m.zone]++;
+          perZone[m.zone()]++;
         }
       }
     }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -180,8 +180,12 @@
     List<Machine> rooms = new ArrayList<>();
     for (Machine m : fleet.machines()) {
       // One that boots in a zone that is taken back is waited for, and rented only once.
-      boolean open = !m.zoneClosed || (m.seenMs < 0 && !zones.evacuates(m.zone));
-      if (open && !m.returning && !m.draining && m.unheard == 0 && now >= m.fullUntilMs) {
+      boolean open = !m.zoneClosed() || (m.lastHeartbeatMs() < 0 && !zones.evacuates(m.zone()));
+      if (open
+          && !m.returning()
+          && !m.cordoned()
+          && m.missedResponses() == 0
+          && now >= m.startsRefusedUntilMs()) {
         rooms.add(m);
       }
     }
@@ -212,7 +216,7 @@
 
   private boolean allHeard() {
     for (Machine m : fleet.machines()) {
-      if (m.inherited() && !m.confirmed) {
+      if (m.inherited() && !m.confirmedUnderToken()) {
         return false;
       }
     }
@@ -234,7 +238,7 @@
     for (Wanted.Place place : wanted.places()) {
       Job job = works.get(place.work());
       Machine m = rooms.get(place.room());
-      m.add(job.place(job.nextWaiting(), m.name, now, token, count));
+      m.add(job.place(job.nextWaiting(), m.name(), now, token, count));
       changed.add(job);
     }
     changed.forEach(board::touched);
--- a/src/main/java/dev/windbend/shard/ShardLog.java
+++ b/src/main/java/dev/windbend/shard/ShardLog.java
@@ -89,8 +89,8 @@
     int unsure = 0;
     for (Machine m : fleet.machines()) {
       up += m.usable(now) ? 1 : 0;
-      booting += m.seenMs < 0 ? 1 : 0;
-      unsure += m.seenMs >= 0 && !m.usable(now) ? 1 : 0;
+      booting += m.lastHeartbeatMs() < 0 ? 1 : 0;
+      unsure += m.lastHeartbeatMs() >= 0 && !m.usable(now) ? 1 : 0;
     }
     LOG.info(
         "shard {}: {} jobs, cores waiting {} placed {}; machines up {} booting {} other {};"
--- a/src/main/java/dev/windbend/shard/ShardOwner.java
+++ b/src/main/java/dev/windbend/shard/ShardOwner.java
@@ -348,7 +348,7 @@
   private void forget(Job job) {
     board.forget(job);
     if (job.doneCount() == 0) {
-      fleet.machines().forEach(m -> m.failedJobs.remove(job.spec().uid()));
+      fleet.machines().forEach(m -> m.forgetFailedJob(job.spec().uid()));
     }
     for (Placement p : job.placements()) {
       Machine m = fleet.find(p.machineName());
@@ -442,7 +442,7 @@
     if (zoneMonitor != null) {
       zoneMonitor.gone(m);
     }
-    for (Placement p : List.copyOf(m.tasks.values())) {
+    for (Placement p : List.copyOf(m.tasks().values())) {
       m.remove(p, now);
       p.job().gone(p);
       board.touched(p.job());
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -85,8 +85,8 @@
     Object2IntOpenHashMap<String> roomOf = new Object2IntOpenHashMap<>();
     List<Snapshot.Room> rooms = new ArrayList<>();
     for (Machine m : machines) {
-      roomOf.put(m.name, rooms.size());
-      List<Placement> on = new ArrayList<>(m.tasks.values());
+      roomOf.put(m.name(), rooms.size());
+      List<Placement> on = new ArrayList<>(m.tasks().values());
       // What is stopped without grace is gone before the next start on its machine.
       on.removeIf(p -> p.stopGraceS() == 0);
       running.add(on);
@@ -150,7 +150,7 @@
   }
 
   private Snapshot.Room room(Machine m, List<Placement> on, long now) {
-    MachineType t = m.type;
+    MachineType t = m.type();
     Snapshot.Size free = new Snapshot.Size(t.cores(), t.cards(), t.ram());
     List<Snapshot.Running> running = new ArrayList<>();
     for (Placement p : on) {
@@ -161,31 +161,33 @@
               expectedEnd(p, t, now), size, p.job().spec().urgency().rank(), lostMs(p, now)));
     }
     boolean up = m.usable(now);
-    long sinceS = (now - m.rentedMs) / 1000;
+    long sinceS = (now - m.requestedMs()) / 1000;
     long ready =
-        m.seenMs >= 0
+        m.lastHeartbeatMs() >= 0
             ? now + 1_000
             : sinceS > BOOT_LATE * t.bootS()
                 ? now + (long) (1000 * BOOT_PATIENCE * t.bootS())
-                : Math.max(m.rentedMs + (long) (1000 * t.bootS()), now + 1_000);
+                : Math.max(m.requestedMs() + (long) (1000 * t.bootS()), now + 1_000);
     long block = policy.blockMs();
     // The block in which it went idle (or now, if it is busy) is paid to its end.
-    long ref = m.idleSinceMs >= 0 ? m.idleSinceMs : now;
-    long blocks = Math.max(1, (Math.max(0, ref - m.rentedMs) + block - 1) / block);
+    long ref = m.idleSinceMs() >= 0 ? m.idleSinceMs() : now;
+    long blocks = Math.max(1, (Math.max(0, ref - m.requestedMs()) + block - 1) / block);
     return new Snapshot.Room(
         t.index(),
-        m.zone,
-        m.spot,
+        m.zone(),
+        m.spot(),
         up,
-        m.listening ? 0 : Math.max(0, m.seenMs + (long) (1000 * facts.reportS()) - now),
+        m.awaitingResponse()
+            ? 0
+            : Math.max(0, m.lastHeartbeatMs() + (long) (1000 * facts.reportS()) - now),
         free,
         ready,
-        m.tasks.isEmpty(),
-        m.rentedMs + blocks * block,
-        Math.max(m.rentedMs + block, (m.idleSinceMs >= 0 ? m.idleSinceMs : now) + IDLE_MS),
-        m.spot ? t.spotPrice() : t.price(),
+        m.tasks().isEmpty(),
+        m.requestedMs() + blocks * block,
+        Math.max(m.requestedMs() + block, (m.idleSinceMs() >= 0 ? m.idleSinceMs() : now) + IDLE_MS),
+        m.spot() ? t.spotPrice() : t.price(),
         t.fetchGbPerS(),
-        m.images,
+        m.images(),
         running);
   }
 
--- a/src/main/java/dev/windbend/shard/TaskFailures.java
+++ b/src/main/java/dev/windbend/shard/TaskFailures.java
@@ -38,17 +38,17 @@
 
   void failed(Placement p, Machine m) {
     Job job = p.job();
-    LOG.info("{} failed on {}", p.taskName(), m.name);
-    job.recordFailedMachine(m.name);
-    m.failedJobs.add(job.spec().uid());
-    if (m.failedJobs.stream().filter(this::runsElsewhere).count() >= BAD_JOBS) {
+    LOG.info("{} failed on {}", p.taskName(), m.name());
+    job.recordFailedMachine(m.name());
+    m.recordFailedJob(job.spec().uid());
+    if (m.countFailedJobs(this::runsElsewhere) >= BAD_JOBS) {
       quarantine(m);
     }
     if (job.failedMachineCount() >= BAD_MACHINES) {
       // It fails everywhere: the job's fault, most likely. Machines are blamed no more for it.
       job.backOffUntil(
           loop.nowMs() + (BACK_OFF_MS << Math.min(job.backOffs(), BACK_OFF_DOUBLINGS)));
-      fleet.machines().forEach(x -> x.failedJobs.remove(job.spec().uid()));
+      fleet.machines().forEach(x -> x.forgetFailedJob(job.spec().uid()));
       job.clearFailedMachines();
     }
   }
@@ -63,10 +63,10 @@
   }
 
   private void quarantine(Machine m) {
-    if (!m.draining) {
-      LOG.warn("{} fails tasks of several jobs: quarantined", m.name);
-      m.draining = true;
-      m.tasks.values().forEach(p -> p.stop(p.job().spec().saveS() + 1));
+    if (!m.cordoned()) {
+      LOG.warn("{} fails tasks of several jobs: quarantined", m.name());
+      m.cordon();
+      m.tasks().values().forEach(p -> p.stop(p.job().spec().saveS() + 1));
       wantRound.run();
     }
   }
--- a/src/main/java/dev/windbend/worker/DirectStopClient.java
+++ b/src/main/java/dev/windbend/worker/DirectStopClient.java
@@ -38,8 +38,8 @@
   }
 
   void send(Machine m, long token, List<WorkerMessages.Order> stops) {
-    if (m.address != null && !stops.isEmpty()) {
-      send(m.address, token, m.shift, stops);
+    if (m.address() != null && !stops.isEmpty()) {
+      send(m.address(), token, m.incarnation(), stops);
     }
   }
 
--- a/src/main/java/dev/windbend/worker/ReportHandler.java
+++ b/src/main/java/dev/windbend/worker/ReportHandler.java
@@ -96,36 +96,33 @@
       return;
     }
     release(m);
-    m.listening = false;
+    m.endAwaitingResponse();
     listen(m, r, fence, now);
-    m.shift = r.shift();
-    m.tally = r.tally();
-    m.seenMs = now;
-    m.address = r.address();
-    m.confirmed = r.token() == fence;
-    if (r.recallS() != null && m.recallMs < 0) {
-      m.recallMs = now + (long) (r.recallS() * 1000);
-      m.draining = true;
-      LOG.info("{} is recalled in {} s", m.name, r.recallS());
+    m.recordHeartbeat(r.shift(), r.tally(), r.address(), r.token() == fence, now);
+    if (r.recallS() != null && m.recallMs() < 0) {
+      m.recordRecall(now + (long) (r.recallS() * 1000));
+      LOG.info("{} is recalled in {} s", m.name(), r.recallS());
       host.wantRound();
     }
-    if (!m.confirmed || !host.mayAct()) {
-      m.answered |= host.mayAct();
+    if (!m.confirmedUnderToken() || !host.mayAct()) {
+      if (host.mayAct()) {
+        m.recordResponseUnderToken();
+      }
       done.accept(unsure(m, r));
       return;
     }
-    if (m.draining) {
+    if (m.cordoned()) {
       // What has not started there never will: without this it would stay placed for ever.
-      m.tasks.values().stream().filter(p -> !p.seen() && !p.inherited()).forEach(p -> p.stop(0));
+      m.tasks().values().stream().filter(p -> !p.seen() && !p.inherited()).forEach(p -> p.stop(0));
     }
-    boolean free = m.tasks.isEmpty();
-    int before = m.tasks.size();
-    m.listening = true;
+    boolean free = m.tasks().isEmpty();
+    int before = m.tasks().size();
+    m.beginAwaitingResponse();
     desk.absorb(m, r, now);
-    if (m.recallMs >= 0) {
+    if (m.recallMs() >= 0) {
       drain(m, now);
     }
-    if (m.tasks.size() < before || free) {
+    if (m.tasks().size() < before || free) {
       host.roundNow();
     }
     if (writePending(m)) {
@@ -144,16 +141,20 @@
    * ends too, as no answer renews its lease.
    */
   private void listen(Machine m, WorkerMessages.Report r, long fence, long now) {
-    if (m.shift < 0) {
+    if (m.incarnation() < 0) {
       return;
     }
-    boolean missed = m.answered && r.token() < fence;
-    if (r.shift() > m.shift) {
-      missed |= m.confirmed && now - m.seenMs < leaseMs / 2;
+    boolean missed = m.answeredUnderToken() && r.token() < fence;
+    if (r.shift() > m.incarnation()) {
+      missed |= m.confirmedUnderToken() && now - m.lastHeartbeatMs() < leaseMs / 2;
     } else {
       missed |= desk.startMissing(m, r);
     }
-    m.unheard = missed ? m.unheard + 1 : 0;
+    if (missed) {
+      m.recordMissedResponse();
+    } else {
+      m.clearMissedResponses();
+    }
   }
 
   private void await(Waiting w) {
@@ -188,11 +189,11 @@
   }
 
   private static boolean hasRoom(Machine m) {
-    return !m.draining && !m.returning && m.recorded() && m.freeCores() >= 1;
+    return !m.cordoned() && !m.returning() && m.recorded() && m.freeCores() >= 1;
   }
 
   private static boolean startPending(Machine m) {
-    for (Placement p : m.tasks.values()) {
+    for (Placement p : m.tasks().values()) {
       if (!p.seen() && p.job().startable(p)) {
         return true;
       }
@@ -202,17 +203,17 @@
 
   /** Tasks that can save do so in time; the others may still finish before the machine goes. */
   private void drain(Machine m, long now) {
-    for (Placement p : m.tasks.values()) {
+    for (Placement p : m.tasks().values()) {
       double saveS = p.job().spec().saveS();
       if (p.job().spec().checkpointS() > 0
-          && now + RECALL_SLACK_MS + saveS * 1000 + 2 * reportMs >= m.recallMs) {
+          && now + RECALL_SLACK_MS + saveS * 1000 + 2 * reportMs >= m.recallMs()) {
         p.stop(saveS + 1);
       }
     }
   }
 
   private static boolean writePending(Machine m) {
-    for (Placement p : m.tasks.values()) {
+    for (Placement p : m.tasks().values()) {
       if (!p.inherited() && !p.seen() && !p.stopping() && !p.job().startable(p)) {
         return true;
       }
@@ -222,11 +223,14 @@
 
   private void answerNow(Waiting w) {
     Machine m = w.machine();
-    m.listening = false;
-    boolean newest = m.shift == w.report().shift() && m.tally == w.report().tally();
+    m.endAwaitingResponse();
+    boolean newest =
+        m.incarnation() == w.report().shift() && m.heartbeatSequence() == w.report().tally();
     boolean act = host.mayAct();
-    boolean mayStart = act && !m.returning && !m.draining && m.recorded();
-    m.answered |= act;
+    boolean mayStart = act && !m.returning() && !m.cordoned() && m.recorded();
+    if (act) {
+      m.recordResponseUnderToken();
+    }
     w.done()
         .accept(
             newest && act
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -47,7 +47,7 @@
   public void absorb(Machine m, Report r, long nowMs) {
     Set<Placement> present = new HashSet<>();
     for (TaskState t : r.tasks()) {
-      Placement p = m.tasks.get(t.task());
+      Placement p = m.tasks().get(t.task());
       if (p != null && p.attempt() == t.attempt()) {
         present.add(p);
         p.recordSeen();
@@ -55,15 +55,15 @@
           exited(m, p, t, nowMs);
         } else if (t.running() && p.runningMs() < 0) {
           p.recordRunning(nowMs);
-          m.images.add(book.image(p.job().spec().image()));
+          m.recordImage(book.image(p.job().spec().image()));
         }
       } else if (t.exited() && "done".equals(t.cause())) {
         foundDone(t, nowMs);
       }
     }
-    for (Placement p : List.copyOf(m.tasks.values())) {
+    for (Placement p : List.copyOf(m.tasks().values())) {
       if (!present.contains(p) && provedGone(p, r)) {
-        LOG.info("{} attempt {} is gone from {}", p.taskName(), p.attempt(), m.name);
+        LOG.info("{} attempt {} is gone from {}", p.taskName(), p.attempt(), m.name());
         leave(m, p, nowMs);
       }
     }
@@ -85,7 +85,7 @@
 
   /** A start went out in the answer to an earlier report, and this one does not show it. */
   boolean startMissing(Machine m, Report r) {
-    for (Placement p : m.tasks.values()) {
+    for (Placement p : m.tasks().values()) {
       if (!p.seen()
           && !p.stopping()
           && p.sentIncarnation() == r.shift()
@@ -110,15 +110,15 @@
 
   private void exited(Machine m, Placement p, TaskState t, long nowMs) {
     String cause = t.cause() == null ? "" : t.cause();
-    LOG.debug("{} attempt {} exited on {}: {}", p.taskName(), p.attempt(), m.name, cause);
+    LOG.debug("{} attempt {} exited on {}: {}", p.taskName(), p.attempt(), m.name(), cause);
     switch (cause) {
       case "done" -> {
         p.job().complete(p.task(), nowMs);
         book.completed(p, nowMs);
-        m.failedJobs.clear();
+        m.clearFailedJobs();
       }
       case "error" -> book.failed(p, m);
-      case "no_room", "in_use" -> m.fullUntilMs = nowMs + FULL_MS;
+      case "no_room", "in_use" -> m.refuseStartsUntil(nowMs + FULL_MS);
       case "unknown" -> p.job().deferUntil(nowMs + UNKNOWN_MS);
       default -> {
         // stopped as asked: it goes back to wait
@@ -148,7 +148,7 @@
     List<Order> rest = new ArrayList<>();
     Set<String> reported = new HashSet<>();
     for (TaskState t : r.tasks()) {
-      Placement p = m.tasks.get(t.task());
+      Placement p = m.tasks().get(t.task());
       boolean wanted = p != null && p.attempt() == t.attempt();
       if (wanted) {
         reported.add(t.task());
@@ -164,7 +164,7 @@
       }
     }
     if (mayStart) {
-      for (Placement p : m.tasks.values()) {
+      for (Placement p : m.tasks().values()) {
         if (!reported.contains(p.taskName()) && !p.seen() && p.job().startable(p)) {
           p.recordStartSent(r.shift(), r.tally());
           rest.add(Order.start(p.taskName(), p.attempt()));
--- a/src/main/java/dev/windbend/zone/EvacuationTasks.java
+++ b/src/main/java/dev/windbend/zone/EvacuationTasks.java
@@ -18,7 +18,7 @@
 
   List<EvacuationPlan.Task> on(Machine machine, String zone, long nowMs) {
     List<EvacuationPlan.Task> all = new ArrayList<>();
-    for (Placement p : machine.tasks.values()) {
+    for (Placement p : machine.tasks().values()) {
       all.add(task(p, zone, nowMs));
     }
     return all;
--- a/src/main/java/dev/windbend/zone/Zone.java
+++ b/src/main/java/dev/windbend/zone/Zone.java
@@ -78,7 +78,7 @@
   int admit(Iterable<Machine> machines, long nowMs) {
     if (state() != ZoneState.RETURNING) {
       boolean closed = state() == ZoneState.UNREACHABLE;
-      machines.forEach(m -> m.zoneClosed = closed);
+      machines.forEach(m -> m.setZoneOpen(!closed));
       allBack = !closed;
       return 0;
     }
@@ -90,22 +90,22 @@
     int before = takenBack.size();
     allBack = true;
     for (Machine m : machines) {
-      m.zoneClosed = !mayBeUsed(m);
-      allBack &= !m.zoneClosed;
+      m.setZoneOpen(mayBeUsed(m));
+      allBack &= !m.zoneClosed();
     }
     return takenBack.size() - before;
   }
 
   /** Only a machine that has reported under our token, and as fast as the ramp allows. */
   private boolean mayBeUsed(Machine m) {
-    if (takenBack.contains(m.name)) {
+    if (takenBack.contains(m.name())) {
       return true;
     }
-    if (!m.confirmed || ramp.available() < 1) {
+    if (!m.confirmedUnderToken() || ramp.available() < 1) {
       return false;
     }
     ramp.take(1);
-    takenBack.add(m.name);
+    takenBack.add(m.name());
     return true;
   }
 }
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -168,8 +168,8 @@
   private Map<Integer, List<Machine>> machinesByZone() {
     Map<Integer, List<Machine>> all = new TreeMap<>();
     for (Machine m : fleet.machines()) {
-      if (!m.returning) {
-        all.computeIfAbsent(m.zone, zone -> new ArrayList<>()).add(m);
+      if (!m.returning()) {
+        all.computeIfAbsent(m.zone(), zone -> new ArrayList<>()).add(m);
       }
     }
     return all;
@@ -273,11 +273,11 @@
       MachineHealth.Condition condition = health.condition(m, now, sureSinceMs);
       boolean deaf = condition == MachineHealth.Condition.DEAF;
       if (deaf || condition == MachineHealth.Condition.SILENT) {
-        long lastMs = deaf ? zone.tracker.sinceMs() : Math.max(m.seenMs, sureSinceMs);
-        byName.put(m.name, m);
+        long lastMs = deaf ? zone.tracker.sinceMs() : Math.max(m.lastHeartbeatMs(), sureSinceMs);
+        byName.put(m.name(), m);
         lost.add(
             new EvacuationPlan.Lost(
-                m.name, lastMs + leaseMs, evacuationTasks.on(m, zone.name, now)));
+                m.name(), lastMs + leaseMs, evacuationTasks.on(m, zone.name, now)));
       }
     }
     List<Machine> leaving =
@@ -293,9 +293,9 @@
 
   /** The cloud has confirmed that the machine is gone; its tasks are still noted on it. */
   public void gone(Machine m) {
-    Zone zone = zones.get(m.zone);
+    Zone zone = zones.get(m.zone());
     if (zone != null && !zone.calm()) {
-      for (Placement p : m.tasks.values()) {
+      for (Placement p : m.tasks().values()) {
         displacements.add(p.job(), zone.index, zone.lostMs());
       }
     }
--- a/src/test/java/dev/windbend/shard/MachineTransfersTest.java
+++ b/src/test/java/dev/windbend/shard/MachineTransfersTest.java
@@ -70,16 +70,21 @@
     String key = RentalRecord.prefix(0) + "h";
     directory.changed(key, new VersionedValue(Json.tree(hire), 5));
     fleet.restore("h", hire, 5, directory, false);
-    fleet.machines().forEach(m -> m.confirmed = true);
+    fleet.machines().forEach(MachineTransfersTest::confirm);
     loans = new MachineTransfers(0, loop, fleet, 40, (shard, request, done) -> {});
   }
 
+  private static void confirm(Machine m) {
+    m.recordHeartbeat(
+        m.incarnation(), m.heartbeatSequence(), m.address(), true, m.lastHeartbeatMs());
+  }
+
   private int lend(int count, double guaranteeShare) {
     return loans.lend(1, new MachineRequest(count, guaranteeShare, null)).count();
   }
 
   private long promisedTo(int shard) {
-    return fleet.machines().stream().filter(m -> m.promisedTo == shard).count();
+    return fleet.machines().stream().filter(m -> m.promisedTo() == shard).count();
   }
 
   @ParameterizedTest(name = "asked for {0} by a shard that has {1} of its guarantee: {2} promised")
@@ -137,7 +142,7 @@
     directory.changed(key, new VersionedValue(Json.tree(record), 6));
     Fleet one = new Fleet(loop, cloud, catalog, 0, 7, host);
     one.restore("g", record, 6, directory, false);
-    one.machines().forEach(m -> m.confirmed = true);
+    one.machines().forEach(MachineTransfersTest::confirm);
     loans = new MachineTransfers(0, loop, one, 0, (shard, request, done) -> {});
     assertThat(loans.lend(1, overdue(2, null, true, 1)).overdueCount()).isZero();
   }
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -164,9 +164,9 @@
   private void busy(int zone, long ranMs) {
     int number = 0;
     for (Machine m : fleet.machines()) {
-      if (m.zone == zone) {
+      if (m.zone() == zone) {
         Job job = TestJobs.job(number, URGENCIES.get(number++ % URGENCIES.size()));
-        var placement = job.place(0, m.name, loop.nowMs, 7, 1);
+        var placement = job.place(0, m.name(), loop.nowMs, 7, 1);
         placement.recordSeen();
         placement.recordRunning(loop.nowMs - ranMs);
         m.add(placement);
@@ -176,13 +176,17 @@
 
   private void report(int zone) {
     for (Machine m : fleet.machines()) {
-      if (m.zone == zone) {
-        m.seenMs = loop.nowMs;
-        m.confirmed = true;
+      if (m.zone() == zone) {
+        report(m, true);
       }
     }
   }
 
+  private void report(Machine m, boolean underOurToken) {
+    m.recordHeartbeat(
+        m.incarnation(), m.heartbeatSequence(), m.address(), underOurToken, loop.nowMs);
+  }
+
   /** Time passes, in which the machines of some zones report. */
   private void pass(long forMs, int... reporting) {
     for (long until = loop.nowMs + forMs; loop.nowMs < until; ) {
@@ -198,7 +202,7 @@
   }
 
   private long closed() {
-    return fleet.machines().stream().filter(m -> m.zoneClosed).count();
+    return fleet.machines().stream().filter(m -> m.zoneClosed()).count();
   }
 
   @Test
@@ -209,11 +213,11 @@
     pass(8_000, 0);
     assertThat(monitor.rentable(1)).isZero();
     assertThat(monitor.rentable(0)).isPositive();
-    assertThat(closed()).isEqualTo(fleet.machines().stream().filter(m -> m.zone == 1).count());
+    assertThat(closed()).isEqualTo(fleet.machines().stream().filter(m -> m.zone() == 1).count());
     int atOnce = returned.size();
     pass(40_000, 0);
     assertThat(returned).as("all of the zone, and nothing else").hasSize(RENTALS * PER_RENTAL / 2);
-    assertThat(fleet.machines()).allMatch(m -> m.zone == 0 && !m.zoneClosed);
+    assertThat(fleet.machines()).allMatch(m -> m.zone() == 0 && !m.zoneClosed());
     assertThat(atOnce).as("given up before their leases end").isPositive();
     assertThat(returned.stream().limit(500).map(this::rankOnceOn)).as("urgent first").isSorted();
     assertThat(writes).as("a few changes a transition").isLessThan(20);
@@ -302,8 +306,8 @@
     pass(4_000, 0, 1);
     for (int i = 0; i < 20; i++) {
       fleet.machines().stream()
-          .filter(m -> m.name.endsWith("0") || (m.zone == 0 && m.name.endsWith("1")))
-          .forEach(m -> m.seenMs = loop.nowMs);
+          .filter(m -> m.name().endsWith("0") || (m.zone() == 0 && m.name().endsWith("1")))
+          .forEach(m -> report(m, m.confirmedUnderToken()));
       pass(TICK_MS);
     }
     assertThat(monitor.status()).allMatch(z -> z.state() == ZoneState.HEALTHY);
