--- a/src/main/java/dev/windbend/daemon/Node.java
+++ b/src/main/java/dev/windbend/daemon/Node.java
@@ -365,7 +365,8 @@
       boolean named = spec.types() == null || spec.types().contains(type.name());
       boolean there =
           spec.zone() == null
-              || (catalog.zones.find(spec.zone()) >= 0 && type.in(catalog.zones.find(spec.zone())));
+              || (catalog.zones().find(spec.zone()) >= 0
+                  && type.in(catalog.zones().find(spec.zone())));
       if (named && there && type.fits(spec.cores(), spec.cards(), spec.ram())) {
         return new JobHandler.Verdict(null);
       }
--- a/src/main/java/dev/windbend/machine/Fleet.java
+++ b/src/main/java/dev/windbend/machine/Fleet.java
@@ -129,7 +129,7 @@
       LOG.error("rental {} names the unknown type {}", name, record.type());
       return null;
     }
-    int zone = catalog.zones.index(record.zone());
+    int zone = catalog.zones().index(record.zone());
     Rental h = new Rental(name, shard, record, type, zone, version, loop.nowMs());
     hires.put(name, h);
     return h;
@@ -185,7 +185,7 @@
               name,
               new RentalRecord(
                   type.name(),
-                  catalog.zones.name(zone),
+                  catalog.zones().name(zone),
                   spot,
                   Math.min(left, HIRE_BATCH),
                   null,
@@ -224,7 +224,8 @@
         LOG.info("lending {} to shard {}", names, to);
         Machine m = some.get(0);
         grant(
-            new RentalRecord(m.type().name(), catalog.zones.name(m.zone()), m.spot(), 0, names, 0L),
+            new RentalRecord(
+                m.type().name(), catalog.zones().name(m.zone()), m.spot(), 0, names, 0L),
             to,
             () -> some.forEach(this::leave));
       }
--- a/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
+++ b/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
@@ -10,7 +10,7 @@
   private static final long FRESH_MS = 30_000;
   private static final long RETRY_MS = 1_000;
 
-  public final Names zones = new Names();
+  private final Names zones = new Names();
   private final Names typeNames = new Names();
   private final List<MachineType> types = new ArrayList<>();
   private final EventLoop loop;
@@ -22,6 +22,11 @@
     zoneNames.forEach(zones::index);
   }
 
+  /** The zones' names and their dense indexes. */
+  public Names zones() {
+    return zones;
+  }
+
   public void start() {
     cloud.types(
         got -> {
--- a/src/main/java/dev/windbend/shard/OverdueJobs.java
+++ b/src/main/java/dev/windbend/shard/OverdueJobs.java
@@ -94,14 +94,14 @@
       boolean apart = j.spec().together() && anyPlaced && placed[z] == 0;
       boolean full = j.spec().spread() && placed[z] + 1 > (j.spec().tasks() + 1) / 2;
       if (!apart && !full) {
-        zones.add(catalog.zones.name(z));
+        zones.add(catalog.zones().name(z));
       }
     }
     return zones;
   }
 
   int[] placedPerZone(Job j) {
-    int[] perZone = new int[catalog.zones.size()];
+    int[] perZone = new int[catalog.zones().size()];
     if (j.spec().spread() || j.spec().together()) {
       for (Placement p : j.placements()) {
         Machine m = fleet.find(p.machineName());
--- a/src/main/java/dev/windbend/shard/ShardOwner.java
+++ b/src/main/java/dev/windbend/shard/ShardOwner.java
@@ -142,7 +142,7 @@
     this.board = new JobRegistry(name -> teamHere(with.layout, name), committer, pages);
     this.fleet = new Fleet(loop, with.cloud, catalog, shard, token, this);
     this.strays = new UnknownMachines(loop, with.store, fleet, with.layout.shards());
-    this.watch = new MachineHealth(fleet, catalog.zones.size(), facts.reportS(), facts.leaseS());
+    this.watch = new MachineHealth(fleet, catalog.zones().size(), facts.reportS(), facts.leaseS());
     this.loans =
         new MachineTransfers(shard, loop, fleet, guaranteedCores(with.layout), with.lender);
     OverdueJobs overdueJobs = new OverdueJobs(catalog, facts, board, fleet);
@@ -233,7 +233,7 @@
     }
     pages.allRestored();
     if (zoneMonitor != null) {
-      zoneMonitor.takeOver(catalog.zones);
+      zoneMonitor.takeOver(catalog.zones());
     }
     ready = true;
     LOG.info(
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -264,7 +264,7 @@
         j.spec().urgency().rank(),
         size(j),
         types,
-        j.spec().zone() == null ? -1 : catalog.zones.index(j.spec().zone()),
+        j.spec().zone() == null ? -1 : catalog.zones().index(j.spec().zone()),
         j.spec().together(),
         j.spec().spread(),
         j.spec().spot(),
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -133,7 +133,7 @@
             times,
             new ZoneMonitor.Records(stored::get, this::write),
             metrics);
-    made.takeOver(catalog.zones);
+    made.takeOver(catalog.zones());
     return made;
   }
 
