--- a/src/main/java/dev/windbend/daemon/IniFile.java
+++ b/src/main/java/dev/windbend/daemon/IniFile.java
@@ -69,7 +69,7 @@
     };
   }
 
-  /** Names parted by commas; none if the key is not there. */
+  /** NameIndex parted by commas; none if the key is not there. */
   List<String> names(String section, String key) {
     String text = text(section, key);
     return text == null || text.isEmpty() ? List.of() : Arrays.asList(text.split("\\s*,\\s*"));
--- a/src/main/java/dev/windbend/daemon/Main.java
+++ b/src/main/java/dev/windbend/daemon/Main.java
@@ -1,5 +1,8 @@
 package dev.windbend.daemon;
 
+import dev.windbend.runtime.HttpServer;
+import dev.windbend.runtime.UndertowHttpClient;
+import dev.windbend.runtime.XnioEventLoop;
 import dev.windbend.shard.Policy;
 import io.undertow.Undertow;
 import io.undertow.server.DefaultByteBufferPool;
@@ -127,15 +130,15 @@
 
   private void serve(
       Settings settings, Policy policy, XnioWorker worker, DefaultByteBufferPool buffers) {
-    XnioLoop loop = new XnioLoop(worker.getIoThread());
-    UndertowWeb web = new UndertowWeb(loop, buffers);
+    XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
+    UndertowHttpClient web = new UndertowHttpClient(loop, buffers);
     if (rehearse) {
       Rehearsal.run(policy, worker, buffers, loop, web);
       return;
     }
     Node node = new Node(settings, policy, loop, web);
-    Server.listen(worker, buffers, settings.peerListen(), node::servePeer);
-    Server.listen(worker, buffers, settings.clientListen(), node::serve);
+    HttpServer.listen(worker, buffers, settings.peerListen(), node::servePeer);
+    HttpServer.listen(worker, buffers, settings.clientListen(), node::serve);
     loop.after(0, node::start);
   }
 }
--- a/src/main/java/dev/windbend/daemon/Node.java
+++ b/src/main/java/dev/windbend/daemon/Node.java
@@ -1,8 +1,5 @@
 package dev.windbend.daemon;
 
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Names;
-import dev.windbend.daemon.io.Web;
 import dev.windbend.job.Cancellations;
 import dev.windbend.job.JobHandler;
 import dev.windbend.job.JobRecord;
@@ -17,6 +14,11 @@
 import dev.windbend.peer.Peers;
 import dev.windbend.peer.TransferClient;
 import dev.windbend.plan.Estimates;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.NameIndex;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 import dev.windbend.shard.Facts;
 import dev.windbend.shard.MachineRequest;
 import dev.windbend.shard.Policy;
@@ -70,7 +72,7 @@
   private final ConcurrencyLimiter gate;
   private final ShardOwner.Shared shared;
   private final Estimates estimates = new Estimates();
-  private final Names images = new Names();
+  private final NameIndex images = new NameIndex();
   private final Map<Integer, ShardOwner> owners = new LinkedHashMap<>();
   private final MachineIndex directory = new MachineIndex();
   private final Progress progress = new Progress();
@@ -78,7 +80,7 @@
   private final MeterRegistry meters = new SimpleMeterRegistry();
   private final Map<Integer, Counter> answered = new HashMap<>();
 
-  public Node(Settings settings, Policy policy, EventLoop loop, Web web) {
+  public Node(Settings settings, Policy policy, EventLoop loop, HttpClient web) {
     this.settings = settings;
     this.policy = policy;
     Settings.Facts f = settings.facts();
@@ -260,8 +262,8 @@
   // ---- doors
 
   /** What users, workers and health checks reach. */
-  public void serve(Web.Request request, Consumer<Web.Answer> done) {
-    Consumer<Web.Answer> counted =
+  public void serve(ServerRequest request, Consumer<ServerResponse> done) {
+    Consumer<ServerResponse> counted =
         a -> {
           answered
               .computeIfAbsent(
@@ -277,24 +279,26 @@
     if (path.equals("/hello")) {
       method("POST", request, counted, () -> hello(request.body(), counted));
     } else if (path.equals("/up")) {
-      method("GET", request, counted, () -> counted.accept(Web.Answer.bare(up() ? 200 : 503)));
+      method(
+          "GET", request, counted, () -> counted.accept(ServerResponse.ofStatus(up() ? 200 : 503)));
     } else if (JobHandler.serves(path)) {
       gate.handle(request, counted);
     } else {
-      counted.accept(Web.Answer.bare(404));
+      counted.accept(ServerResponse.ofStatus(404));
     }
   }
 
   /** What the other nodes and operators reach. */
-  public void servePeer(Web.Request request, Consumer<Web.Answer> done) {
+  public void servePeer(ServerRequest request, Consumer<ServerResponse> done) {
     switch (request.path()) {
       case Peers.PATH -> method("POST", request, done, () -> done.accept(peers.view(request)));
       case Peers.CANCELLED -> method("POST", request, done, () -> done.accept(peers.told(request)));
       case TransferClient.PATH -> method("POST", request, done, () -> lending.serve(request, done));
       case "/metrics" ->
-          method("GET", request, done, () -> done.accept(Web.Answer.of(200, metrics())));
-      case ZONES -> method("GET", request, done, () -> done.accept(Web.Answer.of(200, zones())));
-      default -> done.accept(Web.Answer.bare(404));
+          method("GET", request, done, () -> done.accept(ServerResponse.of(200, metrics())));
+      case ZONES ->
+          method("GET", request, done, () -> done.accept(ServerResponse.of(200, zones())));
+      default -> done.accept(ServerResponse.ofStatus(404));
     }
   }
 
@@ -318,11 +322,11 @@
   }
 
   private static void method(
-      String wanted, Web.Request request, Consumer<Web.Answer> done, Runnable handler) {
+      String wanted, ServerRequest request, Consumer<ServerResponse> done, Runnable handler) {
     if (request.method().equals(wanted)) {
       handler.run();
     } else {
-      done.accept(Web.Answer.bare(405));
+      done.accept(ServerResponse.ofStatus(405));
     }
   }
 
@@ -376,15 +380,15 @@
 
   // ---- workers
 
-  private void hello(byte[] body, Consumer<Web.Answer> done) {
+  private void hello(byte[] body, Consumer<ServerResponse> done) {
     if (!replica.synced()) {
       // Whose machine it is can't be told yet, and reading the report would delay the mirror.
-      done.accept(Web.Answer.bare(503));
+      done.accept(ServerResponse.ofStatus(503));
       return;
     }
     WorkerMessages.Report r = ReportReader.read(body);
     if (r == null) {
-      done.accept(Web.Answer.bare(400));
+      done.accept(ServerResponse.ofStatus(400));
       return;
     }
     claims.heardWorker();
@@ -403,13 +407,13 @@
       String owner = claims.owner(home);
       done.accept(
           owner == null || owner.equals(settings.node())
-              ? Web.Answer.bare(503)
-              : Web.Answer.of(421, new WorkerMessages.Elsewhere(owner)));
+              ? ServerResponse.ofStatus(503)
+              : ServerResponse.of(421, new WorkerMessages.Elsewhere(owner)));
       return;
     }
     if (shard < 0 && !directory.knew(r.machine())) {
       mine.stray(r);
     }
-    done.accept(Web.Answer.bare(503));
+    done.accept(ServerResponse.ofStatus(503));
   }
 }
--- a/src/main/java/dev/windbend/daemon/Rehearsal.java
+++ b/src/main/java/dev/windbend/daemon/Rehearsal.java
@@ -1,5 +1,8 @@
 package dev.windbend.daemon;
 
+import dev.windbend.runtime.HttpServer;
+import dev.windbend.runtime.UndertowHttpClient;
+import dev.windbend.runtime.XnioEventLoop;
 import dev.windbend.shard.Policy;
 import io.undertow.connector.ByteBufferPool;
 import java.net.InetSocketAddress;
@@ -25,15 +28,19 @@
   private final Policy policy;
   private final XnioWorker worker;
   private final ByteBufferPool buffers;
-  private final XnioLoop loop;
-  private final UndertowWeb web;
+  private final XnioEventLoop loop;
+  private final UndertowHttpClient web;
   private final RehearsalServices services;
   private final Map<String, RehearsalWorker> workers = new LinkedHashMap<>();
   private String controller;
   private int submitted;
 
   private Rehearsal(
-      Policy policy, XnioWorker worker, ByteBufferPool buffers, XnioLoop loop, UndertowWeb web) {
+      Policy policy,
+      XnioWorker worker,
+      ByteBufferPool buffers,
+      XnioEventLoop loop,
+      UndertowHttpClient web) {
     this.policy = policy;
     this.worker = worker;
     this.buffers = buffers;
@@ -96,13 +103,17 @@
   }
 
   static void run(
-      Policy policy, XnioWorker worker, ByteBufferPool buffers, XnioLoop loop, UndertowWeb web) {
+      Policy policy,
+      XnioWorker worker,
+      ByteBufferPool buffers,
+      XnioEventLoop loop,
+      UndertowHttpClient web) {
     new Rehearsal(policy, worker, buffers, loop, web).start();
   }
 
   private void start() {
     InetSocketAddress servicesAddress =
-        Server.listen(worker, buffers, "127.0.0.1:0", services::serve);
+        HttpServer.listen(worker, buffers, "127.0.0.1:0", services::serve);
     startController(servicesAddress);
     loop.every(STEP_MS, this::step);
     loop.after(TAKEOVER_MS, () -> startController(servicesAddress));
@@ -121,7 +132,7 @@
       throw new IllegalStateException(e);
     }
     Node node = new Node(settings, policy, loop, web);
-    InetSocketAddress address = Server.listen(worker, buffers, "127.0.0.1:0", node::serve);
+    InetSocketAddress address = HttpServer.listen(worker, buffers, "127.0.0.1:0", node::serve);
     controller = "127.0.0.1:" + address.getPort();
     loop.after(0, node::start);
   }
--- a/src/main/java/dev/windbend/daemon/RehearsalServices.java
+++ b/src/main/java/dev/windbend/daemon/RehearsalServices.java
@@ -2,9 +2,10 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.Json;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -32,12 +33,12 @@
     this.loop = loop;
   }
 
-  /** Names of all machines that were rented. */
+  /** NameIndex of all machines that were rented. */
   List<String> machines() {
     return List.copyOf(machines);
   }
 
-  void serve(Web.Request request, Consumer<Web.Answer> done) {
+  void serve(ServerRequest request, Consumer<ServerResponse> done) {
     String path = request.path();
     if (path.equals("/follow")) {
       loop.after(WATCH_MS, () -> done.accept(follow(request)));
@@ -46,29 +47,29 @@
     }
   }
 
-  private Web.Answer answer(String path, Web.Request request) {
+  private ServerResponse answer(String path, ServerRequest request) {
     if (path.startsWith("/keys/")) {
       Map<String, Object> pair = pairs.get(path.substring("/keys/".length()));
       return pair == null
-          ? Web.Answer.of(404, Map.of("ledger", revision))
-          : Web.Answer.of(200, pair);
+          ? ServerResponse.of(404, Map.of("ledger", revision))
+          : ServerResponse.of(200, pair);
     }
     return switch (path) {
       case "/keys" -> list(request.query().get("prefix"));
       case "/txn" -> commit(tree(request));
       case "/hosts" -> request.method().equals("GET") ? listMachines() : rent(tree(request));
-      case "/machine_types" -> Web.Answer.of(200, Map.of("rigs", List.of(machineType())));
-      default -> Web.Answer.of(200, Map.of("permit", 1));
+      case "/machine_types" -> ServerResponse.of(200, Map.of("rigs", List.of(machineType())));
+      default -> ServerResponse.of(200, Map.of("permit", 1));
     };
   }
 
-  private Web.Answer list(String prefix) {
+  private ServerResponse list(String prefix) {
     List<Object> found =
         new ArrayList<>(pairs.subMap(prefix, prefix + Character.MAX_VALUE).values());
-    return Web.Answer.of(200, Map.of("pairs", found, "has_next", false, "ledger", revision));
+    return ServerResponse.of(200, Map.of("pairs", found, "has_next", false, "ledger", revision));
   }
 
-  private Web.Answer follow(Web.Request request) {
+  private ServerResponse follow(ServerRequest request) {
     long from = Long.parseLong(request.query().get("from"));
     List<Object> newer = new ArrayList<>();
     for (Map<String, Object> change : changes) {
@@ -76,10 +77,10 @@
         newer.add(change);
       }
     }
-    return Web.Answer.of(200, Map.of("ledger", revision, "log", newer));
+    return ServerResponse.of(200, Map.of("ledger", revision, "log", newer));
   }
 
-  private Web.Answer commit(JsonNode transaction) {
+  private ServerResponse commit(JsonNode transaction) {
     List<String> failed = new ArrayList<>();
     for (JsonNode condition : transaction.path("when")) {
       String key = condition.path("path").asText();
@@ -89,13 +90,13 @@
       }
     }
     if (!failed.isEmpty()) {
-      return Web.Answer.of(409, Map.of("failed", failed, "ledger", revision));
+      return ServerResponse.of(409, Map.of("failed", failed, "ledger", revision));
     }
     revision++;
     for (JsonNode change : transaction.path("then")) {
       apply(change);
     }
-    return Web.Answer.of(200, Map.of("ledger", revision));
+    return ServerResponse.of(200, Map.of("ledger", revision));
   }
 
   private void apply(JsonNode change) {
@@ -110,7 +111,7 @@
     changes.add(Map.of("set", key, "v", change.path("v"), "stamp", revision));
   }
 
-  private Web.Answer rent(JsonNode request) {
+  private ServerResponse rent(JsonNode request) {
     String name = request.path("hire").asText();
     if (!rentals.containsKey(name)) {
       List<String> rented = new ArrayList<>();
@@ -122,11 +123,11 @@
     }
     List<String> rented = rentals.get(name);
     return rented.isEmpty()
-        ? Web.Answer.of(503, Map.of("error", "no capacity"))
-        : Web.Answer.of(200, Map.of("trucks", rented));
+        ? ServerResponse.of(503, Map.of("error", "no capacity"))
+        : ServerResponse.of(200, Map.of("trucks", rented));
   }
 
-  private Web.Answer listMachines() {
+  private ServerResponse listMachines() {
     List<Object> listed = new ArrayList<>();
     for (String machine : machines) {
       listed.add(
@@ -134,7 +135,7 @@
               "uid", machine, "rig", "t", "yard", "zone", "standby", true, "status", "running",
               "age_s", 9));
     }
-    return Web.Answer.of(200, Map.of("trucks", listed, "has_next", false));
+    return ServerResponse.of(200, Map.of("trucks", listed, "has_next", false));
   }
 
   private static Map<String, Object> machineType() {
@@ -152,7 +153,7 @@
     return type;
   }
 
-  private static JsonNode tree(Web.Request request) {
+  private static JsonNode tree(ServerRequest request) {
     try {
       return Json.tree(new JsonFactory().createParser(request.body()));
     } catch (IOException e) {
--- a/src/main/java/dev/windbend/daemon/RehearsalWorker.java
+++ b/src/main/java/dev/windbend/daemon/RehearsalWorker.java
@@ -1,8 +1,8 @@
 package dev.windbend.daemon;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.Json;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -13,7 +13,7 @@
   private static final int REPORTS_A_TASK = 4;
   private static final long LIMIT_MS = 1_000;
 
-  private final Web web;
+  private final HttpClient web;
   private final String machine;
   private final Map<String, RunningTask> tasks = new LinkedHashMap<>();
   private long token;
@@ -33,7 +33,7 @@
     }
   }
 
-  RehearsalWorker(Web web, String machine) {
+  RehearsalWorker(HttpClient web, String machine) {
     this.web = web;
     this.machine = machine;
   }
--- a/src/main/java/dev/windbend/daemon/TomlTable.java
+++ b/src/main/java/dev/windbend/daemon/TomlTable.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dev/windbend/job/Cancellations.java
+++ b/src/main/java/dev/windbend/job/Cancellations.java
@@ -1,7 +1,7 @@
 package dev.windbend.job;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.Replica;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/dev/windbend/job/Job.java
+++ b/src/main/java/dev/windbend/job/Job.java
@@ -1,6 +1,6 @@
 package dev.windbend.job;
 
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.PageEntry;
 import dev.windbend.store.PendingWrite;
 import dev.windbend.store.TransactionBuilder;
@@ -110,7 +110,7 @@
     return backOffs;
   }
 
-  /** Names of the machines on which its tasks have failed since its last back-off. */
+  /** NameIndex of the machines on which its tasks have failed since its last back-off. */
   public Iterable<String> failedMachines() {
     return failedMachines;
   }
--- a/src/main/java/dev/windbend/job/JobHandler.java
+++ b/src/main/java/dev/windbend/job/JobHandler.java
@@ -1,7 +1,8 @@
 package dev.windbend.job;
 
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 import dev.windbend.store.Outcome;
 import dev.windbend.store.Replica;
 import dev.windbend.store.StoreClient;
@@ -44,7 +45,7 @@
   /** Why a job can never run; null: it can. */
   public record Verdict(String never) {}
 
-  private record Accepting(JobRecord.Live record, Consumer<Web.Answer> done) {}
+  private record Accepting(JobRecord.Live record, Consumer<ServerResponse> done) {}
 
   /**
    * @param tellOthers tells the other nodes of a cancellation that their mirrors may lack; the
@@ -74,11 +75,11 @@
     return path.equals(JOBS) || path.startsWith(JOBS + "/");
   }
 
-  public static boolean submits(Web.Request request) {
+  public static boolean submits(ServerRequest request) {
     return request.path().equals(JOBS);
   }
 
-  public void handle(Web.Request request, Consumer<Web.Answer> done) {
+  public void handle(ServerRequest request, Consumer<ServerResponse> done) {
     String rest = request.path().substring(JOBS.length());
     if (rest.isEmpty()) {
       only("POST", request, done, () -> submit(request.body(), done));
@@ -90,20 +91,20 @@
     } else if (segments.length == 2 && segments[1].equals("cancel")) {
       only("POST", request, done, () -> cancel(segments[0], CANCEL_TRIES, done));
     } else {
-      done.accept(Web.Answer.bare(404));
+      done.accept(ServerResponse.ofStatus(404));
     }
   }
 
   private static void only(
-      String method, Web.Request request, Consumer<Web.Answer> done, Runnable handler) {
+      String method, ServerRequest request, Consumer<ServerResponse> done, Runnable handler) {
     if (request.method().equals(method)) {
       handler.run();
     } else {
-      done.accept(Web.Answer.bare(405));
+      done.accept(ServerResponse.ofStatus(405));
     }
   }
 
-  private void submit(byte[] body, Consumer<Web.Answer> done) {
+  private void submit(byte[] body, Consumer<ServerResponse> done) {
     JobSpec spec;
     try {
       spec = SubmissionValidator.read(body);
@@ -113,7 +114,7 @@
     }
     Verdict verdict = fitness.judge(spec);
     if (verdict == null) {
-      done.accept(Web.Answer.later(1));
+      done.accept(ServerResponse.retryAfter(1));
       return;
     }
     if (verdict.never() != null) {
@@ -122,7 +123,7 @@
           spec.uid(),
           found -> {
             if (!found.sure()) {
-              done.accept(Web.Answer.later(1));
+              done.accept(ServerResponse.retryAfter(1));
             } else if (found.live() == null && found.over() == null) {
               done.accept(problem(422, verdict.never()));
             } else {
@@ -165,7 +166,7 @@
                       LOG.debug("accepted {}", a.record().spec().uid());
                       a.done()
                           .accept(
-                              Web.Answer.of(
+                              ServerResponse.of(
                                   201,
                                   UserMessages.Status.of(
                                       a.record().spec().uid(), Statuses.PENDING, null, null)));
@@ -181,23 +182,23 @@
                         accepting.add(a);
                       }
                     });
-            default -> group.forEach(a -> a.done().accept(Web.Answer.later(1)));
+            default -> group.forEach(a -> a.done().accept(ServerResponse.retryAfter(1)));
           }
           write();
         });
   }
 
-  private void poll(String uid, Consumer<Web.Answer> done) {
+  private void poll(String uid, Consumer<ServerResponse> done) {
     if (!SubmissionValidator.isUid(uid)) {
-      done.accept(Web.Answer.bare(404));
+      done.accept(ServerResponse.ofStatus(404));
       return;
     }
     lookup.find(uid, found -> done.accept(status(uid, found)));
   }
 
-  private void cancel(String uid, int tries, Consumer<Web.Answer> done) {
+  private void cancel(String uid, int tries, Consumer<ServerResponse> done) {
     if (!SubmissionValidator.isUid(uid)) {
-      done.accept(Web.Answer.bare(404));
+      done.accept(ServerResponse.ofStatus(404));
       return;
     }
     lookup.find(
@@ -218,31 +219,31 @@
                   LOG.info("cancelled {}", uid);
                   confirm(uid, outcome.revision());
                   done.accept(
-                      Web.Answer.of(
+                      ServerResponse.of(
                           200, UserMessages.Status.of(uid, Statuses.CANCELLED, null, null)));
                 } else if (outcome.kind() == Outcome.Kind.CONFLICT && tries > 1) {
                   cancel(uid, tries - 1, done);
                 } else {
-                  done.accept(Web.Answer.later(1));
+                  done.accept(ServerResponse.retryAfter(1));
                 }
               });
         });
   }
 
-  private Web.Answer status(String uid, Lookup.Found found) {
+  private ServerResponse status(String uid, Lookup.Found found) {
     if (!found.sure()) {
-      return Web.Answer.later(1);
+      return ServerResponse.retryAfter(1);
     }
     if (found.over() != null) {
-      return Web.Answer.of(
+      return ServerResponse.of(
           200, UserMessages.Status.of(uid, found.over().status(), found.over().done(), 0));
     }
     if (found.live() == null) {
-      return Web.Answer.bare(404);
+      return ServerResponse.ofStatus(404);
     }
     JobRecord.Live live = found.record();
     if (live == null) {
-      return Web.Answer.later(1);
+      return ServerResponse.retryAfter(1);
     }
     if (live.cancelled()) {
       confirm(uid, found.live().version());
@@ -253,7 +254,7 @@
             ? Statuses.CANCELLED
             : tasks.running() > 0 ? Statuses.RUNNING : Statuses.PENDING;
     String reason = status.equals(Statuses.PENDING) ? waitsFor.apply(live.spec()) : null;
-    return Web.Answer.of(
+    return ServerResponse.of(
         200, new UserMessages.Status(uid, status, tasks.done(), tasks.running(), reason));
   }
 
@@ -263,7 +264,7 @@
     }
   }
 
-  private static Web.Answer problem(int status, String why) {
-    return Web.Answer.of(status, new UserMessages.Problem(why));
+  private static ServerResponse problem(int status, String why) {
+    return ServerResponse.of(status, new UserMessages.Problem(why));
   }
 }
--- a/src/main/java/dev/windbend/job/JobRegistry.java
+++ b/src/main/java/dev/windbend/job/JobRegistry.java
@@ -1,7 +1,7 @@
 package dev.windbend.job;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.Committer;
 import dev.windbend.store.PageEntry;
 import dev.windbend.store.PagedStore;
--- a/src/main/java/dev/windbend/machine/CloudClient.java
+++ b/src/main/java/dev/windbend/machine/CloudClient.java
@@ -1,8 +1,9 @@
 package dev.windbend.machine;
 
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.Rate;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -15,7 +16,7 @@
   private static final long LIMIT_MS = 4_000;
 
   private final EventLoop loop;
-  private final Web web;
+  private final HttpClient web;
   private final String address;
   private final Rate rate;
   private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
@@ -32,7 +33,7 @@
     void done(Rented how, List<String> machines);
   }
 
-  public CloudClient(EventLoop loop, Web web, String address, double rps, int nodes) {
+  public CloudClient(EventLoop loop, HttpClient web, String address, double rps, int nodes) {
     this.loop = loop;
     this.web = web;
     this.address = address;
@@ -114,16 +115,20 @@
         });
   }
 
-  private void call(String method, String path, byte[] body, Consumer<Web.Reply> done) {
+  private void call(String method, String path, byte[] body, Consumer<ClientResponse> done) {
     call(method, path, body, () -> true, done);
   }
 
   private void call(
-      String method, String path, byte[] body, BooleanSupplier still, Consumer<Web.Reply> done) {
+      String method,
+      String path,
+      byte[] body,
+      BooleanSupplier still,
+      Consumer<ClientResponse> done) {
     queue.add(
         () -> {
           if (!still.getAsBoolean()) {
-            done.accept(Web.Reply.NONE);
+            done.accept(ClientResponse.NO_RESPONSE);
             return;
           }
           web.call(
--- a/src/main/java/dev/windbend/machine/Fleet.java
+++ b/src/main/java/dev/windbend/machine/Fleet.java
@@ -1,6 +1,6 @@
 package dev.windbend.machine;
 
-import dev.windbend.daemon.io.EventLoop;
+import dev.windbend.runtime.EventLoop;
 import dev.windbend.store.PendingWrite;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.ArrayList;
--- a/src/main/java/dev/windbend/machine/MachineIndex.java
+++ b/src/main/java/dev/windbend/machine/MachineIndex.java
@@ -1,6 +1,6 @@
 package dev.windbend.machine;
 
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.VersionedValue;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
+++ b/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
@@ -1,7 +1,7 @@
 package dev.windbend.machine;
 
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Names;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.NameIndex;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -10,8 +10,8 @@
   private static final long FRESH_MS = 30_000;
   private static final long RETRY_MS = 1_000;
 
-  private final Names zones = new Names();
-  private final Names typeNames = new Names();
+  private final NameIndex zones = new NameIndex();
+  private final NameIndex typeNames = new NameIndex();
   private final List<MachineType> types = new ArrayList<>();
   private final EventLoop loop;
   private final CloudClient cloud;
@@ -23,7 +23,7 @@
   }
 
   /** The zones' names and their dense indexes. */
-  public Names zones() {
+  public NameIndex zones() {
     return zones;
   }
 
--- a/src/main/java/dev/windbend/machine/UnknownMachines.java
+++ b/src/main/java/dev/windbend/machine/UnknownMachines.java
@@ -1,7 +1,7 @@
 package dev.windbend.machine;
 
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.StoreClient;
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/src/main/java/dev/windbend/overload/ConcurrencyLimiter.java
+++ b/src/main/java/dev/windbend/overload/ConcurrencyLimiter.java
@@ -2,8 +2,10 @@
 
 import com.netflix.concurrency.limits.Limit;
 import com.netflix.concurrency.limits.limit.Gradient2Limit;
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.RequestHandler;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
@@ -20,13 +22,13 @@
   private static final double FOR_NEW = 0.7;
 
   private final EventLoop loop;
-  private final Predicate<Web.Request> isNew;
-  private final Web.Door inner;
+  private final Predicate<ServerRequest> isNew;
+  private final RequestHandler inner;
   private final Limit limit =
       Gradient2Limit.newBuilder().initialLimit(FIRST).minLimit(LEAST).maxConcurrency(MOST).build();
   private int inProgress;
 
-  public ConcurrencyLimiter(EventLoop loop, Predicate<Web.Request> isNew, Web.Door inner) {
+  public ConcurrencyLimiter(EventLoop loop, Predicate<ServerRequest> isNew, RequestHandler inner) {
     this.loop = loop;
     this.isNew = isNew;
     this.inner = inner;
@@ -36,9 +38,9 @@
     return limit.getLimit();
   }
 
-  public void handle(Web.Request request, Consumer<Web.Answer> done) {
+  public void handle(ServerRequest request, Consumer<ServerResponse> done) {
     if (inProgress >= limit.getLimit() * (isNew.test(request) ? FOR_NEW : 1)) {
-      done.accept(Web.Answer.later(1));
+      done.accept(ServerResponse.retryAfter(1));
       return;
     }
     int now = ++inProgress;
--- a/src/main/java/dev/windbend/peer/Peers.java
+++ b/src/main/java/dev/windbend/peer/Peers.java
@@ -1,11 +1,13 @@
 package dev.windbend.peer;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.Web;
 import dev.windbend.job.Cancellations;
 import dev.windbend.job.Cancellations.Cancelled;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.Json;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 import dev.windbend.store.StoreClient;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -32,7 +34,7 @@
   private static final long TELL_GAP_MS = 50;
 
   private final EventLoop loop;
-  private final Web web;
+  private final HttpClient web;
   private final StoreClient store;
   private final List<String> addresses;
   private final long keepMs;
@@ -64,7 +66,7 @@
    */
   public Peers(
       EventLoop loop,
-      Web web,
+      HttpClient web,
       StoreClient store,
       List<String> addresses,
       long keepMs,
@@ -120,13 +122,13 @@
   }
 
   /** Another node has confirmed cancellations to users. */
-  public Web.Answer told(Web.Request request) {
+  public ServerResponse told(ServerRequest request) {
     Told t = Json.read(request.body(), Told.class);
     if (t == null || t.cancelled() == null || t.cancelled().stream().anyMatch(Objects::isNull)) {
-      return Web.Answer.bare(400);
+      return ServerResponse.ofStatus(400);
     }
     cancellations.learn(t.cancelled());
-    return Web.Answer.bare(200);
+    return ServerResponse.ofStatus(200);
   }
 
   /** Another node was served a moment ago, while we were not. */
@@ -159,11 +161,11 @@
         && loop.nowMs() - heardMs >= 2 * PAUSE_MS + FRESH_MS;
   }
 
-  public Web.Answer view(Web.Request request) {
+  public ServerResponse view(ServerRequest request) {
     Ask a = Json.read(request.body(), Ask.class);
     return a == null
-        ? Web.Answer.bare(400)
-        : Web.Answer.of(
+        ? ServerResponse.ofStatus(400)
+        : ServerResponse.of(
             200, new View(loop.nowMs() - store.servedMs(), cancellations.since(a.knownUpTo())));
   }
 
--- a/src/main/java/dev/windbend/peer/TransferClient.java
+++ b/src/main/java/dev/windbend/peer/TransferClient.java
@@ -1,8 +1,10 @@
 package dev.windbend.peer;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.Json;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 import dev.windbend.shard.MachineRequest;
 import dev.windbend.shard.ShardOwner;
 import java.util.Map;
@@ -17,7 +19,7 @@
   public static final String PATH = "/peer/lend";
   private static final long LIMIT_MS = 400;
 
-  private final Web web;
+  private final HttpClient web;
   private final int shards;
   private final IntFunction<String> ownerOf;
   private final Map<String, String> addresses;
@@ -38,7 +40,7 @@
   }
 
   public TransferClient(
-      Web web,
+      HttpClient web,
       int shards,
       IntFunction<String> ownerOf,
       Map<String, String> addresses,
@@ -93,13 +95,13 @@
         });
   }
 
-  public void serve(Web.Request request, Consumer<Web.Answer> done) {
+  public void serve(ServerRequest request, Consumer<ServerResponse> done) {
     Ask ask = Json.read(request.body(), Ask.class);
     if (ask == null || !ask.valid(shards)) {
-      done.accept(Web.Answer.bare(400));
+      done.accept(ServerResponse.ofStatus(400));
       return;
     }
     MachineRequest.Reply given = local.lend(ask.from(), ask.to(), ask.request());
-    done.accept(Web.Answer.of(200, given == null ? MachineRequest.Reply.NOTHING : given));
+    done.accept(ServerResponse.of(200, given == null ? MachineRequest.Reply.NOTHING : given));
   }
 }
--- a/src/main/java/dev/windbend/daemon/io/EventLoop.java
+++ b/src/main/java/dev/windbend/runtime/EventLoop.java
@@ -1,6 +1,9 @@
-package dev.windbend.daemon.io;
+package dev.windbend.runtime;
 
-/** The one thread that owns all state: its clocks and its timers. Tests put virtual time here. */
+/**
+ * The clocks and timers of the one thread that owns all state of a controller. All callbacks run on
+ * it, so state needs no locks. Tests run it in virtual time.
+ */
 public interface EventLoop {
   /**
    * The share by which durations that two machines measure may differ: twice the drift that the
@@ -8,12 +11,17 @@
    */
   double CLOCK_DRIFT = 0.001;
 
-  /** Steady clock; only differences mean anything. */
+  /** The monotonic clock, in milliseconds; only differences mean anything. */
   long nowMs();
 
-  /** Time of day, within the bound the settings give. */
+  /** The wall clock, in milliseconds since 1970; may differ between machines by the set skew. */
   long wallMs();
 
+  /**
+   * Runs the task once, after the delay.
+   *
+   * @param delayMs 0 or less: as soon as what runs now is done
+   */
   Timer after(long delayMs, Runnable task);
 
   /** Runs the task again and again, the given pause after each run. */
@@ -28,6 +36,7 @@
 
   /** A timer that has not fired yet. */
   interface Timer {
+    /** The task does not run, unless it already has. */
     void cancel();
   }
 }
--- /dev/null
+++ b/src/main/java/dev/windbend/runtime/HttpServer.java
@@ -0,0 +1,98 @@
+package dev.windbend.runtime;
+
+import io.undertow.Undertow;
+import io.undertow.UndertowOptions;
+import io.undertow.connector.ByteBufferPool;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.server.RequestTooBigException;
+import io.undertow.util.Headers;
+import io.undertow.util.SameThreadExecutor;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.util.HashMap;
+import java.util.Map;
+import org.xnio.Options;
+import org.xnio.XnioWorker;
+
+/** Listens on one address and hands each request, read whole, to a {@link RequestHandler}. */
+public final class HttpServer {
+  private static final long MAX_BODY_BYTES = 64 * 1024;
+  private static final int IDLE_TIMEOUT_MS = 120_000;
+  private static final int PARSE_TIMEOUT_MS = 10_000;
+
+  private HttpServer() {}
+
+  /**
+   * Starts to listen; requests are handled on the worker's I/O thread.
+   *
+   * @param address host and port, as {@code host:port}; port 0: any free one
+   * @return the address listened on
+   */
+  public static InetSocketAddress listen(
+      XnioWorker worker, ByteBufferPool buffers, String address, RequestHandler handler) {
+    int colon = address.lastIndexOf(':');
+    Undertow server =
+        Undertow.builder()
+            .setWorker(worker)
+            .setByteBufferPool(buffers)
+            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
+            .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MS)
+            .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_TIMEOUT_MS)
+            .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
+            .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
+            .setSocketOption(Options.TCP_NODELAY, true)
+            .setSocketOption(Options.REUSE_ADDRESSES, true)
+            .addHttpListener(
+                Integer.parseInt(address.substring(colon + 1)),
+                address.substring(0, colon),
+                exchange ->
+                    exchange.dispatch(
+                        SameThreadExecutor.INSTANCE, () -> receive(exchange, handler)))
+            .build();
+    server.start();
+    return (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
+  }
+
+  private static void receive(HttpServerExchange exchange, RequestHandler handler) {
+    exchange
+        .getRequestReceiver()
+        .receiveFullBytes(
+            (received, body) ->
+                XnioEventLoop.run(
+                    () ->
+                        handler.handle(
+                            request(received, body), response -> respond(received, response))),
+            HttpServer::rejectUnreadable);
+  }
+
+  private static ServerRequest request(HttpServerExchange exchange, byte[] body) {
+    Map<String, String> query = new HashMap<>();
+    exchange.getQueryParameters().forEach((name, values) -> query.put(name, values.peekFirst()));
+    return new ServerRequest(
+        exchange.getRequestMethod().toString(), exchange.getRequestPath(), query, body);
+  }
+
+  /** The body is too large, or broke off: it is not read further. */
+  private static void rejectUnreadable(HttpServerExchange exchange, IOException failure) {
+    exchange.setPersistent(false);
+    boolean tooLarge =
+        exchange.getRequestContentLength() > MAX_BODY_BYTES
+            || failure instanceof RequestTooBigException;
+    respond(
+        exchange,
+        ServerResponse.ofStatus(tooLarge ? HttpStatus.PAYLOAD_TOO_LARGE : HttpStatus.BAD_REQUEST));
+  }
+
+  private static void respond(HttpServerExchange exchange, ServerResponse response) {
+    if (exchange.isResponseStarted()) {
+      return;
+    }
+    exchange.setStatusCode(response.status());
+    exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+    if (response.retryAfterS() > 0) {
+      exchange.getResponseHeaders().put(Headers.RETRY_AFTER, response.retryAfterS());
+    }
+    exchange.getResponseSender().send(ByteBuffer.wrap(response.body()));
+  }
+}
--- a/src/main/java/dev/windbend/daemon/io/Json.java
+++ b/src/main/java/dev/windbend/runtime/Json.java
@@ -1,4 +1,4 @@
-package dev.windbend.daemon.io;
+package dev.windbend.runtime;
 
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.core.JsonParser;
@@ -22,6 +22,11 @@
 
   private Json() {}
 
+  /**
+   * The message as JSON.
+   *
+   * @throws IllegalStateException if its type can't be written, which is a fault of the program
+   */
   public static byte[] write(Object message) {
     try {
       return MAPPER.writeValueAsBytes(message);
@@ -53,6 +58,7 @@
     return MAPPER.readTree(parser);
   }
 
+  /** The message as a tree. */
   public static JsonNode tree(Object message) {
     return MAPPER.valueToTree(message);
   }
--- /dev/null
+++ b/src/main/java/dev/windbend/runtime/PendingCall.java
@@ -0,0 +1,207 @@
+package dev.windbend.runtime;
+
+import io.undertow.client.ClientCallback;
+import io.undertow.client.ClientConnection;
+import io.undertow.client.ClientExchange;
+import io.undertow.client.ClientRequest;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import io.undertow.util.StringWriteChannelListener;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.xnio.IoUtils;
+import org.xnio.channels.StreamSourceChannel;
+
+/** One HTTP call from its submission to its response or time-out. */
+final class PendingCall {
+  private static final Logger LOG = LoggerFactory.getLogger(PendingCall.class);
+  private static final int READ_BUFFER_BYTES = 8_192;
+  private static final int EXPECTED_RESPONSE_BYTES = 256;
+
+  private final XnioEventLoop loop;
+  private final ConnectionPool pool;
+  private final String method;
+  private final String path;
+  private final byte[] body;
+  private final Consumer<ClientResponse> done;
+  private final ByteArrayOutputStream received = new ByteArrayOutputStream(EXPECTED_RESPONSE_BYTES);
+  private EventLoop.Timer timeout;
+  private long timeoutAtMs;
+  private ClientConnection connection;
+  private boolean connecting;
+  private boolean finished;
+
+  PendingCall(
+      XnioEventLoop loop,
+      ConnectionPool pool,
+      String method,
+      String path,
+      byte[] body,
+      Consumer<ClientResponse> done) {
+    this.loop = loop;
+    this.pool = pool;
+    this.method = method;
+    this.path = path;
+    this.body = body;
+    this.done = done;
+  }
+
+  void startTimeout(long timeoutMs) {
+    timeoutAtMs = loop.nowMs() + timeoutMs;
+    timeout = loop.after(timeoutMs, this::timedOut);
+  }
+
+  void connectionRequested() {
+    connecting = true;
+  }
+
+  void connected(ClientConnection opened) {
+    if (finished) {
+      // Timed out meanwhile; the pool counts the connection no more.
+      IoUtils.safeClose(opened);
+      return;
+    }
+    connecting = false;
+    send(opened);
+  }
+
+  void connectionFailed() {
+    if (!finished) {
+      connecting = false;
+      pool.releaseClosed();
+      finish(ClientResponse.NO_RESPONSE);
+    }
+  }
+
+  void finish(ClientResponse response) {
+    if (!finished) {
+      finished = true;
+      timeout.cancel();
+      XnioEventLoop.run(() -> done.accept(response));
+    }
+  }
+
+  private void timedOut() {
+    if (finished) {
+      return;
+    }
+    LOG.debug("request timed out: method={} address={} path={}", method, pool.address(), path);
+    pool.remove(this);
+    if (connecting) {
+      pool.releaseClosed();
+    }
+    closeConnection();
+    finish(ClientResponse.NO_RESPONSE);
+  }
+
+  private void closeConnection() {
+    if (connection != null) {
+      ClientConnection closed = connection;
+      connection = null;
+      IoUtils.safeClose(closed);
+      pool.releaseClosed();
+    }
+  }
+
+  private void failed(IOException e) {
+    LOG.debug(
+        "request failed: method={} address={} path={} cause={}",
+        method,
+        pool.address(),
+        path,
+        e.toString());
+    if (!finished) {
+      closeConnection();
+      finish(ClientResponse.NO_RESPONSE);
+    }
+  }
+
+  void send(ClientConnection over) {
+    connection = over;
+    if (loop.nowMs() >= timeoutAtMs) {
+      // This process stood still: what it meant to say then may be wrong by now.
+      timedOut();
+      return;
+    }
+    connection.sendRequest(
+        request(),
+        new ResponseCallback() {
+          @Override
+          public void completed(ClientExchange exchange) {
+            awaitResponse(exchange);
+            writeBody(exchange);
+          }
+        });
+  }
+
+  private ClientRequest request() {
+    ClientRequest request = new ClientRequest().setMethod(new HttpString(method)).setPath(path);
+    request.getRequestHeaders().put(Headers.HOST, pool.address());
+    if (body != null) {
+      request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
+      request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
+    }
+    return request;
+  }
+
+  private void awaitResponse(ClientExchange exchange) {
+    exchange.setResponseListener(
+        new ResponseCallback() {
+          @Override
+          public void completed(ClientExchange responded) {
+            read(responded, responded.getResponseChannel());
+          }
+        });
+  }
+
+  private void writeBody(ClientExchange exchange) {
+    if (body != null && body.length > 0) {
+      new StringWriteChannelListener(new String(body, StandardCharsets.UTF_8))
+          .setup(exchange.getRequestChannel());
+    }
+  }
+
+  /** Reads what has arrived, and goes on once more arrives, up to the end of the body. */
+  private void read(ClientExchange exchange, StreamSourceChannel channel) {
+    ByteBuffer chunk = ByteBuffer.allocate(READ_BUFFER_BYTES);
+    try {
+      while (true) {
+        chunk.clear();
+        int count = channel.read(chunk);
+        if (count == 0) {
+          channel.getReadSetter().set(ready -> read(exchange, channel));
+          channel.resumeReads();
+          return;
+        }
+        if (count < 0) {
+          break;
+        }
+        received.write(chunk.array(), 0, count);
+      }
+    } catch (IOException e) {
+      failed(e);
+      return;
+    }
+    if (!finished) {
+      ClientConnection used = connection;
+      connection = null;
+      int status = exchange.getResponse().getResponseCode();
+      // After this event the connection has taken note that the response is complete.
+      loop.after(0, () -> pool.release(used));
+      finish(new ClientResponse(status, received.toByteArray()));
+    }
+  }
+
+  /** Fails the call if the exchange does. */
+  private abstract class ResponseCallback implements ClientCallback<ClientExchange> {
+    @Override
+    public void failed(IOException e) {
+      PendingCall.this.failed(e);
+    }
+  }
+}
--- a/src/main/java/dev/windbend/daemon/XnioLoop.java
+++ b/src/main/java/dev/windbend/runtime/XnioEventLoop.java
@@ -1,6 +1,5 @@
-package dev.windbend.daemon;
+package dev.windbend.runtime;
 
-import dev.windbend.daemon.io.EventLoop;
 import java.util.concurrent.TimeUnit;
 import org.agrona.concurrent.EpochClock;
 import org.agrona.concurrent.NanoClock;
@@ -11,30 +10,32 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The loop on the one XNIO thread that also reads and writes all sockets. */
-final class XnioLoop implements EventLoop {
-  private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
+/** The event loop on the one XNIO thread that also reads and writes all sockets. */
+public final class XnioEventLoop implements EventLoop {
+  private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
 
   private final XnioIoThread thread;
-  private final NanoClock steady = SystemNanoClock.INSTANCE;
-  private final EpochClock wall = SystemEpochClock.INSTANCE;
+  private final NanoClock monotonicClock = SystemNanoClock.INSTANCE;
+  private final EpochClock wallClock = SystemEpochClock.INSTANCE;
 
-  XnioLoop(XnioIoThread thread) {
+  /** The event loop of this I/O thread. */
+  public XnioEventLoop(XnioIoThread thread) {
     this.thread = thread;
   }
 
-  XnioIoThread thread() {
+  /** The thread that runs all events. */
+  public XnioIoThread thread() {
     return thread;
   }
 
   @Override
   public long nowMs() {
-    return TimeUnit.NANOSECONDS.toMillis(steady.nanoTime());
+    return TimeUnit.NANOSECONDS.toMillis(monotonicClock.nanoTime());
   }
 
   @Override
   public long wallMs() {
-    return wall.time();
+    return wallClock.time();
   }
 
   @Override
@@ -48,11 +49,12 @@
     return key::remove;
   }
 
+  /** Runs the task; what it throws is logged. */
   static void run(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
-      // One broken event must not stop the loop; what it left undone is pursued again by others.
+      // One failed event must not stop the loop; reconciliation makes up for what it left undone.
       LOG.error("event failed", e);
     }
   }
--- a/src/main/java/dev/windbend/shard/GradualStart.java
+++ b/src/main/java/dev/windbend/shard/GradualStart.java
@@ -1,7 +1,7 @@
 package dev.windbend.shard;
 
-import dev.windbend.daemon.io.EventLoop;
 import dev.windbend.job.Job;
+import dev.windbend.runtime.EventLoop;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -1,11 +1,11 @@
 package dev.windbend.shard;
 
-import dev.windbend.daemon.io.EventLoop;
 import dev.windbend.job.Job;
 import dev.windbend.machine.MachineType;
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.plan.Deadlines;
 import dev.windbend.plan.Estimates;
+import dev.windbend.runtime.EventLoop;
 import dev.windbend.zone.ZoneMonitor;
 
 /** How long the tasks of jobs run, as estimated, and when the jobs are due. */
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -1,10 +1,10 @@
 package dev.windbend.shard;
 
-import dev.windbend.daemon.io.EventLoop;
 import dev.windbend.job.Placement;
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.TaskRequirements;
+import dev.windbend.runtime.EventLoop;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/dev/windbend/shard/NodeLease.java
+++ b/src/main/java/dev/windbend/shard/NodeLease.java
@@ -1,6 +1,6 @@
 package dev.windbend.shard;
 
-import dev.windbend.daemon.io.EventLoop;
+import dev.windbend.runtime.EventLoop;
 import dev.windbend.store.StoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -1,6 +1,5 @@
 package dev.windbend.shard;
 
-import dev.windbend.daemon.io.EventLoop;
 import dev.windbend.job.Job;
 import dev.windbend.job.JobRegistry;
 import dev.windbend.job.Placement;
@@ -11,6 +10,7 @@
 import dev.windbend.plan.Planner;
 import dev.windbend.plan.Snapshot;
 import dev.windbend.plan.Wanted;
+import dev.windbend.runtime.EventLoop;
 import dev.windbend.zone.ZoneGate;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
--- a/src/main/java/dev/windbend/shard/ShardLayout.java
+++ b/src/main/java/dev/windbend/shard/ShardLayout.java
@@ -1,11 +1,11 @@
 package dev.windbend.shard;
 
-import dev.windbend.daemon.io.Names;
+import dev.windbend.runtime.NameIndex;
 import java.util.List;
 
 /** How the teams are parted. Every node works it out alike from the settings. */
 public final class ShardLayout {
-  private final Names teams = new Names();
+  private final NameIndex teams = new NameIndex();
   private final List<String> nodes;
   private final int shards;
 
--- a/src/main/java/dev/windbend/shard/ShardLog.java
+++ b/src/main/java/dev/windbend/shard/ShardLog.java
@@ -1,10 +1,10 @@
 package dev.windbend.shard;
 
-import dev.windbend.daemon.io.EventLoop;
 import dev.windbend.job.Job;
 import dev.windbend.job.JobRegistry;
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
+import dev.windbend.runtime.EventLoop;
 import dev.windbend.store.PagedStore;
 import dev.windbend.zone.ZoneGate;
 import org.slf4j.Logger;
--- a/src/main/java/dev/windbend/shard/ShardOwner.java
+++ b/src/main/java/dev/windbend/shard/ShardOwner.java
@@ -1,10 +1,6 @@
 package dev.windbend.shard;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.Names;
-import dev.windbend.daemon.io.Web;
 import dev.windbend.job.Cancellations;
 import dev.windbend.job.Job;
 import dev.windbend.job.JobRecord;
@@ -21,6 +17,10 @@
 import dev.windbend.machine.UnknownMachines;
 import dev.windbend.peer.Peers;
 import dev.windbend.plan.Estimates;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.Json;
+import dev.windbend.runtime.NameIndex;
+import dev.windbend.runtime.ServerResponse;
 import dev.windbend.store.Committer;
 import dev.windbend.store.PagedStore;
 import dev.windbend.store.PendingWrite;
@@ -63,7 +63,7 @@
   private final ShardOwnership claims;
   private final Peers peers;
   private final Cancellations cancellations;
-  private final Names images;
+  private final NameIndex images;
   private final Committer committer;
   private final PagedStore pages;
   private final JobRegistry board;
@@ -110,7 +110,7 @@
       Cancellations cancellations,
       DirectStopClient directStops,
       Estimates estimates,
-      Names images,
+      NameIndex images,
       Lender lender,
       String ownZone,
       ZoneMetrics zoneMetrics) {}
@@ -387,7 +387,7 @@
     }
   }
 
-  public void report(WorkerMessages.Report r, Consumer<Web.Answer> done) {
+  public void report(WorkerMessages.Report r, Consumer<ServerResponse> done) {
     reports.report(r, done);
   }
 
--- a/src/main/java/dev/windbend/shard/ShardOwnership.java
+++ b/src/main/java/dev/windbend/shard/ShardOwnership.java
@@ -1,8 +1,8 @@
 package dev.windbend.shard;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.Replica;
 import dev.windbend.store.StoreClient;
 import dev.windbend.store.TransactionBuilder;
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -1,7 +1,5 @@
 package dev.windbend.shard;
 
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Names;
 import dev.windbend.job.Job;
 import dev.windbend.job.JobRegistry;
 import dev.windbend.job.Placement;
@@ -12,6 +10,8 @@
 import dev.windbend.plan.Deadlines;
 import dev.windbend.plan.Estimates;
 import dev.windbend.plan.Snapshot;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.NameIndex;
 import dev.windbend.zone.ZoneGate;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
@@ -34,7 +34,7 @@
   private final Facts facts;
   private final Policy policy;
   private final JobDeadlines deadlines;
-  private final Names images;
+  private final NameIndex images;
   private final JobRegistry board;
   private final Fleet fleet;
   private final OverdueJobs overdueJobs;
@@ -46,7 +46,7 @@
       Facts facts,
       Policy policy,
       JobDeadlines deadlines,
-      Names images,
+      NameIndex images,
       JobRegistry board,
       Fleet fleet,
       OverdueJobs overdueJobs,
--- a/src/main/java/dev/windbend/shard/TaskFailures.java
+++ b/src/main/java/dev/windbend/shard/TaskFailures.java
@@ -1,11 +1,11 @@
 package dev.windbend.shard;
 
-import dev.windbend.daemon.io.EventLoop;
 import dev.windbend.job.Job;
 import dev.windbend.job.JobRegistry;
 import dev.windbend.job.Placement;
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
+import dev.windbend.runtime.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/dev/windbend/store/Committer.java
+++ b/src/main/java/dev/windbend/store/Committer.java
@@ -1,6 +1,6 @@
 package dev.windbend.store;
 
-import dev.windbend.daemon.io.EventLoop;
+import dev.windbend.runtime.EventLoop;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
--- a/src/main/java/dev/windbend/store/PagedStore.java
+++ b/src/main/java/dev/windbend/store/PagedStore.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
--- a/src/main/java/dev/windbend/store/Rate.java
+++ b/src/main/java/dev/windbend/store/Rate.java
@@ -1,6 +1,6 @@
 package dev.windbend.store;
 
-import dev.windbend.daemon.io.EventLoop;
+import dev.windbend.runtime.EventLoop;
 
 /** A token bucket of one second's worth that halves when told it was too fast and recovers. */
 public final class Rate {
--- a/src/main/java/dev/windbend/store/StoreClient.java
+++ b/src/main/java/dev/windbend/store/StoreClient.java
@@ -1,9 +1,10 @@
 package dev.windbend.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.Json;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.function.Consumer;
@@ -20,7 +21,7 @@
   private static final int QUEUE = 400;
 
   private final EventLoop loop;
-  private final Web web;
+  private final HttpClient web;
   private final String address;
   private final int ops;
   private final Rate reads;
@@ -52,7 +53,13 @@
   public record Followed(int status, List<Item> events, long revision) {}
 
   public StoreClient(
-      EventLoop loop, Web web, String address, double rps, double writeRps, int ops, int nodes) {
+      EventLoop loop,
+      HttpClient web,
+      String address,
+      double rps,
+      double writeRps,
+      int ops,
+      int nodes) {
     this.loop = loop;
     this.web = web;
     this.address = address;
@@ -241,7 +248,7 @@
       String path,
       byte[] body,
       long limitMs,
-      Consumer<Web.Reply> done) {
+      Consumer<ClientResponse> done) {
     long sentMs = loop.nowMs();
     web.call(
         address,
--- a/src/main/java/dev/windbend/store/TransactionBuilder.java
+++ b/src/main/java/dev/windbend/store/TransactionBuilder.java
@@ -1,6 +1,6 @@
 package dev.windbend.store;
 
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/dev/windbend/worker/DirectStopClient.java
+++ b/src/main/java/dev/windbend/worker/DirectStopClient.java
@@ -1,9 +1,9 @@
 package dev.windbend.worker;
 
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.Web;
 import dev.windbend.machine.Machine;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.Json;
 import java.util.ArrayDeque;
 import java.util.List;
 
@@ -25,13 +25,13 @@
   private final long staleMs;
 
   private final EventLoop loop;
-  private final Web web;
+  private final HttpClient web;
   private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
   private int inProgress;
 
   private record Waiting(String address, WorkerMessages.Commands commands, long untilMs) {}
 
-  public DirectStopClient(EventLoop loop, Web web, double reportS) {
+  public DirectStopClient(EventLoop loop, HttpClient web, double reportS) {
     this.loop = loop;
     this.web = web;
     this.staleMs = (long) (1000 * reportS);
--- a/src/main/java/dev/windbend/worker/ReportHandler.java
+++ b/src/main/java/dev/windbend/worker/ReportHandler.java
@@ -1,11 +1,11 @@
 package dev.windbend.worker;
 
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Web;
 import dev.windbend.job.Job;
 import dev.windbend.job.Placement;
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.ServerResponse;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -53,7 +53,7 @@
       WorkerMessages.Report report,
       long untilMs,
       boolean idle,
-      Consumer<Web.Answer> done) {}
+      Consumer<ServerResponse> done) {}
 
   public ReportHandler(
       EventLoop loop,
@@ -77,15 +77,15 @@
   }
 
   public void close() {
-    waiting.values().forEach(w -> w.done().accept(Web.Answer.bare(503)));
+    waiting.values().forEach(w -> w.done().accept(ServerResponse.ofStatus(503)));
     waiting.clear();
   }
 
-  public void report(WorkerMessages.Report r, Consumer<Web.Answer> done) {
+  public void report(WorkerMessages.Report r, Consumer<ServerResponse> done) {
     Machine m = fleet.find(r.machine());
     long fence = m == null ? 0 : m.token(token);
     if (m == null || r.token() > fence) {
-      done.accept(Web.Answer.bare(503));
+      done.accept(ServerResponse.ofStatus(503));
       return;
     }
     long now = loop.nowMs();
@@ -182,10 +182,10 @@
    * others are served, so that workers find them, and not for longer than is said in {@link
    * dev.windbend.peer.Peers#mayKeepWorkers}. Asked when the answer goes out, as it may have waited.
    */
-  private Web.Answer unsure(Machine m, WorkerMessages.Report r) {
+  private ServerResponse unsure(Machine m, WorkerMessages.Report r) {
     return host.mayAct() || host.mayKeepWorkers()
         ? answer(m, desk.cancelledStops(r))
-        : Web.Answer.bare(503);
+        : ServerResponse.ofStatus(503);
   }
 
   private static boolean hasRoom(Machine m) {
@@ -238,8 +238,8 @@
                 : unsure(m, w.report()));
   }
 
-  private Web.Answer answer(Machine m, List<WorkerMessages.Order> orders) {
-    return Web.Answer.of(200, new WorkerMessages.Orders(m.token(token), orders));
+  private ServerResponse answer(Machine m, List<WorkerMessages.Order> orders) {
+    return ServerResponse.of(200, new WorkerMessages.Orders(m.token(token), orders));
   }
 
   /** A job was cancelled: its machines are told at once, by answers that wait or directly. */
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -1,13 +1,13 @@
 package dev.windbend.zone;
 
-import dev.windbend.daemon.io.EventLoop;
-import dev.windbend.daemon.io.Names;
 import dev.windbend.job.Job;
 import dev.windbend.job.JobRegistry;
 import dev.windbend.job.Placement;
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineHealth;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.NameIndex;
 import dev.windbend.store.PendingWrite;
 import dev.windbend.store.VersionedValue;
 import java.util.ArrayList;
@@ -110,7 +110,7 @@
    * elsewhere: then no zone is closed, whatever its record says, and machines are judged one by
    * one.
    */
-  public void takeOver(Names zoneNames) {
+  public void takeOver(NameIndex zoneNames) {
     long now = loop.nowMs();
     for (int index = 0; index < zoneNames.size(); index++) {
       String name = zoneNames.name(index);
--- a/src/main/java/dev/windbend/zone/ZoneRecord.java
+++ b/src/main/java/dev/windbend/zone/ZoneRecord.java
@@ -1,7 +1,7 @@
 package dev.windbend.zone;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.VersionedValue;
 import java.util.List;
 
--- a/src/test/java/dev/windbend/JsonPins.java
+++ b/src/test/java/dev/windbend/JsonPins.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import java.nio.charset.StandardCharsets;
 import java.util.stream.Collectors;
 
--- a/src/test/java/dev/windbend/daemon/LoopbackCluster.java
+++ b/src/test/java/dev/windbend/daemon/LoopbackCluster.java
@@ -1,6 +1,12 @@
 package dev.windbend.daemon;
 
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
+import dev.windbend.runtime.HttpServer;
+import dev.windbend.runtime.RequestHandler;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
+import dev.windbend.runtime.UndertowHttpClient;
+import dev.windbend.runtime.XnioEventLoop;
 import io.undertow.server.DefaultByteBufferPool;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -31,9 +37,9 @@
   final SimulatedCluster stand;
   private final XnioWorker worker;
   private final DefaultByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER, 10_000, 4);
-  private final XnioLoop loop;
-  private final UndertowWeb web;
-  private final Map<String, UndertowWeb> clients = new HashMap<>();
+  private final XnioEventLoop loop;
+  private final UndertowHttpClient web;
+  private final Map<String, UndertowHttpClient> clients = new HashMap<>();
   private final List<Controller> controllers = new ArrayList<>();
   private final String state;
   private final String cloud;
@@ -53,8 +59,8 @@
             .set(Options.WORKER_TASK_MAX_THREADS, 1)
             .getMap();
     this.worker = Xnio.getInstance().createWorker(options);
-    this.loop = new XnioLoop(worker.getIoThread());
-    this.web = new UndertowWeb(loop, buffers);
+    this.loop = new XnioEventLoop(worker.getIoThread());
+    this.web = new UndertowHttpClient(loop, buffers);
     this.state =
         listen(
             (request, done) ->
@@ -79,12 +85,12 @@
     stand.delivery = this::deliver;
   }
 
-  private String listen(Web.Door door) {
-    InetSocketAddress address = Server.listen(worker, buffers, HOST + 0, door);
+  private String listen(RequestHandler door) {
+    InetSocketAddress address = HttpServer.listen(worker, buffers, HOST + 0, door);
     return HOST + address.getPort();
   }
 
-  private static String path(Web.Request request) {
+  private static String path(ServerRequest request) {
     String query =
         request.query().entrySet().stream()
             .map(e -> e.getKey() + "=" + e.getValue())
@@ -92,8 +98,8 @@
     return query.isEmpty() ? request.path() : request.path() + "?" + query;
   }
 
-  private static Consumer<Web.Reply> reply(Consumer<Web.Answer> done) {
-    return r -> done.accept(new Web.Answer(r.status(), r.body(), 0));
+  private static Consumer<ClientResponse> reply(Consumer<ServerResponse> done) {
+    return r -> done.accept(new ServerResponse(r.status(), r.body(), 0));
   }
 
   /** Starts the controllers and the stand-ins' clock. */
@@ -140,7 +146,7 @@
       String path,
       byte[] body,
       long limitMs,
-      Consumer<Web.Reply> done) {
+      Consumer<ClientResponse> done) {
     if (address.startsWith("host-")) {
       stand.call(from, address, method, path, body, limitMs, done);
     } else {
@@ -155,13 +161,13 @@
       String method,
       String path,
       byte[] body,
-      Consumer<Web.Reply> done) {
+      Consumer<ClientResponse> done) {
     String to = SimulatedCluster.to(address);
     if (to.startsWith("n")) {
       Controller c = controllers.get(to.charAt(1) - '0');
       // Each worker has connections of its own.
       clients
-          .computeIfAbsent(from, f -> new UndertowWeb(loop, buffers))
+          .computeIfAbsent(from, f -> new UndertowHttpClient(loop, buffers))
           .call(c.userAddress, method, path, body, StandInWorker.ANSWER_MS, done);
     } else {
       stand.deliver(from, address, method, path, body, done);
--- a/src/test/java/dev/windbend/daemon/MessageRecorder.java
+++ b/src/test/java/dev/windbend/daemon/MessageRecorder.java
@@ -1,6 +1,7 @@
 package dev.windbend.daemon;
 
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 
 /** Sees all that the simulated controllers send, at the moment at which they send it. */
 interface MessageRecorder {
@@ -12,7 +13,8 @@
             String node, String address, String method, String path, byte[] body, long limitMs) {}
 
         @Override
-        public void answered(String node, String asker, Web.Request request, Web.Answer answer) {}
+        public void answered(
+            String node, String asker, ServerRequest request, ServerResponse answer) {}
       };
 
   /**
@@ -25,5 +27,5 @@
       String node, String address, String method, String path, byte[] body, long limitMs);
 
   /** A controller answers a request, whether the answer arrives or not. */
-  void answered(String node, String asker, Web.Request request, Web.Answer answer);
+  void answered(String node, String asker, ServerRequest request, ServerResponse answer);
 }
--- a/src/test/java/dev/windbend/daemon/NodeTest.java
+++ b/src/test/java/dev/windbend/daemon/NodeTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -25,8 +25,8 @@
     w.time.runUntil(4_000);
   }
 
-  private Web.Reply ask(int node, String method, String path, String body) {
-    Web.Reply[] got = {Web.Reply.NONE};
+  private ClientResponse ask(int node, String method, String path, String body) {
+    ClientResponse[] got = {ClientResponse.NO_RESPONSE};
     w.call(
         "users",
         "n" + node + ":80",
@@ -82,11 +82,11 @@
     assertThat(ask(0, "POST", "/v1/jobs", JOB).status()).isEqualTo(201);
     assertThat(ask(1, "POST", "/v1/jobs", JOB).status()).isEqualTo(200);
     assertThat(ask(2, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(200);
-    Web.Reply cancelled = ask(2, "POST", "/v1/jobs/wk-000001/cancel", "");
+    ClientResponse cancelled = ask(2, "POST", "/v1/jobs/wk-000001/cancel", "");
     assertThat(w.json(cancelled.body()).path("status").asText()).isEqualTo("aborted");
     w.time.runUntil(60_000);
     for (int n = 0; n < 3; n++) {
-      Web.Reply r = ask(n, "POST", "/v1/jobs", JOB);
+      ClientResponse r = ask(n, "POST", "/v1/jobs", JOB);
       assertThat(r.status()).isEqualTo(200);
       assertThat(w.json(r.body()).path("status").asText()).isEqualTo("aborted");
     }
@@ -141,7 +141,7 @@
             + "'status':'exited','cause':'done'}]}";
     int ok = 0;
     for (int n = 0; n < 3; n++) {
-      Web.Reply r = ask(n, "POST", "/hello", old);
+      ClientResponse r = ask(n, "POST", "/hello", old);
       if (r.status() == 200) {
         ok++;
         assertThat(w.json(r.body()).path("orders")).isEmpty();
--- a/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
+++ b/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
@@ -3,7 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
+import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.HttpServer;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -44,7 +48,7 @@
   /** Ids of entries in pages, in the same form. */
   private final TreeSet<String> entries = new TreeSet<>();
 
-  /** Names of requests for machines, in the same form. */
+  /** NameIndex of requests for machines, in the same form. */
   private final TreeSet<String> rentals = new TreeSet<>();
 
   /** Requests that nodes send, by receiver, method and path. */
@@ -58,9 +62,9 @@
     return w;
   }
 
-  private static Web.Reply ask(
+  private static ClientResponse ask(
       SimulatedCluster w, String address, String method, String path, String body) {
-    Web.Reply[] got = {Web.Reply.NONE};
+    ClientResponse[] got = {ClientResponse.NO_RESPONSE};
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     w.call("users", address, method, path, bytes, 5_000, r -> got[0] = r);
     w.time.runUntil(w.time.nowMs() + 1_000);
@@ -267,7 +271,8 @@
     w.begin(0, 1);
     w.time.runUntil(4_000);
     assertThat(JOB).contains(from);
-    Web.Reply reply = ask(w, "n0:80", "POST", "/v1/jobs", JOB.replace(from, to).replace('\'', '"'));
+    ClientResponse reply =
+        ask(w, "n0:80", "POST", "/v1/jobs", JOB.replace(from, to).replace('\'', '"'));
     assertThat(reply.status()).isEqualTo(status);
     assertThat(reply.body()).asString().isEqualTo(answer);
   }
@@ -288,10 +293,10 @@
             w.policy,
             w.time.new ProcessLoop(0, 0, () -> 0L),
             (address, callMethod, callPath, body, limitMs, done) ->
-                w.time.at(limitMs, () -> done.accept(Web.Reply.NONE)));
-    List<Web.Answer> answers = new ArrayList<>();
+                w.time.at(limitMs, () -> done.accept(ClientResponse.NO_RESPONSE)));
+    List<ServerResponse> answers = new ArrayList<>();
     byte[] body = JOB.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-    node.serve(new Web.Request(method, path, Map.of(), body), answers::add);
+    node.serve(new ServerRequest(method, path, Map.of(), body), answers::add);
     w.time.runUntil(30_000);
     assertThat(answers).hasSize(1);
     assertThat(answers.get(0).status()).isEqualTo(503);
@@ -314,15 +319,15 @@
     try {
       DefaultByteBufferPool buffers = new DefaultByteBufferPool(true, 8_192, 100, 4);
       InetSocketAddress address =
-          Server.listen(
+          HttpServer.listen(
               worker,
               buffers,
               "127.0.0.1:0",
               (request, done) ->
                   done.accept(
                       request.path().equals("/later")
-                          ? Web.Answer.later(7)
-                          : Web.Answer.bare(200)));
+                          ? ServerResponse.retryAfter(7)
+                          : ServerResponse.ofStatus(200)));
       HttpResponse<String> later = post(address, "/later", 2);
       assertThat(later.statusCode()).isEqualTo(503);
       assertThat(later.headers().firstValue("Retry-After")).hasValue("7");
--- a/src/test/java/dev/windbend/daemon/SimulatedCluster.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedCluster.java
@@ -3,7 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 import dev.windbend.shard.Policy;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -50,7 +52,7 @@
         String method,
         String path,
         byte[] body,
-        Consumer<Web.Reply> done);
+        Consumer<ClientResponse> done);
   }
 
   /** How messages of workers and users reach the nodes. */
@@ -235,7 +237,7 @@
       String path,
       byte[] body,
       long limitMs,
-      Consumer<Web.Reply> done) {
+      Consumer<ClientResponse> done) {
     callFrom(null, from, address, method, path, body, limitMs, done);
   }
 
@@ -247,9 +249,9 @@
       String path,
       byte[] body,
       long limitMs,
-      Consumer<Web.Reply> done) {
+      Consumer<ClientResponse> done) {
     boolean[] over = {false};
-    Consumer<Web.Reply> once =
+    Consumer<ClientResponse> once =
         r -> {
           if (over[0]) {
             return;
@@ -261,10 +263,10 @@
             caller.run(() -> done.accept(r));
           }
         };
-    time.at(limitMs, () -> once.accept(Web.Reply.NONE));
+    time.at(limitMs, () -> once.accept(ClientResponse.NO_RESPONSE));
     String to = to(address);
     if (refused.contains(from + ">" + to)) {
-      time.at(1, () -> once.accept(Web.Reply.NONE));
+      time.at(1, () -> once.accept(ClientResponse.NO_RESPONSE));
       return;
     }
     if (path.equals("/hello")) {
@@ -354,7 +356,7 @@
       String method,
       String path,
       byte[] body,
-      Consumer<Web.Reply> done) {
+      Consumer<ClientResponse> done) {
     if (address.equals("state:1")) {
       store.handle(from, method, path, body, done);
     } else if (address.equals("cloud:1")) {
@@ -362,24 +364,24 @@
     } else if (path.equals("/commands")) {
       StandInWorker w = machines.get(to(address));
       if (w == null) {
-        done.accept(Web.Reply.NONE);
+        done.accept(ClientResponse.NO_RESPONSE);
       } else {
         w.command(json(body), done);
       }
     } else {
       int i = address.charAt(1) - '0';
       if (nodes[i] == null || loops[i].dead()) {
-        done.accept(Web.Reply.NONE);
+        done.accept(ClientResponse.NO_RESPONSE);
         return;
       }
       VirtualTime.ProcessLoop loop = loops[i];
-      Web.Request request =
-          new Web.Request(method, path, Map.of(), body == null ? new byte[0] : body);
-      Consumer<Web.Answer> answer =
+      ServerRequest request =
+          new ServerRequest(method, path, Map.of(), body == null ? new byte[0] : body);
+      Consumer<ServerResponse> answer =
           a -> {
             if (!loop.dead()) {
               recorder.answered("n" + i, from, request, a);
-              done.accept(new Web.Reply(a.status(), a.body()));
+              done.accept(new ClientResponse(a.status(), a.body()));
             }
           };
       Node node = nodes[i];
@@ -397,7 +399,7 @@
 
   // ---- cloud
 
-  private void cloud(String path, byte[] body, Consumer<Web.Reply> done) {
+  private void cloud(String path, byte[] body, Consumer<ClientResponse> done) {
     ObjectNode out = StandInStore.JSON.createObjectNode();
     if (path.equals("/machine_types")) {
       ObjectNode t = out.putArray("rigs").addObject();
@@ -434,7 +436,8 @@
         int n = Math.min(capacity, r.get("how_many").asInt());
         if (n == 0) {
           done.accept(
-              new Web.Reply(503, "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8)));
+              new ClientResponse(
+                  503, "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8)));
           return;
         }
         List<String> names = new ArrayList<>();
--- a/src/test/java/dev/windbend/daemon/SimulatedUser.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedUser.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.Consumer;
@@ -218,7 +218,7 @@
         });
   }
 
-  private void hear(Web.Reply r, long sentMs) {
+  private void hear(ClientResponse r, long sentMs) {
     answeredMs = cluster.time.nowMs();
     String status = cluster.json(r.body()).path("status").asText();
     boolean over = told.equals("done") || told.equals("aborted");
@@ -254,7 +254,7 @@
   }
 
   private void ask(
-      String method, String path, byte[] body, long limitMs, Consumer<Web.Reply> done) {
+      String method, String path, byte[] body, long limitMs, Consumer<ClientResponse> done) {
     int n = cluster.random.nextInt(cluster.size);
     if (("n" + n).equals(notThrough)) {
       n = (n + 1) % cluster.size;
--- a/src/test/java/dev/windbend/daemon/StandInStore.java
+++ b/src/test/java/dev/windbend/daemon/StandInStore.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -121,19 +121,19 @@
     forgotten = ledger;
   }
 
-  void handle(String from, String method, String path, byte[] body, Consumer<Web.Reply> done) {
+  void handle(String from, String method, String path, byte[] body, Consumer<ClientResponse> done) {
     if (path.startsWith("/follow")) {
       follow(from, path, done);
       return;
     }
     if (unserved(from)) {
-      done.accept(new Web.Reply(503, "{}".getBytes(StandardCharsets.UTF_8)));
+      done.accept(new ClientResponse(503, "{}".getBytes(StandardCharsets.UTF_8)));
       return;
     }
     try {
       done.accept(answer(path, body));
     } catch (java.io.IOException e) {
-      done.accept(new Web.Reply(400, "{}".getBytes(StandardCharsets.UTF_8)));
+      done.accept(new ClientResponse(400, "{}".getBytes(StandardCharsets.UTF_8)));
     }
   }
 
@@ -141,7 +141,7 @@
     return outage || deaf.contains(node);
   }
 
-  private Web.Reply answer(String path, byte[] body) throws java.io.IOException {
+  private ClientResponse answer(String path, byte[] body) throws java.io.IOException {
     if (path.startsWith("/keys?")) {
       String prefix = query(path, "prefix");
       String after = query(path, "from");
@@ -181,15 +181,15 @@
     if (path.endsWith("/renew")) {
       long[] h = holds.get(Long.parseLong(path.split("/", -1)[2]));
       if (h == null) {
-        return new Web.Reply(404, "{}".getBytes(StandardCharsets.UTF_8));
+        return new ClientResponse(404, "{}".getBytes(StandardCharsets.UTF_8));
       }
       h[1] = time.nowMs() + h[0];
-      return new Web.Reply(200, "{}".getBytes(StandardCharsets.UTF_8));
+      return new ClientResponse(200, "{}".getBytes(StandardCharsets.UTF_8));
     }
-    return new Web.Reply(400, "{}".getBytes(StandardCharsets.UTF_8));
+    return new ClientResponse(400, "{}".getBytes(StandardCharsets.UTF_8));
   }
 
-  private Web.Reply txn(JsonNode t) {
+  private ClientResponse txn(JsonNode t) {
     ObjectNode out = JSON.createObjectNode();
     ArrayNode failed = JSON.createArrayNode();
     for (JsonNode c : t.path("when")) {
@@ -204,12 +204,13 @@
     }
     for (JsonNode c : t.path("then")) {
       if (c.has("permit") && !holds.containsKey(c.get("permit").asLong())) {
-        return new Web.Reply(400, "{\"error\":\"no such lease\"}".getBytes(StandardCharsets.UTF_8));
+        return new ClientResponse(
+            400, "{\"error\":\"no such lease\"}".getBytes(StandardCharsets.UTF_8));
       }
     }
     for (JsonNode c : t.path("then")) {
       if (!holdWrites.isEmpty() && c.path("set").asText().startsWith(holdWrites)) {
-        return new Web.Reply(429, "{}".getBytes(StandardCharsets.UTF_8));
+        return new ClientResponse(429, "{}".getBytes(StandardCharsets.UTF_8));
       }
     }
     ledger++;
@@ -252,7 +253,7 @@
         });
   }
 
-  private void follow(String node, String path, Consumer<Web.Reply> done) {
+  private void follow(String node, String path, Consumer<ClientResponse> done) {
     long from = Long.parseLong(query(path, "from"));
     String prefix = query(path, "prefix");
     boolean[] answered = {false};
@@ -263,7 +264,7 @@
           }
           if (from < forgotten) {
             answered[0] = true;
-            done.accept(new Web.Reply(410, "{}".getBytes(StandardCharsets.UTF_8)));
+            done.accept(new ClientResponse(410, "{}".getBytes(StandardCharsets.UTF_8)));
             return;
           }
           ArrayNode events = JSON.createArrayNode();
@@ -292,7 +293,7 @@
 
   /** Open watches remain open through an outage. */
   private void timeOut(
-      String node, Runnable look, boolean[] answered, long ms, Consumer<Web.Reply> done) {
+      String node, Runnable look, boolean[] answered, long ms, Consumer<ClientResponse> done) {
     time.at(
         ms,
         () -> {
@@ -321,8 +322,8 @@
     return p;
   }
 
-  static Web.Reply reply(int status, JsonNode body) {
-    return new Web.Reply(status, body.toString().getBytes(StandardCharsets.UTF_8));
+  static ClientResponse reply(int status, JsonNode body) {
+    return new ClientResponse(status, body.toString().getBytes(StandardCharsets.UTF_8));
   }
 
   private static String query(String path, String name) {
--- a/src/test/java/dev/windbend/daemon/StandInWorker.java
+++ b/src/test/java/dev/windbend/daemon/StandInWorker.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -221,7 +221,7 @@
   }
 
   /** A direct command: what a hanging machine was sent it executes when it goes on. */
-  void command(JsonNode order, Consumer<Web.Reply> done) {
+  void command(JsonNode order, Consumer<ClientResponse> done) {
     if (gone) {
       return;
     }
@@ -231,7 +231,7 @@
     }
     tally++;
     if (order.path("baton").asLong(-1) < baton || order.path("shift").asLong() != shift) {
-      done.accept(new Web.Reply(409, "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+      done.accept(new ClientResponse(409, "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
       return;
     }
     boolean changed = order.path("baton").asLong() > baton;
@@ -240,7 +240,7 @@
     if (changed) {
       changed();
     }
-    done.accept(new Web.Reply(200, "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+    done.accept(new ClientResponse(200, "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
   }
 
   private void execute(JsonNode answer, long sent, long inShift) {
--- a/src/test/java/dev/windbend/daemon/StoredDay.java
+++ b/src/test/java/dev/windbend/daemon/StoredDay.java
@@ -1,9 +1,9 @@
 package dev.windbend.daemon;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.Json;
 import dev.windbend.job.JobRecord;
 import dev.windbend.machine.RentalRecord;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.PagedStore;
 import dev.windbend.zone.ZoneRecord;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/dev/windbend/daemon/TraceDigest.java
+++ b/src/test/java/dev/windbend/daemon/TraceDigest.java
@@ -1,6 +1,7 @@
 package dev.windbend.daemon;
 
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -46,7 +47,7 @@
   }
 
   @Override
-  public void answered(String node, String asker, Web.Request request, Web.Answer answer) {
+  public void answered(String node, String asker, ServerRequest request, ServerResponse answer) {
     String asked = request.method() + " " + request.path();
     String status = " status=" + answer.status() + " retry_after_s=" + answer.retryAfterS();
     add(node + " => " + asker + " " + asked + status, answer.body());
--- a/src/test/java/dev/windbend/daemon/VirtualTime.java
+++ b/src/test/java/dev/windbend/daemon/VirtualTime.java
@@ -1,6 +1,6 @@
 package dev.windbend.daemon;
 
-import dev.windbend.daemon.io.EventLoop;
+import dev.windbend.runtime.EventLoop;
 import java.util.PriorityQueue;
 import java.util.function.LongSupplier;
 
--- a/src/test/java/dev/windbend/job/JobRecordTest.java
+++ b/src/test/java/dev/windbend/job/JobRecordTest.java
@@ -7,7 +7,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.stream.Stream;
--- a/src/test/java/dev/windbend/machine/FleetTest.java
+++ b/src/test/java/dev/windbend/machine/FleetTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.ManualLoop;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
+import dev.windbend.runtime.Json;
+import dev.windbend.runtime.ManualEventLoop;
 import dev.windbend.store.PendingWrite;
 import dev.windbend.store.TransactionBuilder;
 import java.nio.charset.StandardCharsets;
@@ -26,7 +26,7 @@
   private final List<String> returned = new ArrayList<>();
   private boolean mayAct = true;
 
-  private final ManualLoop loop = new ManualLoop(1_000);
+  private final ManualEventLoop loop = new ManualEventLoop(1_000);
 
   /** Every record is stored at once. */
   private final Fleet.Host host =
@@ -66,15 +66,15 @@
       String path,
       byte[] body,
       long limitMs,
-      java.util.function.Consumer<Web.Reply> done) {
+      java.util.function.Consumer<ClientResponse> done) {
     if (path.equals("/machine_types")) {
-      done.accept(new Web.Reply(200, TYPES.getBytes(StandardCharsets.UTF_8)));
+      done.accept(new ClientResponse(200, TYPES.getBytes(StandardCharsets.UTF_8)));
     } else if (path.equals("/hosts/return")) {
       returned.addAll(Json.read(body, CloudMessages.Machines.class).names());
-      done.accept(new Web.Reply(200, "{}".getBytes(StandardCharsets.UTF_8)));
+      done.accept(new ClientResponse(200, "{}".getBytes(StandardCharsets.UTF_8)));
     } else if (stock == 0) {
       byte[] none = "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8);
-      done.accept(new Web.Reply(503, none));
+      done.accept(new ClientResponse(503, none));
     } else {
       int n = Math.min(stock, Json.read(body, CloudMessages.Rental.class).count());
       stock -= n;
@@ -82,7 +82,7 @@
       for (int i = 0; i < n; i++) {
         names.add("host-" + ++named);
       }
-      done.accept(new Web.Reply(200, Json.write(new CloudMessages.Machines(names))));
+      done.accept(new ClientResponse(200, Json.write(new CloudMessages.Machines(names))));
     }
   }
 
--- a/src/test/java/dev/windbend/machine/MachineIndexTest.java
+++ b/src/test/java/dev/windbend/machine/MachineIndexTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.VersionedValue;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
+++ b/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
@@ -2,8 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.daemon.io.ManualLoop;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ManualEventLoop;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
 import java.util.ArrayDeque;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -11,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 
 class ConcurrencyLimiterTest {
-  private final ManualLoop loop = new ManualLoop(0);
-  private final ArrayDeque<Consumer<Web.Answer>> open = new ArrayDeque<>();
+  private final ManualEventLoop loop = new ManualEventLoop(0);
+  private final ArrayDeque<Consumer<ServerResponse>> open = new ArrayDeque<>();
   private final ConcurrencyLimiter gate =
       new ConcurrencyLimiter(
           loop, r -> r.method().equals("POST"), (request, done) -> open.add(done));
-  private final Web.Request request = new Web.Request("GET", "/", Map.of(), new byte[0]);
+  private final ServerRequest request = new ServerRequest("GET", "/", Map.of(), new byte[0]);
 
   @AfterEach
   void setsNoTimers() {
@@ -41,7 +42,7 @@
 
   @Test
   void questionsGoAheadOfNewSubmissions() {
-    Web.Request submission = new Web.Request("POST", "/", Map.of(), new byte[0]);
+    ServerRequest submission = new ServerRequest("POST", "/", Map.of(), new byte[0]);
     int[] refused = {0};
     for (int i = 0; i < gate.limit(); i++) {
       gate.handle(submission, a -> refused[0]++);
@@ -72,7 +73,7 @@
     }
     loop.nowMs += ms;
     while (!open.isEmpty()) {
-      open.poll().accept(Web.Answer.bare(200));
+      open.poll().accept(ServerResponse.ofStatus(200));
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/io/ManualLoop.java
+++ b/src/test/java/dev/windbend/runtime/ManualEventLoop.java
@@ -1,16 +1,16 @@
-package dev.windbend.daemon.io;
+package dev.windbend.runtime;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** An event loop whose clock and timers a test moves by hand. */
-public final class ManualLoop implements EventLoop {
+public final class ManualEventLoop implements EventLoop {
   public long nowMs;
 
   /** Tasks of timers that have not fired yet, whenever they are due. */
   public final List<Runnable> waiting = new ArrayList<>();
 
-  public ManualLoop(long nowMs) {
+  public ManualEventLoop(long nowMs) {
     this.nowMs = nowMs;
   }
 
--- a/src/test/java/dev/windbend/daemon/io/ManualWeb.java
+++ b/src/test/java/dev/windbend/runtime/ManualHttpClient.java
@@ -1,11 +1,11 @@
-package dev.windbend.daemon.io;
+package dev.windbend.runtime;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** Outgoing calls that a test answers by hand, in any order. */
-public final class ManualWeb implements Web {
+public final class ManualHttpClient implements HttpClient {
   /** The paths asked, oldest first. */
   public final List<String> paths = new ArrayList<>();
 
@@ -13,11 +13,16 @@
   public final List<String> addresses = new ArrayList<>();
 
   /** Takes the answer to each call, oldest first. */
-  public final List<Consumer<Reply>> calls = new ArrayList<>();
+  public final List<Consumer<ClientResponse>> calls = new ArrayList<>();
 
   @Override
   public void call(
-      String address, String method, String path, byte[] body, long limitMs, Consumer<Reply> done) {
+      String address,
+      String method,
+      String path,
+      byte[] body,
+      long limitMs,
+      Consumer<ClientResponse> done) {
     addresses.add(address);
     paths.add(path);
     calls.add(done);
--- a/src/test/java/dev/windbend/shard/GradualStartTest.java
+++ b/src/test/java/dev/windbend/shard/GradualStartTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.daemon.io.ManualLoop;
 import dev.windbend.job.Job;
 import dev.windbend.job.TestJobs;
 import dev.windbend.job.Urgency;
+import dev.windbend.runtime.ManualEventLoop;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -14,7 +14,7 @@
 class GradualStartTest {
   private static final double REPORT_S = 2;
 
-  private final ManualLoop loop = new ManualLoop(50_000);
+  private final ManualEventLoop loop = new ManualEventLoop(50_000);
   private final GradualStart start = new GradualStart(loop, REPORT_S);
 
   @Test
--- a/src/test/java/dev/windbend/shard/MachineTransfersTest.java
+++ b/src/test/java/dev/windbend/shard/MachineTransfersTest.java
@@ -2,9 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.ManualLoop;
-import dev.windbend.daemon.io.Web;
 import dev.windbend.machine.CloudClient;
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
@@ -12,6 +9,10 @@
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.machine.RentalRecord;
 import dev.windbend.machine.TaskRequirements;
+import dev.windbend.runtime.ClientResponse;
+import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.Json;
+import dev.windbend.runtime.ManualEventLoop;
 import dev.windbend.store.PendingWrite;
 import dev.windbend.store.VersionedValue;
 import java.nio.charset.StandardCharsets;
@@ -28,7 +29,7 @@
       "{\"rigs\":[{\"label\":\"t\",\"cores\":8,\"cards\":0,\"ram_gb\":8,\"cache_gb\":9,"
           + "\"pull_gb_per_s\":1,\"rate\":1,\"low_price\":0.5,\"ready_s\":5,\"yards\":[\"a\"]}]}";
 
-  private final ManualLoop loop = new ManualLoop(1_000);
+  private final ManualEventLoop loop = new ManualEventLoop(1_000);
 
   private final Fleet.Host host =
       new Fleet.Host() {
@@ -54,9 +55,9 @@
 
   @BeforeEach
   void tenMachines() {
-    Web web =
+    HttpClient web =
         (address, method, path, body, limitMs, done) ->
-            done.accept(new Web.Reply(200, TYPES.getBytes(StandardCharsets.UTF_8)));
+            done.accept(new ClientResponse(200, TYPES.getBytes(StandardCharsets.UTF_8)));
     cloud = new CloudClient(loop, web, "cloud:1", 10, 1);
     catalog = new MachineTypeCatalog(loop, cloud, List.of("a"));
     catalog.start();
--- a/src/test/java/dev/windbend/shard/NodeLeaseTest.java
+++ b/src/test/java/dev/windbend/shard/NodeLeaseTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.daemon.io.ManualLoop;
-import dev.windbend.daemon.io.ManualWeb;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
+import dev.windbend.runtime.ManualEventLoop;
+import dev.windbend.runtime.ManualHttpClient;
 import dev.windbend.store.StoreClient;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
@@ -13,15 +13,15 @@
   private static final long TERM_MS = 4_000;
   private static final long RENEWAL_MS = TERM_MS / 4;
 
-  private final ManualLoop loop = new ManualLoop(100_000);
-  private final ManualWeb web = new ManualWeb();
+  private final ManualEventLoop loop = new ManualEventLoop(100_000);
+  private final ManualHttpClient web = new ManualHttpClient();
   private int ended;
 
   private final StoreClient store = new StoreClient(loop, web, "state:1", 1_000, 100, 8, 1);
   private final NodeLease lease = new NodeLease(loop, store, TERM_MS, () -> ended++);
 
   private void answer(int call, int status, String body) {
-    web.calls.get(call).accept(new Web.Reply(status, body.getBytes(StandardCharsets.UTF_8)));
+    web.calls.get(call).accept(new ClientResponse(status, body.getBytes(StandardCharsets.UTF_8)));
   }
 
   private void grant(int call, int id) {
--- a/src/test/java/dev/windbend/store/PagedStoreTest.java
+++ b/src/test/java/dev/windbend/store/PagedStoreTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/test/java/dev/windbend/worker/DirectStopClientTest.java
+++ b/src/test/java/dev/windbend/worker/DirectStopClientTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.daemon.io.ManualLoop;
-import dev.windbend.daemon.io.ManualWeb;
-import dev.windbend.daemon.io.Web;
+import dev.windbend.runtime.ClientResponse;
+import dev.windbend.runtime.ManualEventLoop;
+import dev.windbend.runtime.ManualHttpClient;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -12,12 +12,12 @@
   private static final int FLEET = 4_000;
   private static final int MOST_AT_ONCE = 12;
 
-  private final ManualLoop loop = new ManualLoop(1_000);
-  private final ManualWeb web = new ManualWeb();
+  private final ManualEventLoop loop = new ManualEventLoop(1_000);
+  private final ManualHttpClient web = new ManualHttpClient();
   private final DirectStopClient client = new DirectStopClient(loop, web, 3);
 
   /** Answers all calls, and those that follow. */
-  private void answerAll(Web.Reply reply) {
+  private void answerAll(ClientResponse reply) {
     for (int call = 0; call < web.calls.size(); call++) {
       web.calls.get(call).accept(reply);
     }
@@ -35,7 +35,7 @@
   void everyMachineOfALargeFleetIsTold() {
     cancelHugeArray();
     assertThat(web.addresses).as("few at once").hasSize(MOST_AT_ONCE);
-    answerAll(new Web.Reply(200, new byte[0]));
+    answerAll(new ClientResponse(200, new byte[0]));
     assertThat(web.addresses).doesNotHaveDuplicates().hasSize(FLEET);
   }
 
@@ -43,7 +43,7 @@
   void whatHasWaitedForAReportIntervalIsLeftToTheNextAnswer() {
     cancelHugeArray();
     loop.nowMs += 3_000;
-    answerAll(Web.Reply.NONE);
+    answerAll(ClientResponse.NO_RESPONSE);
     assertThat(web.addresses).hasSize(MOST_AT_ONCE);
   }
 }
--- a/src/test/java/dev/windbend/worker/ReportReaderTest.java
+++ b/src/test/java/dev/windbend/worker/ReportReaderTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.daemon.io.Json;
+import dev.windbend.runtime.Json;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
@@ -7,8 +7,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
-import dev.windbend.daemon.io.Json;
 import dev.windbend.job.Urgency;
+import dev.windbend.runtime.Json;
 import dev.windbend.store.VersionedValue;
 import java.util.List;
 import java.util.stream.Stream;
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -3,9 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.windbend.daemon.io.Json;
-import dev.windbend.daemon.io.ManualLoop;
-import dev.windbend.daemon.io.Web;
 import dev.windbend.job.Job;
 import dev.windbend.job.JobRegistry;
 import dev.windbend.job.TestJobs;
@@ -17,6 +14,9 @@
 import dev.windbend.machine.MachineIndex;
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.machine.RentalRecord;
+import dev.windbend.runtime.ClientResponse;
+import dev.windbend.runtime.Json;
+import dev.windbend.runtime.ManualEventLoop;
 import dev.windbend.store.PagedStore;
 import dev.windbend.store.PendingWrite;
 import dev.windbend.store.TransactionBuilder;
@@ -46,7 +46,7 @@
   private static final ZonePolicy POLICY =
       new ZonePolicy(true, List.of(), 3_000, 2_000, 10_000, 80_000, 100_000, 1, 5_000);
 
-  private final ManualLoop loop = new ManualLoop(1_000_000);
+  private final ManualEventLoop loop = new ManualEventLoop(1_000_000);
   private final Map<String, VersionedValue> stored = new HashMap<>();
   private final List<String> returned = new ArrayList<>();
   private final ZoneMetrics metrics = new ZoneMetrics();
@@ -152,12 +152,12 @@
       String path,
       byte[] body,
       long limitMs,
-      Consumer<Web.Reply> done) {
+      Consumer<ClientResponse> done) {
     if (path.equals("/hosts/return")) {
       Json.read(body, JsonNode.class).path("trucks").forEach(n -> returned.add(n.asText()));
     }
     String text = path.equals("/machine_types") ? TYPES : "{}";
-    done.accept(new Web.Reply(200, text.getBytes(StandardCharsets.UTF_8)));
+    done.accept(new ClientResponse(200, text.getBytes(StandardCharsets.UTF_8)));
   }
 
   /** One task on each machine of the zone, that has run for so long. */
