--- a/src/main/java/dev/windbend/daemon/Rehearsal.java
+++ b/src/main/java/dev/windbend/daemon/ClassArchiveTraining.java
@@ -17,7 +17,7 @@
  * followed by a second controller that takes over. A class that is not in the archive is read,
  * checked and linked anew at each start, with a processor share of a few hundredths of a core.
  */
-final class Rehearsal {
+final class ClassArchiveTraining {
   private static final long TAKEOVER_MS = 4_000;
   private static final long RUN_MS = 8_000;
   private static final long STEP_MS = 100;
@@ -30,12 +30,12 @@
   private final ByteBufferPool buffers;
   private final XnioEventLoop loop;
   private final UndertowHttpClient web;
-  private final RehearsalServices services;
-  private final Map<String, RehearsalWorker> workers = new LinkedHashMap<>();
+  private final TrainingServices services;
+  private final Map<String, TrainingWorker> workers = new LinkedHashMap<>();
   private String controller;
   private int submitted;
 
-  private Rehearsal(
+  private ClassArchiveTraining(
       Policy policy,
       XnioWorker worker,
       ByteBufferPool buffers,
@@ -46,7 +46,7 @@
     this.buffers = buffers;
     this.loop = loop;
     this.web = web;
-    this.services = new RehearsalServices(loop);
+    this.services = new TrainingServices(loop);
   }
 
   static Settings settings() throws Settings.Invalid {
@@ -108,7 +108,7 @@
       ByteBufferPool buffers,
       XnioEventLoop loop,
       UndertowHttpClient web) {
-    new Rehearsal(policy, worker, buffers, loop, web).start();
+    new ClassArchiveTraining(policy, worker, buffers, loop, web).start();
   }
 
   private void start() {
@@ -131,7 +131,7 @@
     } catch (Settings.Invalid e) {
       throw new IllegalStateException(e);
     }
-    Node node = new Node(settings, policy, loop, web);
+    Controller node = new Controller(settings, policy, loop, web);
     InetSocketAddress address = HttpServer.listen(worker, buffers, "127.0.0.1:0", node::serve);
     controller = "127.0.0.1:" + address.getPort();
     loop.after(0, node::start);
@@ -146,7 +146,7 @@
       call("GET", "/v1/jobs/" + uid(job), null);
     }
     for (String machine : services.machines()) {
-      workers.computeIfAbsent(machine, m -> new RehearsalWorker(web, m)).report(controller);
+      workers.computeIfAbsent(machine, m -> new TrainingWorker(web, m)).report(controller);
     }
   }
 
--- a/src/main/java/dev/windbend/daemon/Node.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -2,34 +2,34 @@
 
 import dev.windbend.job.Cancellations;
 import dev.windbend.job.JobHandler;
+import dev.windbend.job.JobProgress;
 import dev.windbend.job.JobRecord;
 import dev.windbend.job.JobSpec;
-import dev.windbend.job.Progress;
 import dev.windbend.machine.CloudClient;
 import dev.windbend.machine.MachineIndex;
 import dev.windbend.machine.MachineType;
 import dev.windbend.machine.MachineTypeCatalog;
-import dev.windbend.machine.RentalRecord;
+import dev.windbend.machine.ScaleOutRecord;
 import dev.windbend.overload.ConcurrencyLimiter;
+import dev.windbend.peer.MachineTransferClient;
 import dev.windbend.peer.Peers;
-import dev.windbend.peer.TransferClient;
 import dev.windbend.plan.Estimates;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.HttpClient;
 import dev.windbend.runtime.NameIndex;
 import dev.windbend.runtime.ServerRequest;
 import dev.windbend.runtime.ServerResponse;
-import dev.windbend.shard.Facts;
+import dev.windbend.shard.DeploymentSpec;
+import dev.windbend.shard.LeaderElection;
 import dev.windbend.shard.MachineRequest;
 import dev.windbend.shard.Policy;
 import dev.windbend.shard.ShardLayout;
-import dev.windbend.shard.ShardOwner;
-import dev.windbend.shard.ShardOwnership;
+import dev.windbend.shard.ShardLeader;
 import dev.windbend.store.Replica;
 import dev.windbend.store.StoreClient;
 import dev.windbend.store.VersionedValue;
 import dev.windbend.worker.DirectStopClient;
-import dev.windbend.worker.ReportReader;
+import dev.windbend.worker.HeartbeatReader;
 import dev.windbend.worker.WorkerMessages;
 import dev.windbend.zone.ZoneMetrics;
 import dev.windbend.zone.ZoneRecord;
@@ -53,8 +53,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One controller: its slices wired together, and the door to each. Runs on one loop. */
-public final class Node implements ShardOwnership.Listener {
-  private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class Controller implements LeaderElection.Listener {
+  private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
   private static final String EVERYTHING = "w/";
   private static final long STALE_MS = 3_000;
   private static final String ZONES = "/zones";
@@ -66,24 +66,24 @@
   private final MachineTypeCatalog catalog;
   private final Replica replica;
   private final ShardLayout layout;
-  private final ShardOwnership claims;
+  private final LeaderElection claims;
   private final Peers peers;
-  private final TransferClient lending;
+  private final MachineTransferClient lending;
   private final ConcurrencyLimiter gate;
-  private final ShardOwner.Shared shared;
+  private final ShardLeader.Shared shared;
   private final Estimates estimates = new Estimates();
   private final NameIndex images = new NameIndex();
-  private final Map<Integer, ShardOwner> owners = new LinkedHashMap<>();
+  private final Map<Integer, ShardLeader> owners = new LinkedHashMap<>();
   private final MachineIndex directory = new MachineIndex();
-  private final Progress progress = new Progress();
+  private final JobProgress progress = new JobProgress();
   private final ZoneMetrics zoneMetrics = new ZoneMetrics();
   private final MeterRegistry meters = new SimpleMeterRegistry();
   private final Map<Integer, Counter> answered = new HashMap<>();
 
-  public Node(Settings settings, Policy policy, EventLoop loop, HttpClient web) {
+  public Controller(Settings settings, Policy policy, EventLoop loop, HttpClient web) {
     this.settings = settings;
     this.policy = policy;
-    Settings.Facts f = settings.facts();
+    Settings.Deployment f = settings.facts();
     List<String> nodes = new ArrayList<>(List.of(settings.node()));
     List<String> addresses = new ArrayList<>();
     Map<String, String> peerAddresses = new HashMap<>();
@@ -108,7 +108,7 @@
     this.layout = new ShardLayout(f.teams().stream().map(Settings.Team::name).toList(), nodes);
     long leaseMs = (long) (1000 * f.workers().leaseS());
     this.claims =
-        new ShardOwnership(
+        new LeaderElection(
             loop, store, replica, layout, settings.node(), policy.leaseTermMs(), leaseMs, this);
     Cancellations cancellations = new Cancellations(replica, this::cancelled);
     this.peers =
@@ -131,14 +131,14 @@
             this::waitsFor);
     DirectStopClient directStops = new DirectStopClient(loop, web, f.workers().reportS());
     this.lending =
-        new TransferClient(web, layout.shards(), claims::owner, peerAddresses, this::lend);
-    Facts facts = facts(settings, size);
+        new MachineTransferClient(web, layout.shards(), claims::owner, peerAddresses, this::lend);
+    DeploymentSpec facts = facts(settings, size);
     this.gate = new ConcurrencyLimiter(loop, JobHandler::submits, door::handle);
     replica.listen(directory::changed);
     replica.listen(progress::changed);
     replica.listen(this::changed);
     this.shared =
-        new ShardOwner.Shared(
+        new ShardLeader.Shared(
             loop,
             store,
             cloud,
@@ -158,22 +158,23 @@
             settings.zone(),
             zoneMetrics);
     Gauge.builder("windbend.shards", owners, Map::size).register(meters);
-    Gauge.builder("windbend.jobs.live", this, n -> n.sum(ShardOwner::liveJobs)).register(meters);
-    Gauge.builder("windbend.machines", this, n -> n.sum(ShardOwner::machineCount)).register(meters);
+    Gauge.builder("windbend.jobs.live", this, n -> n.sum(ShardLeader::liveJobs)).register(meters);
+    Gauge.builder("windbend.machines", this, n -> n.sum(ShardLeader::machineCount))
+        .register(meters);
     Gauge.builder(
             "windbend.waiting.oldest.s",
             owners,
-            all -> all.values().stream().mapToInt(ShardOwner::oldestWaitS).max().orElse(0))
+            all -> all.values().stream().mapToInt(ShardLeader::oldestWaitS).max().orElse(0))
         .register(meters);
     Gauge.builder("windbend.store.failing.ms", store, StoreClient::failingForMs).register(meters);
   }
 
-  private int sum(java.util.function.ToIntFunction<ShardOwner> what) {
+  private int sum(java.util.function.ToIntFunction<ShardLeader> what) {
     return owners.values().stream().mapToInt(what).sum();
   }
 
-  private static Facts facts(Settings settings, int size) {
-    Settings.Facts f = settings.facts();
+  private static DeploymentSpec facts(Settings settings, int size) {
+    Settings.Deployment f = settings.facts();
     Map<String, double[]> dueTimes = new HashMap<>();
     Map<String, double[]> within = new HashMap<>();
     Map<String, Double> wait = new HashMap<>();
@@ -185,16 +186,16 @@
         wait.merge(o.jobKind(), o.withinS(), Math::max);
       }
       if (o.jobKind() != null && "finished".equals(o.kind()) && o.withinS() != null) {
-        within.merge(o.jobKind(), new double[] {o.withinS()}, Node::sorted);
+        within.merge(o.jobKind(), new double[] {o.withinS()}, Controller::sorted);
       } else if (o.jobKind() != null && "deadline".equals(o.kind()) && o.times() != null) {
-        dueTimes.merge(o.jobKind(), new double[] {o.times()}, Node::sorted);
+        dueTimes.merge(o.jobKind(), new double[] {o.times()}, Controller::sorted);
       }
     }
-    return new Facts(
+    return new DeploymentSpec(
         f.teams().stream()
             .map(
                 t ->
-                    new Facts.TeamFact(
+                    new DeploymentSpec.TeamQuota(
                         t.name(), t.cores(), t.coresMost(), t.cards(), t.cardsMost()))
             .toList(),
         size,
@@ -204,7 +205,7 @@
         f.cloud().rps(),
         (int) (1024 * f.state().valueKb()),
         f.state().writeRps(),
-        new Facts.Aims(dueTimes, within, wait, guaranteeS));
+        new DeploymentSpec.ServiceObjectives(dueTimes, within, wait, guaranteeS));
   }
 
   private static double[] sorted(double[] a, double[] b) {
@@ -222,14 +223,14 @@
 
   @Override
   public void won(int shard, long token) {
-    ShardOwner o = new ShardOwner(shard, token, shared);
+    ShardLeader o = new ShardLeader(shard, token, shared);
     owners.put(shard, o);
     o.start();
   }
 
   @Override
   public void lost(int shard) {
-    ShardOwner o = owners.remove(shard);
+    ShardLeader o = owners.remove(shard);
     if (o != null) {
       o.close();
     }
@@ -237,7 +238,7 @@
 
   /** An owner elsewhere, or of another shard here, lacks machines. Null: the shard is not ours. */
   private MachineRequest.Reply lend(int from, int to, MachineRequest request) {
-    ShardOwner o = owners.get(from);
+    ShardLeader o = owners.get(from);
     return o == null ? null : o.lend(to, request);
   }
 
@@ -249,11 +250,11 @@
   private void changed(String key, VersionedValue now) {
     if (key.startsWith(JobRecord.LIVE)) {
       String uid = key.substring(JobRecord.LIVE.length());
-      for (ShardOwner o : List.copyOf(owners.values())) {
+      for (ShardLeader o : List.copyOf(owners.values())) {
         o.jobChanged(uid, now);
       }
-    } else if (key.startsWith(RentalRecord.KEYS)) {
-      for (ShardOwner o : List.copyOf(owners.values())) {
+    } else if (key.startsWith(ScaleOutRecord.KEYS)) {
+      for (ShardLeader o : List.copyOf(owners.values())) {
         o.hireChanged(key, now);
       }
     }
@@ -293,7 +294,8 @@
     switch (request.path()) {
       case Peers.PATH -> method("POST", request, done, () -> done.accept(peers.view(request)));
       case Peers.CANCELLED -> method("POST", request, done, () -> done.accept(peers.told(request)));
-      case TransferClient.PATH -> method("POST", request, done, () -> lending.serve(request, done));
+      case MachineTransferClient.PATH ->
+          method("POST", request, done, () -> lending.serve(request, done));
       case "/metrics" ->
           method("GET", request, done, () -> done.accept(ServerResponse.of(200, metrics())));
       case ZONES ->
@@ -386,14 +388,14 @@
       done.accept(ServerResponse.ofStatus(503));
       return;
     }
-    WorkerMessages.Report r = ReportReader.read(body);
+    WorkerMessages.Heartbeat r = HeartbeatReader.read(body);
     if (r == null) {
       done.accept(ServerResponse.ofStatus(400));
       return;
     }
     claims.heardWorker();
     int shard = directory.shardOf(r.machine());
-    for (ShardOwner o : owners.values()) {
+    for (ShardLeader o : owners.values()) {
       if (o.ready() && o.has(r.machine())) {
         o.report(r, done);
         return;
@@ -402,7 +404,7 @@
     LOG.debug("{} of shard {} is not ours", r.machine(), shard);
     // Unknown machines are the first shard's to take in.
     int home = Math.max(shard, 0);
-    ShardOwner mine = owners.get(home);
+    ShardLeader mine = owners.get(home);
     if (mine == null) {
       String owner = claims.owner(home);
       done.accept(
--- a/src/main/java/dev/windbend/daemon/Main.java
+++ b/src/main/java/dev/windbend/daemon/Main.java
@@ -69,11 +69,12 @@
   private static int start(Arguments arguments) throws IOException, InterruptedException {
     boolean rehearse = arguments.action() == Arguments.Action.REHEARSE;
     try {
-      Settings settings = rehearse ? Rehearsal.settings() : Settings.read(arguments.config());
+      Settings settings =
+          rehearse ? ClassArchiveTraining.settings() : Settings.read(arguments.config());
       Policy policy =
           arguments.settings() == null
-              ? Operator.defaults()
-              : Operator.read(arguments.settings(), settings.facts().zones());
+              ? OperatorSettings.defaults()
+              : OperatorSettings.read(arguments.settings(), settings.facts().zones());
       return new Main(rehearse).listen(settings, policy);
     } catch (Settings.Invalid e) {
       System.err.println("windbend: " + e.getMessage());
@@ -133,10 +134,10 @@
     XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
     UndertowHttpClient web = new UndertowHttpClient(loop, buffers);
     if (rehearse) {
-      Rehearsal.run(policy, worker, buffers, loop, web);
+      ClassArchiveTraining.run(policy, worker, buffers, loop, web);
       return;
     }
-    Node node = new Node(settings, policy, loop, web);
+    Controller node = new Controller(settings, policy, loop, web);
     HttpServer.listen(worker, buffers, settings.peerListen(), node::servePeer);
     HttpServer.listen(worker, buffers, settings.clientListen(), node::serve);
     loop.after(0, node::start);
--- a/src/main/java/dev/windbend/daemon/Operator.java
+++ b/src/main/java/dev/windbend/daemon/OperatorSettings.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /** The operators' own settings, an INI file; every one has a default. */
-public final class Operator {
-  private Operator() {}
+public final class OperatorSettings {
+  private OperatorSettings() {}
 
   private static final String PLAN = "plan";
   private static final String SHARD = "shard";
--- a/src/main/java/dev/windbend/daemon/Settings.java
+++ b/src/main/java/dev/windbend/daemon/Settings.java
@@ -14,13 +14,13 @@
     String peerListen,
     List<Seed> seeds,
     Services services,
-    Facts facts) {
+    Deployment facts) {
 
   public record Seed(String node, String address) {}
 
   public record Services(String cloud, String state) {}
 
-  public record Facts(
+  public record Deployment(
       int nodes,
       List<String> zones,
       List<Team> teams,
@@ -84,7 +84,7 @@
         facts(file.table("facts")));
   }
 
-  private static Facts facts(TomlTable facts) throws Invalid {
+  private static Deployment facts(TomlTable facts) throws Invalid {
     if (facts == null) {
       return null;
     }
@@ -107,7 +107,7 @@
               objective.numberOrNull("within_s"),
               objective.numberOrNull("times")));
     }
-    return new Facts(
+    return new Deployment(
         facts.integer("size"),
         facts.texts("zones"),
         teams,
--- a/src/main/java/dev/windbend/daemon/RehearsalServices.java
+++ b/src/main/java/dev/windbend/daemon/TrainingServices.java
@@ -18,7 +18,7 @@
  * A state service and a cloud for the {@link Rehearsal}, in memory and for one controller: just
  * enough for it to run through its ordinary paths. Nothing is limited, no lease ends.
  */
-final class RehearsalServices {
+final class TrainingServices {
   private static final long WATCH_MS = 50;
   private static final int MACHINES = 4;
 
@@ -29,7 +29,7 @@
   private final Map<String, List<String>> rentals = new LinkedHashMap<>();
   private long revision = 1;
 
-  RehearsalServices(EventLoop loop) {
+  TrainingServices(EventLoop loop) {
     this.loop = loop;
   }
 
--- a/src/main/java/dev/windbend/daemon/RehearsalWorker.java
+++ b/src/main/java/dev/windbend/daemon/TrainingWorker.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** A worker for the {@link Rehearsal}: reports, starts tasks and ends each after some reports. */
-final class RehearsalWorker {
+final class TrainingWorker {
   private static final int REPORTS_A_TASK = 4;
   private static final long LIMIT_MS = 1_000;
 
@@ -33,7 +33,7 @@
     }
   }
 
-  RehearsalWorker(HttpClient web, String machine) {
+  TrainingWorker(HttpClient web, String machine) {
     this.web = web;
     this.machine = machine;
   }
--- a/src/main/java/dev/windbend/job/JobHandler.java
+++ b/src/main/java/dev/windbend/job/JobHandler.java
@@ -30,8 +30,8 @@
   private final StoreClient store;
   private final Fitness fitness;
   private final ArrayDeque<Accepting> accepting = new ArrayDeque<>();
-  private final Lookup lookup;
-  private final Progress progress;
+  private final JobLookup lookup;
+  private final JobProgress progress;
   private final Cancellations cancellations;
   private final Consumer<Cancellations.Cancelled> tellOthers;
   private final Function<JobSpec, String> waitsFor;
@@ -56,14 +56,14 @@
       EventLoop loop,
       StoreClient store,
       Replica replica,
-      Progress progress,
+      JobProgress progress,
       Cancellations cancellations,
       Consumer<Cancellations.Cancelled> tellOthers,
       Fitness fitness,
       Function<JobSpec, String> waitsFor) {
     this.loop = loop;
     this.store = store;
-    this.lookup = new Lookup(loop, store, replica);
+    this.lookup = new JobLookup(loop, store, replica);
     this.progress = progress;
     this.cancellations = cancellations;
     this.tellOthers = tellOthers;
@@ -230,7 +230,7 @@
         });
   }
 
-  private ServerResponse status(String uid, Lookup.Found found) {
+  private ServerResponse status(String uid, JobLookup.Found found) {
     if (!found.sure()) {
       return ServerResponse.retryAfter(1);
     }
@@ -248,7 +248,7 @@
     if (live.cancelled()) {
       confirm(uid, found.live().version());
     }
-    Progress.Tasks tasks = progress.of(uid);
+    JobProgress.Tasks tasks = progress.of(uid);
     String status =
         live.cancelled()
             ? Statuses.CANCELLED
--- a/src/main/java/dev/windbend/job/Lookup.java
+++ b/src/main/java/dev/windbend/job/JobLookup.java
@@ -20,7 +20,7 @@
  * requests to the state service do not grow with those of users. Where the mirror lags, the keys
  * themselves are read.
  */
-final class Lookup {
+final class JobLookup {
   private static final int ENDED_KEPT = 20_000;
 
   /** Conditions a transaction may have per change allowed. */
@@ -55,7 +55,7 @@
 
   private record Question(String uid, VersionedValue copy, Consumer<Found> done) {}
 
-  Lookup(EventLoop loop, StoreClient store, Replica replica) {
+  JobLookup(EventLoop loop, StoreClient store, Replica replica) {
     this.loop = loop;
     this.store = store;
     this.replica = replica;
--- a/src/main/java/dev/windbend/job/Progress.java
+++ b/src/main/java/dev/windbend/job/JobProgress.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** How far jobs are, as the owners' pages tell. For display: it may lag. */
-public final class Progress {
+public final class JobProgress {
   private record Count(long version, int done, int placed) {}
 
   private final Map<String, Map<String, Count>> jobs = new HashMap<>();
--- a/src/main/java/dev/windbend/machine/CloudClient.java
+++ b/src/main/java/dev/windbend/machine/CloudClient.java
@@ -52,7 +52,7 @@
         });
   }
 
-  void rent(CloudMessages.Rental rental, RentalDone done) {
+  void rent(CloudMessages.CreateInstances rental, RentalDone done) {
     call(
         "POST",
         "/hosts",
--- a/src/main/java/dev/windbend/machine/CloudMessages.java
+++ b/src/main/java/dev/windbend/machine/CloudMessages.java
@@ -21,7 +21,7 @@
       @JsonProperty("ready_s") double bootS,
       @JsonProperty("yards") List<String> zones) {}
 
-  record Rental(
+  record CreateInstances(
       @JsonProperty("hire") String name,
       @JsonProperty("rig") String type,
       @JsonProperty("yard") String zone,
--- a/src/main/java/dev/windbend/machine/Fleet.java
+++ b/src/main/java/dev/windbend/machine/Fleet.java
@@ -34,7 +34,7 @@
   private final int shard;
   private final long token;
   private final Host host;
-  private final Map<String, Rental> hires = new LinkedHashMap<>();
+  private final Map<String, ScaleOutRequest> hires = new LinkedHashMap<>();
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Set<Machine> leaving = new LinkedHashSet<>();
   private final Object2LongOpenHashMap<String> refusedUntil = new Object2LongOpenHashMap<>();
@@ -97,11 +97,11 @@
    * names them.
    */
   public void restore(
-      String name, RentalRecord record, long version, MachineIndex directory, boolean inherited) {
+      String name, ScaleOutRecord record, long version, MachineIndex directory, boolean inherited) {
     if (hires.containsKey(name)) {
       return;
     }
-    Rental h = hire(name, record, version);
+    ScaleOutRequest h = hire(name, record, version);
     if (h == null || record.open()) {
       return;
     }
@@ -123,19 +123,19 @@
     }
   }
 
-  private Rental hire(String name, RentalRecord record, long version) {
+  private ScaleOutRequest hire(String name, ScaleOutRecord record, long version) {
     MachineType type = catalog.find(record.type());
     if (type == null) {
       LOG.error("rental {} names the unknown type {}", name, record.type());
       return null;
     }
     int zone = catalog.zones().index(record.zone());
-    Rental h = new Rental(name, shard, record, type, zone, version, loop.nowMs());
+    ScaleOutRequest h = new ScaleOutRequest(name, shard, record, type, zone, version, loop.nowMs());
     hires.put(name, h);
     return h;
   }
 
-  private Machine add(String name, Rental hire, long rentedMs) {
+  private Machine add(String name, ScaleOutRequest hire, long rentedMs) {
     Machine m = new Machine(name, hire, rentedMs, loop.nowMs());
     machines.put(name, m);
     hire.machines.add(m);
@@ -160,7 +160,7 @@
   /** Machines asked for and not answered yet. */
   public Collection<Pending> pending() {
     List<Pending> all = new ArrayList<>();
-    for (Rental h : hires.values()) {
+    for (ScaleOutRequest h : hires.values()) {
       if (!h.answered) {
         all.add(new Pending(h.type, h.zone, h.asked.spot(), h.asked.count(), h.madeMs));
       }
@@ -180,10 +180,10 @@
     for (int left = probe ? Math.min(count, HIRE_BATCH) : count; left > 0; left -= HIRE_BATCH) {
       // The token is never used again, so neither is the name.
       String name = "p" + shard + "-" + token + "-" + ++sequence;
-      Rental h =
+      ScaleOutRequest h =
           hire(
               name,
-              new RentalRecord(
+              new ScaleOutRecord(
                   type.name(),
                   catalog.zones().name(zone),
                   spot,
@@ -203,9 +203,9 @@
   }
 
   /** Gives machines that nobody has on record to a shard, which may be this one. */
-  void adopt(UnknownMachine kind, List<String> names, int to) {
+  void adopt(OrphanedMachine kind, List<String> names, int to) {
     LOG.info("adopting {} for shard {}", names, to);
-    grant(new RentalRecord(kind.type(), kind.zone(), kind.spot(), 0, names, 0L), to, () -> {});
+    grant(new ScaleOutRecord(kind.type(), kind.zone(), kind.spot(), 0, names, 0L), to, () -> {});
   }
 
   /** Gives empty machines to another shard; they are used no more from now on. */
@@ -224,7 +224,7 @@
         LOG.info("lending {} to shard {}", names, to);
         Machine m = some.get(0);
         grant(
-            new RentalRecord(
+            new ScaleOutRecord(
                 m.type().name(), catalog.zones().name(m.zone()), m.spot(), 0, names, 0L),
             to,
             () -> some.forEach(this::leave));
@@ -232,14 +232,14 @@
     }
   }
 
-  private void grant(RentalRecord record, int to, Runnable done) {
-    String key = RentalRecord.prefix(to) + "g" + shard + "-" + token + "-" + ++sequence;
+  private void grant(ScaleOutRecord record, int to, Runnable done) {
+    String key = ScaleOutRecord.prefix(to) + "g" + shard + "-" + token + "-" + ++sequence;
     host.touch(new TransferRecord(key, record, done));
   }
 
   /** Takes note of what has been written: machines given away, rentals that are complete. */
   public void afterWrite() {
-    for (Rental h : List.copyOf(hires.values())) {
+    for (ScaleOutRequest h : List.copyOf(hires.values())) {
       if (h.answered && h.machines.isEmpty()) {
         drop(h);
       }
@@ -284,7 +284,7 @@
     if (closed || !host.mayAct()) {
       return;
     }
-    for (Rental h : List.copyOf(hires.values())) {
+    for (ScaleOutRequest h : List.copyOf(hires.values())) {
       if (h.answered || !h.recorded() || h.asking) {
         continue;
       }
@@ -328,11 +328,11 @@
     host.gone(m);
   }
 
-  private void ask(Rental h) {
+  private void ask(ScaleOutRequest h) {
     h.asking = true;
     h.sent = true;
     cloud.rent(
-        new CloudMessages.Rental(
+        new CloudMessages.CreateInstances(
             h.name, h.asked.type(), h.asked.zone(), h.asked.spot(), h.asked.count()),
         (how, names) -> {
           if (closed) {
@@ -374,16 +374,16 @@
         });
   }
 
-  private void refuse(Rental h) {
+  private void refuse(ScaleOutRequest h) {
     scarce.add(kind(h));
     refusedUntil.put(kind(h), loop.nowMs() + REFUSED_MS);
   }
 
-  private static String kind(Rental h) {
+  private static String kind(ScaleOutRequest h) {
     return kind(h.type.index(), h.zone, h.asked.spot());
   }
 
-  private void drop(Rental h) {
+  private void drop(ScaleOutRequest h) {
     hires.remove(h.name);
     h.finish(loop.nowMs());
     host.touch(h);
@@ -415,7 +415,7 @@
    * knows. The list lags, so strays must stay unknown for long.
    */
   public void check(
-      long strayMs, Predicate<String> known, BiConsumer<String, UnknownMachine> found) {
+      long strayMs, Predicate<String> known, BiConsumer<String, OrphanedMachine> found) {
     cloud.list(
         listed -> {
           if (closed || listed == null) {
@@ -432,7 +432,7 @@
               now.add(l.name());
               long since = unknownSince.computeIfAbsent(l.name(), k -> loop.nowMs());
               if (loop.nowMs() - since >= strayMs) {
-                found.accept(l.name(), new UnknownMachine(l.type(), l.zone(), l.spot()));
+                found.accept(l.name(), new OrphanedMachine(l.type(), l.zone(), l.spot()));
               }
             }
           }
--- a/src/main/java/dev/windbend/machine/Machine.java
+++ b/src/main/java/dev/windbend/machine/Machine.java
@@ -67,7 +67,7 @@
   private long evictByMs = -1;
 
   /** The record that names it. */
-  final Rental hire;
+  final ScaleOutRequest hire;
 
   private boolean listing;
 
@@ -83,7 +83,7 @@
 
   private double leastFreeCoresBefore;
 
-  Machine(String name, Rental hire, long requestedMs, long nowMs) {
+  Machine(String name, ScaleOutRequest hire, long requestedMs, long nowMs) {
     this.name = name;
     this.hire = hire;
     this.type = hire.type;
--- a/src/main/java/dev/windbend/machine/MachineIndex.java
+++ b/src/main/java/dev/windbend/machine/MachineIndex.java
@@ -33,10 +33,10 @@
 
   /** A record has changed; null: it is gone. */
   public void changed(String key, VersionedValue now) {
-    if (!key.startsWith(RentalRecord.KEYS)) {
+    if (!key.startsWith(ScaleOutRecord.KEYS)) {
       return;
     }
-    RentalRecord r = now == null ? null : Json.read(now.value(), RentalRecord.class);
+    ScaleOutRecord r = now == null ? null : Json.read(now.value(), ScaleOutRecord.class);
     List<String> after = r == null || r.open() ? List.of() : r.machines();
     for (String name : listed.getOrDefault(key, List.of())) {
       Home h = homes.get(name);
@@ -46,7 +46,7 @@
       }
     }
     for (String name : after) {
-      Home h = new Home(key, RentalRecord.shard(key), r.fence(now.version()));
+      Home h = new Home(key, ScaleOutRecord.shard(key), r.fence(now.version()));
       homes.merge(name, h, (a, b) -> a.fence > b.fence ? a : b);
     }
     if (after.isEmpty()) {
--- a/src/main/java/dev/windbend/machine/UnknownMachines.java
+++ b/src/main/java/dev/windbend/machine/OrphanedMachines.java
@@ -16,7 +16,7 @@
  * machine that exists was preceded by its rental's record, so one that no record names, while none
  * of its kind is without an answer, is nobody's.
  */
-public final class UnknownMachines {
+public final class OrphanedMachines {
   private static final long PAUSE_MS = 1_000;
   private static final int MOST = 150;
 
@@ -24,7 +24,7 @@
   private final StoreClient store;
   private final Fleet fleet;
   private final int shards;
-  private final Map<String, UnknownMachine> noted = new LinkedHashMap<>();
+  private final Map<String, OrphanedMachine> noted = new LinkedHashMap<>();
 
   /** Dealt out; the record that says so may take a while under load, and must stay the only one. */
   private final Set<String> dealt = new HashSet<>();
@@ -33,7 +33,7 @@
   private boolean closed;
   private int next;
 
-  public UnknownMachines(EventLoop loop, StoreClient store, Fleet fleet, int shards) {
+  public OrphanedMachines(EventLoop loop, StoreClient store, Fleet fleet, int shards) {
     this.loop = loop;
     this.store = store;
     this.fleet = fleet;
@@ -44,7 +44,7 @@
     closed = true;
   }
 
-  public void note(String machine, UnknownMachine stray) {
+  public void note(String machine, OrphanedMachine stray) {
     if (noted.size() < MOST && !dealt.contains(machine)) {
       noted.put(machine, stray);
     }
@@ -53,16 +53,16 @@
       loop.after(
           PAUSE_MS,
           () -> {
-            Map<String, UnknownMachine> open = new LinkedHashMap<>(noted);
+            Map<String, OrphanedMachine> open = new LinkedHashMap<>(noted);
             noted.clear();
             look(null, open, new HashSet<>());
           });
     }
   }
 
-  private void look(String from, Map<String, UnknownMachine> open, Set<String> taken) {
+  private void look(String from, Map<String, OrphanedMachine> open, Set<String> taken) {
     store.list(
-        RentalRecord.KEYS,
+        ScaleOutRecord.KEYS,
         from,
         page -> {
           if (closed) {
@@ -73,7 +73,7 @@
             return;
           }
           for (StoreClient.Item i : page.items()) {
-            RentalRecord h = Json.read(i.value(), RentalRecord.class);
+            ScaleOutRecord h = Json.read(i.value(), ScaleOutRecord.class);
             if (h != null && h.open()) {
               open.values().removeIf(s -> s.mayBelongTo(h));
             } else if (h != null) {
@@ -92,8 +92,8 @@
         });
   }
 
-  private void deal(Map<String, UnknownMachine> found) {
-    List<Map<UnknownMachine, List<String>>> hands = new ArrayList<>();
+  private void deal(Map<String, OrphanedMachine> found) {
+    List<Map<OrphanedMachine, List<String>>> hands = new ArrayList<>();
     for (int p = 0; p < shards; p++) {
       hands.add(new LinkedHashMap<>());
     }
--- a/src/main/java/dev/windbend/machine/RentalRecord.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRecord.java
@@ -12,7 +12,7 @@
  *     the receiver may command the machines; else that version, kept when the record is rewritten.
  *     Of several records that name a machine the one with the highest counts.
  */
-public record RentalRecord(
+public record ScaleOutRecord(
     @JsonProperty("type") String type,
     @JsonProperty("zone") String zone,
     @JsonProperty("spot") boolean spot,
--- a/src/main/java/dev/windbend/machine/Rental.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRequest.java
@@ -11,7 +11,7 @@
  * machines once it has answered, and until none of them is left with this shard. A record for each
  * machine would take most of the changes that the state service allows.
  */
-final class Rental implements PendingWrite {
+final class ScaleOutRequest implements PendingWrite {
   /** A name too many does no harm: a successor looks for it in the cloud's list. */
   private static final long LAZY_MS = 60_000;
 
@@ -19,7 +19,7 @@
   final String key;
   final MachineType type;
   final int zone;
-  final RentalRecord asked;
+  final ScaleOutRecord asked;
   final long madeMs;
 
   /** From this token on only this shard may command its machines; 0: rented by this shard. */
@@ -44,16 +44,16 @@
   private boolean removed;
 
   /** {@code version} 0: not stored yet. */
-  Rental(
+  ScaleOutRequest(
       String name,
       int shard,
-      RentalRecord asked,
+      ScaleOutRecord asked,
       MachineType type,
       int zone,
       long version,
       long nowMs) {
     this.name = name;
-    this.key = RentalRecord.prefix(shard) + name;
+    this.key = ScaleOutRecord.prefix(shard) + name;
     this.asked = asked;
     this.type = type;
     this.zone = zone;
@@ -125,7 +125,7 @@
       List<String> names = answered ? machines.stream().map(m -> m.name()).toList() : null;
       draft.put(
           key,
-          new RentalRecord(
+          new ScaleOutRecord(
               asked.type(),
               asked.zone(),
               asked.spot(),
--- a/src/main/java/dev/windbend/machine/TransferRecord.java
+++ b/src/main/java/dev/windbend/machine/TransferRecord.java
@@ -9,11 +9,11 @@
  * below the receiver's key, whatever their number.
  */
 final class TransferRecord extends RecordWrite {
-  private final RentalRecord record;
+  private final ScaleOutRecord record;
   private final Runnable done;
   private boolean written;
 
-  TransferRecord(String key, RentalRecord record, Runnable done) {
+  TransferRecord(String key, ScaleOutRecord record, Runnable done) {
     super(key);
     this.record = record;
     this.done = done;
--- a/src/main/java/dev/windbend/peer/TransferClient.java
+++ b/src/main/java/dev/windbend/peer/MachineTransferClient.java
@@ -6,7 +6,7 @@
 import dev.windbend.runtime.ServerRequest;
 import dev.windbend.runtime.ServerResponse;
 import dev.windbend.shard.MachineRequest;
-import dev.windbend.shard.ShardOwner;
+import dev.windbend.shard.ShardLeader;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
@@ -15,7 +15,7 @@
  * Asks the other shards' owners for machines, one after the other. The machines themselves change
  * hands by their records in the state service, so a lost or repeated message does no harm.
  */
-public final class TransferClient implements ShardOwner.Lender {
+public final class MachineTransferClient implements ShardLeader.Lender {
   public static final String PATH = "/peer/lend";
   private static final long LIMIT_MS = 400;
 
@@ -39,7 +39,7 @@
     }
   }
 
-  public TransferClient(
+  public MachineTransferClient(
       HttpClient web,
       int shards,
       IntFunction<String> ownerOf,
--- a/src/main/java/dev/windbend/plan/MachineReservations.java
+++ b/src/main/java/dev/windbend/plan/MachineReservations.java
@@ -1,7 +1,7 @@
 package dev.windbend.plan;
 
-import dev.windbend.plan.Snapshot.Offer;
-import dev.windbend.plan.Snapshot.Room;
+import dev.windbend.plan.Snapshot.InstanceOffer;
+import dev.windbend.plan.Snapshot.MachineCapacity;
 import dev.windbend.plan.Snapshot.Running;
 import dev.windbend.plan.Snapshot.Size;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
@@ -13,7 +13,7 @@
   /** A change of what is free. */
   private record Step(long atMs, Size size) {}
 
-  final Room room;
+  final MachineCapacity room;
   final int index;
   final int type;
   final int zone;
@@ -33,7 +33,7 @@
   /** Something is held for later, so room that is free now may not stay so. */
   private boolean held;
 
-  MachineReservations(Room room, int index, long nowMs) {
+  MachineReservations(MachineCapacity room, int index, long nowMs) {
     this.room = room;
     this.index = index;
     this.type = room.type();
@@ -52,7 +52,7 @@
     }
   }
 
-  MachineReservations(Offer o, long nowMs) {
+  MachineReservations(InstanceOffer o, long nowMs) {
     this.room = null;
     this.index = -1;
     this.type = o.type();
--- a/src/main/java/dev/windbend/plan/Planner.java
+++ b/src/main/java/dev/windbend/plan/Planner.java
@@ -1,9 +1,9 @@
 package dev.windbend.plan;
 
-import dev.windbend.plan.Snapshot.Offer;
+import dev.windbend.plan.Snapshot.InstanceOffer;
+import dev.windbend.plan.Snapshot.PendingJob;
 import dev.windbend.plan.Snapshot.Running;
 import dev.windbend.plan.Snapshot.Size;
-import dev.windbend.plan.Snapshot.Work;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -44,8 +44,8 @@
   private final int[] machinesIn;
   private final double[] usedCores;
   private final double[] usedCards;
-  private final List<Wanted.Place> places = new ArrayList<>();
-  private final List<Wanted.Stop> stops = new ArrayList<>();
+  private final List<SchedulingDecision.Place> places = new ArrayList<>();
+  private final List<SchedulingDecision.Stop> stops = new ArrayList<>();
   private double cheapest = Double.POSITIVE_INFINITY;
   private int lowestRank = -1;
   private int rentals;
@@ -63,13 +63,13 @@
 
   /** A job being served in this round. */
   private static final class Ask {
-    final Work w;
+    final PendingJob w;
     final int index;
     final int[] zones;
     int left;
     int together;
 
-    Ask(Work w, int index) {
+    Ask(PendingJob w, int index) {
       this.w = w;
       this.index = index;
       this.zones = w.placedPerZone().clone();
@@ -113,7 +113,7 @@
     this.usedCores = s.teams().stream().mapToDouble(Snapshot.Team::usedCores).toArray();
     this.usedCards = s.teams().stream().mapToDouble(Snapshot.Team::usedCards).toArray();
     int zones = 0;
-    for (Offer o : s.offers()) {
+    for (InstanceOffer o : s.offers()) {
       zones = Math.max(zones, o.zone() + 1);
     }
     this.machinesIn = new int[zones];
@@ -132,14 +132,14 @@
     }
   }
 
-  public static Wanted plan(Snapshot snapshot) {
+  public static SchedulingDecision plan(Snapshot snapshot) {
     return new Planner(snapshot).run();
   }
 
-  private Wanted run() {
+  private SchedulingDecision run() {
     List<Ask> order = new ArrayList<>();
     for (int i = 0; i < asks.length; i++) {
-      Work w = s.works().get(i);
+      PendingJob w = s.works().get(i);
       asks[i] = new Ask(w, i);
       if (w.waiting() > 0 && w.notBeforeMs() <= s.nowMs()) {
         order.add(asks[i]);
@@ -172,16 +172,16 @@
     for (Ask a : order) {
       serve(a, a.left);
     }
-    List<Wanted.Rental> rentals = new ArrayList<>();
+    List<SchedulingDecision.Rental> rentals = new ArrayList<>();
     for (int i = 0; i < rented.length; i++) {
       if (rented[i] > 0) {
-        rentals.add(new Wanted.Rental(i, rented[i]));
+        rentals.add(new SchedulingDecision.Rental(i, rented[i]));
       }
     }
     List<Integer> spare = new ArrayList<>();
     List<Integer> back = new ArrayList<>();
     idle(spare, back);
-    return new Wanted(stops, places, rentals, spare, back, shortCores, looks);
+    return new SchedulingDecision(stops, places, rentals, spare, back, shortCores, looks);
   }
 
   /** Idle machines: at the end of their block they go, those beyond the reserve before it. */
@@ -206,11 +206,11 @@
     }
   }
 
-  private static boolean mustBegin(Work w) {
+  private static boolean mustBegin(PendingJob w) {
     return !w.begun() && w.ageMs() >= BEGIN_MS;
   }
 
-  private static double remaining(Work w) {
+  private static double remaining(PendingJob w) {
     return w.waiting() * w.size().cores() * w.estimateMs();
   }
 
@@ -242,7 +242,7 @@
     }
   }
 
-  private int underLimit(Work w) {
+  private int underLimit(PendingJob w) {
     Snapshot.Team t = s.teams().get(w.team());
     return new Size(t.mostCores() - usedCores[w.team()], t.mostCards() - usedCards[w.team()], 0)
         .times(new Size(w.size().cores(), w.size().cards(), 0));
@@ -250,7 +250,7 @@
 
   /** The room is spoken for from then on, and counts for the team's limit at once. */
   private void take(Ask a, MachineReservations l, long atMs) {
-    Work w = a.w;
+    PendingJob w = a.w;
     l.take(atMs, w.estimateMs() + fetchMs(w, l), w.size());
     usedCores[w.team()] += w.size().cores();
     usedCards[w.team()] += w.size().cards();
@@ -259,10 +259,10 @@
 
   private void place(Ask a, MachineReservations l) {
     take(a, l, s.nowMs());
-    places.add(new Wanted.Place(a.index, l.index));
+    places.add(new SchedulingDecision.Place(a.index, l.index));
   }
 
-  private static long fetchMs(Work w, MachineReservations l) {
+  private static long fetchMs(PendingJob w, MachineReservations l) {
     return (l.room != null && l.room.images().contains(w.image())) || l.fetchGbPerS <= 0
         ? 0
         : (long) (1000 * w.imageGb() / l.fetchGbPerS);
@@ -274,7 +274,7 @@
    * the image and is free before another could have fetched it is held instead.
    */
   private void useIdle(Ask a, int keep, double newOne) {
-    Work w = a.w;
+    PendingJob w = a.w;
     boolean early = s.nowMs() < w.startByMs();
     List<Choice> choices = new ArrayList<>();
     looks += lines.size();
@@ -317,15 +317,15 @@
   }
 
   /** Running past the paid block extends it. That must not cost more than a new machine would. */
-  private double extendingCosts(Work w, MachineReservations l) {
+  private double extendingCosts(PendingJob w, MachineReservations l) {
     long past = s.nowMs() + w.estimateMs() - l.room.paidUntilMs();
     return past <= 0 ? 0 : l.room.pricePerH() * past;
   }
 
   /** Infinite if a new one would come too late. */
-  private double costOfANewOne(Work w) {
+  private double costOfANewOne(PendingJob w) {
     double least = Double.POSITIVE_INFINITY;
-    for (Offer o : s.offers()) {
+    for (InstanceOffer o : s.offers()) {
       if ((w.types() == null || w.types()[o.type()])
           && (w.zone() < 0 || w.zone() == o.zone())
           && (w.spot() || !o.spot())
@@ -337,9 +337,9 @@
     return least;
   }
 
-  private long bootMs(Work w) {
+  private long bootMs(PendingJob w) {
     long boot = 0;
-    for (Offer o : s.offers()) {
+    for (InstanceOffer o : s.offers()) {
       if (w.types() == null || w.types()[o.type()]) {
         boot = Math.max(boot, o.bootMs());
       }
@@ -366,7 +366,7 @@
       for (int v : c.victims) {
         // It counts for its team's limit until it is proved gone.
         c.line.stop(v);
-        stops.add(new Wanted.Stop(c.line.index, v));
+        stops.add(new SchedulingDecision.Stop(c.line.index, v));
       }
       full.clear();
       place(a, c.line);
@@ -375,7 +375,7 @@
   }
 
   /** Picks the cheapest few to stop. */
-  private void offerVictims(Work w, MachineReservations l, PriorityQueue<Choice> choices) {
+  private void offerVictims(PendingJob w, MachineReservations l, PriorityQueue<Choice> choices) {
     looks++;
     List<Running> running = l.room.running();
     List<Integer> may = new ArrayList<>();
@@ -413,7 +413,7 @@
    * deadline.
    */
   private void soonFree(Ask a, int keep, long byMs, boolean orInTime) {
-    Work w = a.w;
+    PendingJob w = a.w;
     long untilMs = orInTime ? Math.max(byMs, w.dueMs() - w.estimateMs()) : byMs;
     for (Full f : full) {
       if (w.size().holds(f.size) && untilMs <= f.untilMs) {
@@ -448,7 +448,11 @@
   }
 
   private void offerSoon(
-      Work w, MachineReservations l, long byMs, boolean orInTime, PriorityQueue<Choice> choices) {
+      PendingJob w,
+      MachineReservations l,
+      long byMs,
+      boolean orInTime,
+      PriorityQueue<Choice> choices) {
     looks++;
     long run = w.estimateMs() + fetchMs(w, l);
     long at = l.firstFit(run, w.size());
@@ -458,13 +462,13 @@
   }
 
   private void rent(Ask a, int keep) {
-    Work w = a.w;
+    PendingJob w = a.w;
     while (a.left > keep && rentals < s.mostRentals()) {
       int best = cheapest(a);
       if (best < 0) {
         return;
       }
-      Offer o = s.offers().get(best);
+      InstanceOffer o = s.offers().get(best);
       rentals++;
       rented[best]++;
       MachineReservations l = new MachineReservations(o, s.nowMs());
@@ -485,11 +489,11 @@
   private int cheapest(Ask a) {
     int best = -1;
     for (int i = 0; i < s.offers().size(); i++) {
-      Offer o = s.offers().get(i);
+      InstanceOffer o = s.offers().get(i);
       if (!o.size().holds(a.w.size()) || !a.mayUse(o.type(), o.zone(), o.spot())) {
         continue;
       }
-      Offer b = best < 0 ? null : s.offers().get(best);
+      InstanceOffer b = best < 0 ? null : s.offers().get(best);
       if (b == null
           || o.pricePerH() < b.pricePerH()
           || (o.pricePerH() == b.pricePerH() && machinesIn[o.zone()] < machinesIn[b.zone()])) {
--- a/src/main/java/dev/windbend/plan/Wanted.java
+++ b/src/main/java/dev/windbend/plan/SchedulingDecision.java
@@ -7,7 +7,7 @@
  * machines that are not up yet, or that nobody rents out. {@code spare}: idle and not spoken for.
  * {@code looks}: how often a machine was looked at, which is what a round costs.
  */
-public record Wanted(
+public record SchedulingDecision(
     List<Stop> stops,
     List<Place> places,
     List<Rental> rentals,
--- a/src/main/java/dev/windbend/plan/Snapshot.java
+++ b/src/main/java/dev/windbend/plan/Snapshot.java
@@ -15,9 +15,9 @@
     boolean oldestFirst,
     double reserveCores,
     List<Team> teams,
-    List<Work> works,
-    List<Room> rooms,
-    List<Offer> offers) {
+    List<PendingJob> works,
+    List<MachineCapacity> rooms,
+    List<InstanceOffer> offers) {
 
   /** Cores, cards and memory. */
   public record Size(double cores, double cards, double ram) {
@@ -58,7 +58,7 @@
    * into its team's guarantee with the team's earlier jobs, and such work is to start promptly;
    * {@code startByMs}: until then an early start counts for an aim.
    */
-  public record Work(
+  public record PendingJob(
       int team,
       int rank,
       Size size,
@@ -90,7 +90,7 @@
    * {@code goFromMs}: when it has been idle for long enough to go if there is more than the
    * reserve.
    */
-  public record Room(
+  public record MachineCapacity(
       int type,
       int zone,
       boolean spot,
@@ -113,7 +113,7 @@
   public record Running(long endMs, Size size, int rank, long lostMs) {}
 
   /** A kind of machine to rent now. */
-  public record Offer(
+  public record InstanceOffer(
       int type,
       int zone,
       boolean spot,
--- a/src/main/java/dev/windbend/shard/NodeLease.java
+++ b/src/main/java/dev/windbend/shard/ControllerLease.java
@@ -10,8 +10,8 @@
  * rate and never wait for the answers to earlier ones: a node that is so busy that it reads answers
  * seconds late would otherwise send the next renewal too late, and lose all that it owns.
  */
-final class NodeLease {
-  private static final Logger LOG = LoggerFactory.getLogger(NodeLease.class);
+final class ControllerLease {
+  private static final Logger LOG = LoggerFactory.getLogger(ControllerLease.class);
 
   /** Taken off the time for which the lease is believed to be held. */
   private static final long MARGIN_MS = 150;
@@ -40,7 +40,7 @@
   /**
    * @param ended called when the state service says that the lease has ended
    */
-  NodeLease(EventLoop loop, StoreClient store, long termMs, Runnable ended) {
+  ControllerLease(EventLoop loop, StoreClient store, long termMs, Runnable ended) {
     this.loop = loop;
     this.store = store;
     this.termMs = termMs;
--- a/src/main/java/dev/windbend/shard/Facts.java
+++ b/src/main/java/dev/windbend/shard/DeploymentSpec.java
@@ -6,8 +6,8 @@
 import java.util.stream.DoubleStream;
 
 /** What the settings file says about teams, workers and the cloud, for owners. */
-public record Facts(
-    List<TeamFact> teams,
+public record DeploymentSpec(
+    List<TeamQuota> teams,
     int nodes,
     double reportS,
     double leaseS,
@@ -15,21 +15,21 @@
     double cloudRps,
     int valueBytes,
     double writeRps,
-    Aims aims) {
+    ServiceObjectives aims) {
 
   /** Least time between an owner's writes: the owners together take half of what is allowed. */
   long writeGapMs(int shards) {
     return (long) (2_000.0 * shards / writeRps);
   }
 
-  public record TeamFact(
+  public record TeamQuota(
       String name, double cores, double coresMost, double cards, double cardsMost) {}
 
   /**
    * What is asked of classes of jobs: times of the deadline, seconds to finish within, seconds to
    * start within; and how soon work within a guarantee is to start, 0: nothing is asked.
    */
-  public record Aims(
+  public record ServiceObjectives(
       Map<String, double[]> dueTimes,
       Map<String, double[]> withinS,
       Map<String, Double> waitS,
--- a/src/main/java/dev/windbend/shard/GradualStart.java
+++ b/src/main/java/dev/windbend/shard/FailoverRampUp.java
@@ -13,7 +13,7 @@
  * then consider few jobs and twice as many each time. A controller that has just started runs code
  * that is not compiled yet: one round over everything took longer there than its lease lasts.
  */
-final class GradualStart {
+final class FailoverRampUp {
   /** Reports come a quarter early or late; a machine not heard by then may not come at all. */
   private static final double REPORT_INTERVALS = 1.5;
 
@@ -32,7 +32,7 @@
   private boolean planning;
   private int jobs = FIRST_JOBS;
 
-  GradualStart(EventLoop loop, double reportS) {
+  FailoverRampUp(EventLoop loop, double reportS) {
     this.loop = loop;
     this.longestWaitMs = (long) (1000 * REPORT_INTERVALS * reportS);
   }
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -15,12 +15,16 @@
 
   private final EventLoop loop;
   private final MachineTypeCatalog catalog;
-  private final Facts facts;
+  private final DeploymentSpec facts;
   private final Policy policy;
   private final Estimates estimates;
 
   JobDeadlines(
-      EventLoop loop, MachineTypeCatalog catalog, Facts facts, Policy policy, Estimates estimates) {
+      EventLoop loop,
+      MachineTypeCatalog catalog,
+      DeploymentSpec facts,
+      Policy policy,
+      Estimates estimates) {
     this.loop = loop;
     this.catalog = catalog;
     this.facts = facts;
--- a/src/main/java/dev/windbend/shard/ShardOwnership.java
+++ b/src/main/java/dev/windbend/shard/LeaderElection.java
@@ -15,8 +15,8 @@
  * Who owns which shard. A claim is a key under the node's lease; its version is the token that
  * fences every owner's orders and writes.
  */
-public final class ShardOwnership {
-  private static final Logger LOG = LoggerFactory.getLogger(ShardOwnership.class);
+public final class LeaderElection {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
   public static final String KEYS = "w/c/";
 
   private static final long STEP_MS = 250;
@@ -28,7 +28,7 @@
   private final Replica replica;
   private final ShardLayout layout;
   private final String me;
-  private final NodeLease lease;
+  private final ControllerLease lease;
   private final long leaseMs;
   private final Listener listener;
   private final long[] tokens;
@@ -46,7 +46,7 @@
 
   record Claim(@JsonProperty("owner") String owner) {}
 
-  public ShardOwnership(
+  public LeaderElection(
       EventLoop loop,
       StoreClient store,
       Replica replica,
@@ -60,7 +60,7 @@
     this.replica = replica;
     this.layout = layout;
     this.me = me;
-    this.lease = new NodeLease(loop, store, termMs, this::loseAll);
+    this.lease = new ControllerLease(loop, store, termMs, this::loseAll);
     this.leaseMs = leaseMs;
     this.listener = listener;
     this.tokens = new long[layout.shards()];
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -39,7 +39,7 @@
   private final EventLoop loop;
   private final Fleet fleet;
   private final double guaranteedCores;
-  private final ShardOwner.Lender lender;
+  private final ShardLeader.Lender lender;
   private final List<Machine> spare = new ArrayList<>();
   private boolean asking;
   private long lastAskMs = Long.MIN_VALUE / 2;
@@ -47,7 +47,7 @@
   private long windowMs;
 
   MachineTransfers(
-      int shard, EventLoop loop, Fleet fleet, double guaranteedCores, ShardOwner.Lender lender) {
+      int shard, EventLoop loop, Fleet fleet, double guaranteedCores, ShardLeader.Lender lender) {
     this.shard = shard;
     this.loop = loop;
     this.fleet = fleet;
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -14,7 +14,7 @@
   static OldestWaitingJob find(
       JobRegistry board,
       Fleet fleet,
-      Facts facts,
+      DeploymentSpec facts,
       OverdueJobs overdueJobs,
       ZoneGate zones,
       long nowMs,
@@ -38,7 +38,7 @@
     double used = TeamUsage.cores(board.all(), teams)[oldest.team()];
     double usedCards = TeamUsage.cards(board.all(), teams)[oldest.team()];
     TaskRequirements task = overdueJobs.requirements(oldest);
-    Facts.TeamFact team = facts.teams().get(oldest.team());
+    DeploymentSpec.TeamQuota team = facts.teams().get(oldest.team());
     int booting = 0;
     int unsure = 0;
     boolean room = false;
--- a/src/main/java/dev/windbend/shard/OverdueJobs.java
+++ b/src/main/java/dev/windbend/shard/OverdueJobs.java
@@ -23,11 +23,11 @@
   private static final long OVERDUE_MS = 45_000;
 
   private final MachineTypeCatalog catalog;
-  private final Facts facts;
+  private final DeploymentSpec facts;
   private final JobRegistry jobs;
   private final Fleet fleet;
 
-  OverdueJobs(MachineTypeCatalog catalog, Facts facts, JobRegistry jobs, Fleet fleet) {
+  OverdueJobs(MachineTypeCatalog catalog, DeploymentSpec facts, JobRegistry jobs, Fleet fleet) {
     this.catalog = catalog;
     this.facts = facts;
     this.jobs = jobs;
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -8,8 +8,8 @@
 import dev.windbend.machine.MachineType;
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.plan.Planner;
+import dev.windbend.plan.SchedulingDecision;
 import dev.windbend.plan.Snapshot;
-import dev.windbend.plan.Wanted;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.zone.ZoneGate;
 import java.util.ArrayList;
@@ -46,7 +46,7 @@
   private final MachineTransfers loans;
   private final long token;
   private final BooleanSupplier mayAct;
-  private final GradualStart start;
+  private final FailoverRampUp start;
   private final ZoneGate zones;
   private long lastMs;
   private long costMs;
@@ -67,7 +67,7 @@
       Fleet fleet,
       MachineTransfers loans,
       long token,
-      GradualStart start,
+      FailoverRampUp start,
       ZoneGate zones,
       BooleanSupplier mayAct) {
     this.token = token;
@@ -144,9 +144,9 @@
     List<Job> works = start.next(waiting);
     partial = works.size() < waiting.size();
     List<Machine> rooms = machinesToPlanOn(now);
-    List<Snapshot.Offer> offers = offers();
+    List<Snapshot.InstanceOffer> offers = offers();
     List<List<Placement>> running = new ArrayList<>();
-    Wanted wanted =
+    SchedulingDecision wanted =
         Planner.plan(
             snapshots.build(now, count % OLDEST_FIRST == 0, works, rooms, offers, running));
     carryOut(wanted, now, works, rooms, running);
@@ -193,7 +193,8 @@
   }
 
   /** Asks the other shards for machines that are lacking, and rents what they don't give. */
-  private void getMachines(Wanted wanted, List<Snapshot.Offer> offers, long now) {
+  private void getMachines(
+      SchedulingDecision wanted, List<Snapshot.InstanceOffer> offers, long now) {
     // Looking for overdue jobs goes over all jobs and machines: only when others may be asked.
     boolean mayAsk = loans.mayAsk();
     MachineRequest.Overdue overdue =
@@ -224,18 +225,18 @@
   }
 
   private void carryOut(
-      Wanted wanted,
+      SchedulingDecision wanted,
       long now,
       List<Job> works,
       List<Machine> rooms,
       List<List<Placement>> running) {
-    for (Wanted.Stop stop : wanted.stops()) {
+    for (SchedulingDecision.Stop stop : wanted.stops()) {
       Placement p = running.get(stop.room()).get(stop.running());
       LOG.info("stopping {} on {} to make room", p.taskName(), p.machineName());
       p.stop(0);
     }
     Set<Job> changed = new LinkedHashSet<>();
-    for (Wanted.Place place : wanted.places()) {
+    for (SchedulingDecision.Place place : wanted.places()) {
       Job job = works.get(place.work());
       Machine m = rooms.get(place.room());
       m.add(job.place(job.nextWaiting(), m.name(), now, token, count));
@@ -252,7 +253,8 @@
     loans.spare(spare);
   }
 
-  private void rent(List<Wanted.Rental> rentals, List<Snapshot.Offer> offers, int less) {
+  private void rent(
+      List<SchedulingDecision.Rental> rentals, List<Snapshot.InstanceOffer> offers, int less) {
     // Event rounds are many, and each batch takes changes and calls.
     long now = loop.nowMs();
     if (rentals.isEmpty()
@@ -262,8 +264,8 @@
     }
     lastRentMs = now;
     int spared = less;
-    for (Wanted.Rental r : rentals) {
-      Snapshot.Offer o = offers.get(r.offer());
+    for (SchedulingDecision.Rental r : rentals) {
+      Snapshot.InstanceOffer o = offers.get(r.offer());
       int n = Math.min(zones.rentable(o.zone()), Math.max(0, r.count() - spared));
       spared = Math.max(0, spared - r.count());
       if (n > 0) {
@@ -273,15 +275,15 @@
     }
   }
 
-  private List<Snapshot.Offer> offers() {
-    List<Snapshot.Offer> all = new ArrayList<>();
+  private List<Snapshot.InstanceOffer> offers() {
+    List<Snapshot.InstanceOffer> all = new ArrayList<>();
     for (MachineType t : catalog.all()) {
       Snapshot.Size size = new Snapshot.Size(t.cores(), t.cards(), t.ram());
       for (int zone : t.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
           if (!fleet.refused(t.index(), zone, spot) && zones.rentable(zone) > 0) {
             all.add(
-                new Snapshot.Offer(
+                new Snapshot.InstanceOffer(
                     t.index(),
                     zone,
                     spot,
--- a/src/main/java/dev/windbend/shard/ShardOwner.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -12,9 +12,9 @@
 import dev.windbend.machine.MachineHealth;
 import dev.windbend.machine.MachineIndex;
 import dev.windbend.machine.MachineTypeCatalog;
-import dev.windbend.machine.RentalRecord;
-import dev.windbend.machine.UnknownMachine;
-import dev.windbend.machine.UnknownMachines;
+import dev.windbend.machine.OrphanedMachine;
+import dev.windbend.machine.OrphanedMachines;
+import dev.windbend.machine.ScaleOutRecord;
 import dev.windbend.peer.Peers;
 import dev.windbend.plan.Estimates;
 import dev.windbend.runtime.EventLoop;
@@ -28,7 +28,7 @@
 import dev.windbend.store.StoreClient;
 import dev.windbend.store.VersionedValue;
 import dev.windbend.worker.DirectStopClient;
-import dev.windbend.worker.ReportHandler;
+import dev.windbend.worker.HeartbeatHandler;
 import dev.windbend.worker.TaskReconciler;
 import dev.windbend.worker.WorkerMessages;
 import dev.windbend.zone.ZoneGate;
@@ -47,8 +47,8 @@
  * One owned shard: its live jobs and machines, rebuilt from the records when it is won, and the
  * loops that look after them. It acts only while the claim is surely held.
  */
-public final class ShardOwner implements TaskReconciler.Book, Fleet.Host, ReportHandler.Host {
-  private static final Logger LOG = LoggerFactory.getLogger(ShardOwner.class);
+public final class ShardLeader implements TaskReconciler.Book, Fleet.Host, HeartbeatHandler.Host {
+  private static final Logger LOG = LoggerFactory.getLogger(ShardLeader.class);
   private static final long TICK_MS = 500;
 
   private final int shard;
@@ -58,9 +58,9 @@
   private final Replica replica;
   private final MachineTypeCatalog catalog;
   private final MachineIndex directory;
-  private final Facts facts;
+  private final DeploymentSpec facts;
   private final Policy policy;
-  private final ShardOwnership claims;
+  private final LeaderElection claims;
   private final Peers peers;
   private final Cancellations cancellations;
   private final NameIndex images;
@@ -68,10 +68,10 @@
   private final PagedStore pages;
   private final JobRegistry board;
   private final Fleet fleet;
-  private final UnknownMachines strays;
+  private final OrphanedMachines strays;
   private final MachineHealth watch;
   private final MachineTransfers loans;
-  private final GradualStart gradualStart;
+  private final FailoverRampUp gradualStart;
   private final JobDeadlines deadlines;
   private final TaskFailures failures;
 
@@ -80,8 +80,8 @@
 
   private final ZoneGate zones;
   private final SchedulingLoop rounds;
-  private final ReportHandler reports;
-  private final ShardLog log;
+  private final HeartbeatHandler reports;
+  private final ShardStatusLog log;
   private boolean ready;
   private boolean closed;
   private boolean checkedInherited;
@@ -103,9 +103,9 @@
       ShardLayout layout,
       MachineTypeCatalog catalog,
       MachineIndex directory,
-      Facts facts,
+      DeploymentSpec facts,
       Policy policy,
-      ShardOwnership claims,
+      LeaderElection claims,
       Peers peers,
       Cancellations cancellations,
       DirectStopClient directStops,
@@ -115,7 +115,7 @@
       String ownZone,
       ZoneMetrics zoneMetrics) {}
 
-  public ShardOwner(int shard, long token, Shared with) {
+  public ShardLeader(int shard, long token, Shared with) {
     this.shard = shard;
     this.token = token;
     this.loop = with.loop;
@@ -133,7 +133,7 @@
         new Committer(
             loop,
             with.store,
-            ShardOwnership.key(shard),
+            LeaderElection.key(shard),
             token,
             facts.writeGapMs(with.layout.shards()),
             () -> claims.lose(shard),
@@ -141,7 +141,7 @@
     this.pages = new PagedStore(JobRecord.pages(shard), facts.valueBytes(), with.store.opsLimit());
     this.board = new JobRegistry(name -> teamHere(with.layout, name), committer, pages);
     this.fleet = new Fleet(loop, with.cloud, catalog, shard, token, this);
-    this.strays = new UnknownMachines(loop, with.store, fleet, with.layout.shards());
+    this.strays = new OrphanedMachines(loop, with.store, fleet, with.layout.shards());
     this.watch = new MachineHealth(fleet, catalog.zones().size(), facts.reportS(), facts.leaseS());
     this.loans =
         new MachineTransfers(shard, loop, fleet, guaranteedCores(with.layout), with.lender);
@@ -152,7 +152,7 @@
     SnapshotBuilder snapshots =
         new SnapshotBuilder(
             loop, catalog, facts, policy, deadlines, images, board, fleet, overdueJobs, zones);
-    this.gradualStart = new GradualStart(loop, facts.reportS());
+    this.gradualStart = new FailoverRampUp(loop, facts.reportS());
     this.rounds =
         new SchedulingLoop(
             loop,
@@ -169,7 +169,7 @@
             this::mayAct);
     this.failures = new TaskFailures(loop, board, fleet, rounds::want);
     this.reports =
-        new ReportHandler(
+        new HeartbeatHandler(
             loop,
             fleet,
             new TaskReconciler(this),
@@ -180,7 +180,7 @@
             facts.leaseS(),
             policy.idleHold());
     this.log =
-        new ShardLog(
+        new ShardStatusLog(
             shard, loop, board, fleet, facts, overdueJobs, zones, policy.periodMs(), rounds, pages);
   }
 
@@ -223,7 +223,7 @@
       return;
     }
     long now = loop.nowMs();
-    String hires = RentalRecord.prefix(shard);
+    String hires = ScaleOutRecord.prefix(shard);
     for (Map.Entry<String, VersionedValue> e : replica.below(hires).entrySet()) {
       hire(e.getKey().substring(hires.length()), e.getValue());
     }
@@ -362,7 +362,7 @@
 
   /** A record of machines has changed: another shard may have given us some. */
   public void hireChanged(String key, VersionedValue now) {
-    String hires = RentalRecord.prefix(shard);
+    String hires = ScaleOutRecord.prefix(shard);
     if (ready() && now != null && key.startsWith(hires)) {
       hire(key.substring(hires.length()), now);
       rounds.want();
@@ -370,7 +370,7 @@
   }
 
   private void hire(String name, VersionedValue s) {
-    RentalRecord r = Json.read(s.value(), RentalRecord.class);
+    ScaleOutRecord r = Json.read(s.value(), ScaleOutRecord.class);
     if (r != null) {
       fleet.restore(name, r, s.version(), directory, !ready);
     }
@@ -381,13 +381,13 @@
   }
 
   /** A machine that no shard knows; only the first shard's owner takes them in. */
-  public void stray(WorkerMessages.Report r) {
+  public void stray(WorkerMessages.Heartbeat r) {
     if (ready() && mayAct()) {
-      strays.note(r.machine(), new UnknownMachine(r.type(), r.zone(), r.spot()));
+      strays.note(r.machine(), new OrphanedMachine(r.type(), r.zone(), r.spot()));
     }
   }
 
-  public void report(WorkerMessages.Report r, Consumer<ServerResponse> done) {
+  public void report(WorkerMessages.Heartbeat r, Consumer<ServerResponse> done) {
     reports.report(r, done);
   }
 
--- a/src/main/java/dev/windbend/shard/ShardLog.java
+++ b/src/main/java/dev/windbend/shard/ShardStatusLog.java
@@ -11,14 +11,14 @@
 import org.slf4j.LoggerFactory;
 
 /** Tells operators once a period how a shard stands, and what its oldest waiting job waits for. */
-final class ShardLog {
-  private static final Logger LOG = LoggerFactory.getLogger(ShardLog.class);
+final class ShardStatusLog {
+  private static final Logger LOG = LoggerFactory.getLogger(ShardStatusLog.class);
 
   private final int shard;
   private final EventLoop loop;
   private final JobRegistry board;
   private final Fleet fleet;
-  private final Facts facts;
+  private final DeploymentSpec facts;
   private final OverdueJobs overdueJobs;
   private final ZoneGate zones;
   private final long periodMs;
@@ -27,12 +27,12 @@
   private long toldMs;
   private int oldestWaitS;
 
-  ShardLog(
+  ShardStatusLog(
       int shard,
       EventLoop loop,
       JobRegistry board,
       Fleet fleet,
-      Facts facts,
+      DeploymentSpec facts,
       OverdueJobs overdueJobs,
       ZoneGate zones,
       long periodMs,
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -31,7 +31,7 @@
 
   private final EventLoop loop;
   private final MachineTypeCatalog catalog;
-  private final Facts facts;
+  private final DeploymentSpec facts;
   private final Policy policy;
   private final JobDeadlines deadlines;
   private final NameIndex images;
@@ -43,7 +43,7 @@
   SnapshotBuilder(
       EventLoop loop,
       MachineTypeCatalog catalog,
-      Facts facts,
+      DeploymentSpec facts,
       Policy policy,
       JobDeadlines deadlines,
       NameIndex images,
@@ -72,18 +72,18 @@
       boolean oldestFirst,
       List<Job> works,
       List<Machine> machines,
-      List<Snapshot.Offer> offers,
+      List<Snapshot.InstanceOffer> offers,
       List<List<Placement>> running) {
     // Everything not proved gone counts, wherever it is.
     double[] cores = TeamUsage.cores(board.all(), facts.teams().size());
     double[] cards = TeamUsage.cards(board.all(), facts.teams().size());
     List<Snapshot.Team> teams = new ArrayList<>();
     for (int i = 0; i < cores.length; i++) {
-      Facts.TeamFact t = facts.teams().get(i);
+      DeploymentSpec.TeamQuota t = facts.teams().get(i);
       teams.add(new Snapshot.Team(t.coresMost(), t.cardsMost(), cores[i], cards[i]));
     }
     Object2IntOpenHashMap<String> roomOf = new Object2IntOpenHashMap<>();
-    List<Snapshot.Room> rooms = new ArrayList<>();
+    List<Snapshot.MachineCapacity> rooms = new ArrayList<>();
     for (Machine m : machines) {
       roomOf.put(m.name(), rooms.size());
       List<Placement> on = new ArrayList<>(m.tasks().values());
@@ -100,7 +100,7 @@
         rooms.add(pendingRoom(p, now));
       }
     }
-    List<Snapshot.Work> views = new ArrayList<>();
+    List<Snapshot.PendingJob> views = new ArrayList<>();
     Set<Job> guaranteed = facts.aims().guaranteeS() > 0 ? guaranteed() : Set.of();
     works.forEach(j -> views.add(work(j, now, roomOf, guaranteed)));
     // The cap is on calls to the cloud, and one call rents many.
@@ -141,7 +141,7 @@
       int open = j.waitingCount() + j.placements().size();
       cores[j.team()] += open * j.spec().cores();
       cards[j.team()] += open * j.spec().cards();
-      Facts.TeamFact t = facts.teams().get(j.team());
+      DeploymentSpec.TeamQuota t = facts.teams().get(j.team());
       if (cores[j.team()] <= t.cores() + 1e-6 && cards[j.team()] <= t.cards() + 1e-6) {
         all.add(j);
       }
@@ -149,7 +149,7 @@
     return all;
   }
 
-  private Snapshot.Room room(Machine m, List<Placement> on, long now) {
+  private Snapshot.MachineCapacity room(Machine m, List<Placement> on, long now) {
     MachineType t = m.type();
     Snapshot.Size free = new Snapshot.Size(t.cores(), t.cards(), t.ram());
     List<Snapshot.Running> running = new ArrayList<>();
@@ -172,7 +172,7 @@
     // The block in which it went idle (or now, if it is busy) is paid to its end.
     long ref = m.idleSinceMs() >= 0 ? m.idleSinceMs() : now;
     long blocks = Math.max(1, (Math.max(0, ref - m.requestedMs()) + block - 1) / block);
-    return new Snapshot.Room(
+    return new Snapshot.MachineCapacity(
         t.index(),
         m.zone(),
         m.spot(),
@@ -201,10 +201,10 @@
     return step > 0 ? ran % step : ran;
   }
 
-  private Snapshot.Room pendingRoom(Fleet.Pending p, long now) {
+  private Snapshot.MachineCapacity pendingRoom(Fleet.Pending p, long now) {
     MachineType t = p.type();
     long ready = Math.max(p.sinceMs() + (long) (1000 * t.bootS()), now + 1_000);
-    return new Snapshot.Room(
+    return new Snapshot.MachineCapacity(
         t.index(),
         p.zone(),
         p.spot(),
@@ -237,7 +237,7 @@
     return p.runningMs() + (long) (1000 * Estimates.corrected(e, (now - p.runningMs()) / 1000.0));
   }
 
-  private Snapshot.Work work(
+  private Snapshot.PendingJob work(
       Job j, long now, Object2IntOpenHashMap<String> roomOf, Set<Job> guaranteed) {
     boolean[] types = null;
     if (j.spec().types() != null) {
@@ -259,7 +259,7 @@
             facts.aims().waitS().getOrDefault(j.spec().kind(), 0.0),
             guaranteed.contains(j) ? facts.aims().guaranteeS() : 0);
     Deadlines due = deadlines.next(j, age);
-    return new Snapshot.Work(
+    return new Snapshot.PendingJob(
         j.team(),
         j.spec().urgency().rank(),
         size(j),
--- a/src/main/java/dev/windbend/worker/ReportHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Takes the reports of a shard's workers and answers each, at once or when there is news. */
-public final class ReportHandler {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
+public final class HeartbeatHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
   /** A worker drops an answer after 4 s; this leaves time for the way and for a slow node. */
   private static final long LONGEST_HOLD_MS = 2_600;
@@ -50,12 +50,12 @@
   /** A report whose answer waits for a write, or for work. */
   private record Waiting(
       Machine machine,
-      WorkerMessages.Report report,
+      WorkerMessages.Heartbeat report,
       long untilMs,
       boolean idle,
       Consumer<ServerResponse> done) {}
 
-  public ReportHandler(
+  public HeartbeatHandler(
       EventLoop loop,
       Fleet fleet,
       TaskReconciler desk,
@@ -81,7 +81,7 @@
     waiting.clear();
   }
 
-  public void report(WorkerMessages.Report r, Consumer<ServerResponse> done) {
+  public void report(WorkerMessages.Heartbeat r, Consumer<ServerResponse> done) {
     Machine m = fleet.find(r.machine());
     long fence = m == null ? 0 : m.token(token);
     if (m == null || r.token() > fence) {
@@ -140,7 +140,7 @@
    * machine that keeps reporting but does neither gets no more work and is given back. Its session
    * ends too, as no answer renews its lease.
    */
-  private void listen(Machine m, WorkerMessages.Report r, long fence, long now) {
+  private void listen(Machine m, WorkerMessages.Heartbeat r, long fence, long now) {
     if (m.incarnation() < 0) {
       return;
     }
@@ -182,7 +182,7 @@
    * others are served, so that workers find them, and not for longer than is said in {@link
    * dev.windbend.peer.Peers#mayKeepWorkers}. Asked when the answer goes out, as it may have waited.
    */
-  private ServerResponse unsure(Machine m, WorkerMessages.Report r) {
+  private ServerResponse unsure(Machine m, WorkerMessages.Heartbeat r) {
     return host.mayAct() || host.mayKeepWorkers()
         ? answer(m, desk.cancelledStops(r))
         : ServerResponse.ofStatus(503);
--- a/src/main/java/dev/windbend/worker/ReportReader.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatReader.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonParseException;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import dev.windbend.worker.WorkerMessages.Report;
+import dev.windbend.worker.WorkerMessages.Heartbeat;
 import dev.windbend.worker.WorkerMessages.TaskState;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -15,18 +15,18 @@
  * after its start they all come at once, while the code that maps JSON to records by reflection is
  * not compiled yet. Unknown fields are ignored, and a missing field is the same as null.
  */
-public final class ReportReader {
+public final class HeartbeatReader {
   private static final JsonFactory FACTORY = new JsonFactory();
 
-  private ReportReader() {}
+  private HeartbeatReader() {}
 
   /** Null if the bytes do not hold a valid report. */
-  public static Report read(byte[] bytes) {
+  public static Heartbeat read(byte[] bytes) {
     try (JsonParser parser = FACTORY.createParser(bytes)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         return null;
       }
-      Report report = new Fields().readReport(parser);
+      Heartbeat report = new Fields().readReport(parser);
       return parser.nextToken() == null && report.valid() ? report : null;
     } catch (IOException e) {
       return null;
@@ -46,13 +46,13 @@
     private Double recallS;
     private List<TaskState> tasks;
 
-    Report readReport(JsonParser parser) throws IOException {
+    Heartbeat readReport(JsonParser parser) throws IOException {
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         String name = parser.currentName();
         parser.nextToken();
         readField(name, parser);
       }
-      return new Report(machine, address, type, zone, spot, shift, tally, token, recallS, tasks);
+      return new Heartbeat(machine, address, type, zone, spot, shift, tally, token, recallS, tasks);
     }
 
     private void readField(String name, JsonParser parser) throws IOException {
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -3,8 +3,8 @@
 import dev.windbend.job.Job;
 import dev.windbend.job.Placement;
 import dev.windbend.machine.Machine;
+import dev.windbend.worker.WorkerMessages.Heartbeat;
 import dev.windbend.worker.WorkerMessages.Order;
-import dev.windbend.worker.WorkerMessages.Report;
 import dev.windbend.worker.WorkerMessages.TaskState;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -44,7 +44,7 @@
   }
 
   /** Takes in a report that is newer than all before and came under our token. */
-  public void absorb(Machine m, Report r, long nowMs) {
+  public void absorb(Machine m, Heartbeat r, long nowMs) {
     Set<Placement> present = new HashSet<>();
     for (TaskState t : r.tasks()) {
       Placement p = m.tasks().get(t.task());
@@ -75,7 +75,7 @@
    * of ours may only be written off when it is not wanted any more and the report was sent after
    * the answer that carried it was used or dropped.
    */
-  private static boolean provedGone(Placement p, Report r) {
+  private static boolean provedGone(Placement p, Heartbeat r) {
     return p.seen()
         || p.inherited()
         || (p.stopping()
@@ -84,7 +84,7 @@
   }
 
   /** A start went out in the answer to an earlier report, and this one does not show it. */
-  boolean startMissing(Machine m, Report r) {
+  boolean startMissing(Machine m, Heartbeat r) {
     for (Placement p : m.tasks().values()) {
       if (!p.seen()
           && !p.stopping()
@@ -143,7 +143,7 @@
   }
 
   /** The orders that make the reported tasks the wanted ones. Starts only if they may go out. */
-  public List<Order> orders(Machine m, Report r, boolean mayStart) {
+  public List<Order> orders(Machine m, Heartbeat r, boolean mayStart) {
     List<Order> stops = new ArrayList<>();
     List<Order> rest = new ArrayList<>();
     Set<String> reported = new HashSet<>();
@@ -180,7 +180,7 @@
    * the shard, and without them an owner that is unsure through an outage would keep such a task
    * alive, by renewing its machine's lease, for longer than {@code cancel_s}.
    */
-  public List<Order> cancelledStops(Report r) {
+  public List<Order> cancelledStops(Heartbeat r) {
     List<Order> stops = new ArrayList<>();
     for (TaskState t : r.tasks()) {
       int slash = t.task().lastIndexOf('/');
--- a/src/main/java/dev/windbend/worker/WorkerMessages.java
+++ b/src/main/java/dev/windbend/worker/WorkerMessages.java
@@ -7,7 +7,7 @@
 public final class WorkerMessages {
   private WorkerMessages() {}
 
-  public record Report(
+  public record Heartbeat(
       @JsonProperty("truck") String machine,
       @JsonProperty("addr") String address,
       @JsonProperty("rig") String type,
--- a/src/test/java/dev/windbend/daemon/BehaviourTrace.java
+++ b/src/test/java/dev/windbend/daemon/BehaviourTrace.java
@@ -138,8 +138,8 @@
 
   private static List<Day> days() {
     List<Day> all = new ArrayList<>();
-    addDays(all, "rules", RulesTest.days(), DAY_MS, SimulatedCluster::new);
-    addDays(all, "meetings", MeetingsTest.meetings(), LONG_DAY_MS, SimulatedCluster::new);
+    addDays(all, "rules", InvariantsTest.days(), DAY_MS, SimulatedCluster::new);
+    addDays(all, "meetings", ConcurrentFaultsTest.meetings(), LONG_DAY_MS, SimulatedCluster::new);
     addDays(all, "zones", ZoneLossTest.days(), LONG_DAY_MS, ZoneLossTest::cluster);
     addGaps(all);
     return all;
@@ -169,7 +169,7 @@
 
   /** Cancellations that meet an outage; long tasks, and an owner chosen in the middle. */
   private static void addGaps(List<Day> all) {
-    for (Arguments row : MeetingsTest.gaps().toList()) {
+    for (Arguments row : ConcurrentFaultsTest.gaps().toList()) {
       BiConsumer<SimulatedCluster, String> troubles = troubles(row, 2);
       all.add(
           new Day(
--- a/src/test/java/dev/windbend/daemon/MeetingsTest.java
+++ b/src/test/java/dev/windbend/daemon/ConcurrentFaultsTest.java
@@ -1,11 +1,11 @@
 package dev.windbend.daemon;
 
-import static dev.windbend.daemon.Troubles.any;
-import static dev.windbend.daemon.Troubles.crash;
-import static dev.windbend.daemon.Troubles.cutOff;
-import static dev.windbend.daemon.Troubles.deafen;
-import static dev.windbend.daemon.Troubles.each;
-import static dev.windbend.daemon.Troubles.outage;
+import static dev.windbend.daemon.FaultInjection.any;
+import static dev.windbend.daemon.FaultInjection.crash;
+import static dev.windbend.daemon.FaultInjection.cutOff;
+import static dev.windbend.daemon.FaultInjection.deafen;
+import static dev.windbend.daemon.FaultInjection.each;
+import static dev.windbend.daemon.FaultInjection.outage;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Two troubles meet: days in virtual time, named after the operators' list of such meetings. */
-class MeetingsTest {
+class ConcurrentFaultsTest {
   private static final long DAY_MS = 600_000;
   private static final long MEET_MS = 30_000;
   private static final long OUTAGE_MS = 62_000;
@@ -33,7 +33,7 @@
     return Arguments.of(name, seedBase, keepsOthers, troubles);
   }
 
-  private static void hang(SimulatedCluster w, List<StandInWorker> machines, long forMs) {
+  private static void hang(SimulatedCluster w, List<FakeWorker> machines, long forMs) {
     machines.forEach(m -> m.hung = true);
     w.time.at(forMs, () -> machines.forEach(m -> m.hung = false));
   }
@@ -170,7 +170,7 @@
   }
 
   /** The tasks of jobs just cancelled are gone soon, by direct commands. */
-  private static void goneBy(SimulatedCluster w, List<StandInWorker> machines, long ms) {
+  private static void goneBy(SimulatedCluster w, List<FakeWorker> machines, long ms) {
     w.time.at(
         ms,
         () ->
@@ -228,7 +228,7 @@
                   4,
                   () -> {
                     for (int i = 0; i < 3; i++) {
-                      Troubles.hang(w, 12_000);
+                      FaultInjection.hang(w, 12_000);
                     }
                     crash(w, 8_000, number(w.owner(0)));
                     w.time.at(3_000, () -> w.cancelNow(2, null));
@@ -255,7 +255,7 @@
             -1_703_062_844,
             w -> {
               w.slowLinkMs = 4_500;
-              each(w, 20_000, 6_000, 12, () -> Troubles.hang(w, 5_000));
+              each(w, 20_000, 6_000, 12, () -> FaultInjection.hang(w, 5_000));
               each(w, 25_000, 9_000, 6, () -> w.cancelNow(1, null));
             }),
         meeting(
@@ -334,7 +334,7 @@
             w -> {
               w.copies = 0.5;
               w.copyMs = 60_000;
-              each(w, 20_000, 10_000, 8, () -> Troubles.hang(w, 20_000));
+              each(w, 20_000, 10_000, 8, () -> FaultInjection.hang(w, 20_000));
               each(w, 24_000, 16_000, 5, () -> crash(w, 300, w.random.nextInt(3)));
             }),
         meeting(
@@ -348,9 +348,9 @@
                   30_000,
                   3,
                   () -> {
-                    Troubles.hang(w, 13_000);
-                    Troubles.hang(w, 13_000);
-                    StandInWorker deaf = any(w);
+                    FaultInjection.hang(w, 13_000);
+                    FaultInjection.hang(w, 13_000);
+                    FakeWorker deaf = any(w);
                     crash(w, 12_000, number(w.owner(0)));
                     w.time.at(1_000, () -> deafen(w, deaf));
                     w.time.at(12_000, w.cut::clear);
@@ -456,7 +456,7 @@
                   35_000,
                   3,
                   () -> {
-                    List<StandInWorker> machines = w.cancelNow(3, null);
+                    List<FakeWorker> machines = w.cancelNow(3, null);
                     hang(w, machines.subList(0, machines.size() / 2), 12_000);
                     machines
                         .subList(machines.size() / 2, machines.size())
--- a/src/test/java/dev/windbend/daemon/NodeTest.java
+++ b/src/test/java/dev/windbend/daemon/ControllerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a node answers to single requests. */
-class NodeTest {
+class ControllerTest {
   private static final String JOB =
       "{'uid':'wk-000001','fleet':'k','crew':'red','shape':'batch','urgency':'idle','drops':2,"
           + "'cores':1.0,'cards':0.0,'ram_gb':1.0,'load':'i','pull_gb':1.0,'rigs':null,"
@@ -18,7 +18,7 @@
 
   private final SimulatedCluster w = new SimulatedCluster(5);
 
-  NodeTest() {
+  ControllerTest() {
     w.loss = 0;
     w.late = 0;
     w.begin(0, 1);
--- a/src/test/java/dev/windbend/daemon/StandInStore.java
+++ b/src/test/java/dev/windbend/daemon/FakeStateService.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 
 /** The state service by its published protocol. */
-final class StandInStore {
+final class FakeStateService {
   static final ObjectMapper JSON = new ObjectMapper();
 
   private record Value(JsonNode v, long stamp, long permit) {}
@@ -41,7 +41,7 @@
 
   int largestValue;
 
-  StandInStore(VirtualTime time) {
+  FakeStateService(VirtualTime time) {
     this.time = time;
   }
 
--- a/src/test/java/dev/windbend/daemon/StandInWorker.java
+++ b/src/test/java/dev/windbend/daemon/FakeWorker.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 /** A machine's worker by its published protocol. */
-final class StandInWorker {
+final class FakeWorker {
   static final long ANSWER_MS = 4_000;
   private static final long FETCH_MS = 300;
 
@@ -49,7 +49,7 @@
     long hungMs;
   }
 
-  StandInWorker(SimulatedCluster world, String name, String zone, boolean spot) {
+  FakeWorker(SimulatedCluster world, String name, String zone, boolean spot) {
     this.world = world;
     this.name = name;
     this.zone = zone;
@@ -60,7 +60,7 @@
   /** The machine as it is, with the tasks on it. */
   ObjectNode save() {
     ObjectNode out =
-        StandInStore.JSON
+        FakeStateService.JSON
             .createObjectNode()
             .put("machine", name)
             .put("zone", zone)
@@ -158,7 +158,7 @@
       return;
     }
     ObjectNode r =
-        StandInStore.JSON
+        FakeStateService.JSON
             .createObjectNode()
             .put("truck", name)
             .put("addr", name + ":1")
--- a/src/test/java/dev/windbend/daemon/Troubles.java
+++ b/src/test/java/dev/windbend/daemon/FaultInjection.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /** Troubles of a day in virtual time, as the tables of days name them. */
-final class Troubles {
-  private Troubles() {}
+final class FaultInjection {
+  private FaultInjection() {}
 
   static void each(SimulatedCluster w, long fromMs, long everyMs, int times, Runnable what) {
     for (int i = 0; i < times; i++) {
@@ -12,13 +12,13 @@
     }
   }
 
-  static StandInWorker any(SimulatedCluster w) {
-    List<StandInWorker> all = List.copyOf(w.machines.values());
+  static FakeWorker any(SimulatedCluster w) {
+    List<FakeWorker> all = List.copyOf(w.machines.values());
     return all.isEmpty() ? null : all.get(w.random.nextInt(all.size()));
   }
 
   static void hang(SimulatedCluster w, long forMs) {
-    StandInWorker m = any(w);
+    FakeWorker m = any(w);
     if (m != null) {
       m.hung = true;
       w.time.at(forMs, () -> m.hung = false);
@@ -45,7 +45,7 @@
   }
 
   /** Its reports arrive, but no answer reaches it. */
-  static void deafen(SimulatedCluster w, StandInWorker m) {
+  static void deafen(SimulatedCluster w, FakeWorker m) {
     for (int n = 0; m != null && n < 3; n++) {
       w.cut.add("n" + n + ">" + m.name);
     }
--- a/src/test/java/dev/windbend/daemon/RuleJudge.java
+++ b/src/test/java/dev/windbend/daemon/InvariantChecker.java
@@ -12,7 +12,7 @@
  * Judges what happens by the protocol's rules and by what operators count at a day's end. It sees
  * the machines and the users, not the nodes.
  */
-final class RuleJudge {
+final class InvariantChecker {
   static final long FORGOTTEN_MS = 75_000;
   static final long WAITING_MS = 90_000;
 
@@ -30,10 +30,10 @@
   long calmFromMs = Long.MAX_VALUE;
 
   private final SimulatedCluster cluster;
-  private final Map<String, Set<StandInWorker>> on = new HashMap<>();
+  private final Map<String, Set<FakeWorker>> on = new HashMap<>();
   private final Set<String> finished = new HashSet<>();
 
-  RuleJudge(SimulatedCluster cluster) {
+  InvariantChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
@@ -42,7 +42,7 @@
   }
 
   /** A task that ran before the simulation began. */
-  void runsAlready(String drop, StandInWorker w) {
+  void runsAlready(String drop, FakeWorker w) {
     if (!on.computeIfAbsent(drop, k -> new HashSet<>()).add(w) || on.get(drop).size() > 1) {
       broken("ran_twice: " + drop + " from the beginning");
     }
@@ -66,9 +66,9 @@
    * @param hungMs for how long the machine hung between taking the start and beginning the task: no
    *     controller can call that start back, as the machine hears nothing
    */
-  void started(String drop, StandInWorker w, long hungMs) {
+  void started(String drop, FakeWorker w, long hungMs) {
     SimulatedUser u = cluster.users.get(uid(drop));
-    Set<StandInWorker> places = on.computeIfAbsent(drop, k -> new HashSet<>());
+    Set<FakeWorker> places = on.computeIfAbsent(drop, k -> new HashSet<>());
     if (!places.isEmpty()) {
       broken("ran_twice: " + drop);
     }
@@ -107,7 +107,7 @@
   /** How many tasks of a job are on machines of each zone. */
   private Map<String, Integer> zonesOf(SimulatedUser u) {
     Map<String, Integer> zones = new HashMap<>();
-    for (Map.Entry<String, Set<StandInWorker>> e : on.entrySet()) {
+    for (Map.Entry<String, Set<FakeWorker>> e : on.entrySet()) {
       if (uid(e.getKey()).equals(u.uid)) {
         e.getValue().forEach(w -> zones.merge(w.zone, 1, Integer::sum));
       }
@@ -126,7 +126,7 @@
 
   private double used(String team) {
     double used = 0;
-    for (Map.Entry<String, Set<StandInWorker>> e : on.entrySet()) {
+    for (Map.Entry<String, Set<FakeWorker>> e : on.entrySet()) {
       SimulatedUser o = cluster.users.get(uid(e.getKey()));
       if (!e.getValue().isEmpty() && o != null && o.team.equals(team)) {
         used += o.cores;
@@ -141,10 +141,10 @@
    */
   void judgeWaiting() {
     Map<String, Double> free = new HashMap<>();
-    for (StandInWorker m : cluster.machines.values()) {
+    for (FakeWorker m : cluster.machines.values()) {
       free.put(m.name, m.up && !m.hung && m.recallS == null ? MACHINE_CORES : 0);
     }
-    for (Map.Entry<String, Set<StandInWorker>> e : on.entrySet()) {
+    for (Map.Entry<String, Set<FakeWorker>> e : on.entrySet()) {
       e.getValue().forEach(m -> free.merge(m.name, -cores(e.getKey()), Double::sum));
     }
     for (SimulatedUser u : cluster.users.values()) {
@@ -155,7 +155,7 @@
         String drop = u.uid + "/" + i;
         left |= !finished.contains(drop) && on.getOrDefault(drop, Set.of()).isEmpty();
       }
-      StandInWorker room =
+      FakeWorker room =
           left && used(u.team) + u.cores <= limit(u.team)
               ? cluster.machines.values().stream()
                   .filter(m -> free.get(m.name) >= u.cores && mayRunOn(u, m, zones))
@@ -172,7 +172,7 @@
     cluster.time.at(1_000, this::judgeWaiting);
   }
 
-  void left(String drop, StandInWorker w) {
+  void left(String drop, FakeWorker w) {
     on.get(drop).remove(w);
     SimulatedUser u = cluster.users.get(uid(drop));
     if (u != null
@@ -182,7 +182,7 @@
     }
   }
 
-  private static boolean mayRunOn(SimulatedUser u, StandInWorker m, Map<String, Integer> zones) {
+  private static boolean mayRunOn(SimulatedUser u, FakeWorker m, Map<String, Integer> zones) {
     return (u.zone == null || u.zone.equals(m.zone))
         && (u.spot || !m.spot)
         && (!u.together || zones.isEmpty() || zones.containsKey(m.zone))
@@ -209,7 +209,7 @@
   }
 
   /** The machines that a user's tasks are on, by name. */
-  List<StandInWorker> machinesOf(SimulatedUser u) {
+  List<FakeWorker> machinesOf(SimulatedUser u) {
     return on.entrySet().stream()
         .filter(e -> uid(e.getKey()).equals(u.uid))
         .flatMap(e -> e.getValue().stream())
--- a/src/test/java/dev/windbend/daemon/RulesTest.java
+++ b/src/test/java/dev/windbend/daemon/InvariantsTest.java
@@ -1,12 +1,12 @@
 package dev.windbend.daemon;
 
-import static dev.windbend.daemon.Troubles.any;
-import static dev.windbend.daemon.Troubles.crash;
-import static dev.windbend.daemon.Troubles.cutOff;
-import static dev.windbend.daemon.Troubles.deafen;
-import static dev.windbend.daemon.Troubles.each;
-import static dev.windbend.daemon.Troubles.hang;
-import static dev.windbend.daemon.Troubles.outage;
+import static dev.windbend.daemon.FaultInjection.any;
+import static dev.windbend.daemon.FaultInjection.crash;
+import static dev.windbend.daemon.FaultInjection.cutOff;
+import static dev.windbend.daemon.FaultInjection.deafen;
+import static dev.windbend.daemon.FaultInjection.each;
+import static dev.windbend.daemon.FaultInjection.hang;
+import static dev.windbend.daemon.FaultInjection.outage;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Whole days in virtual time under each kind of trouble: no rule breaks, and all work ends. */
-class RulesTest {
+class InvariantsTest {
   private static final long DAY_MS = 600_000;
 
   private static Arguments day(String name, int seedBase, Consumer<SimulatedCluster> troubles) {
@@ -88,7 +88,7 @@
                     4_000,
                     20,
                     () -> {
-                      StandInWorker m = any(w);
+                      FakeWorker m = any(w);
                       if (m != null) {
                         w.take(m);
                       }
@@ -103,7 +103,7 @@
                     6_000,
                     12,
                     () -> {
-                      StandInWorker m = any(w);
+                      FakeWorker m = any(w);
                       if (m != null) {
                         m.recallS = 10.0;
                         w.time.at(10_000, () -> w.take(m));
@@ -119,7 +119,7 @@
                     20_000,
                     3,
                     () -> {
-                      StandInWorker m = any(w);
+                      FakeWorker m = any(w);
                       if (m != null) {
                         m.sick = true;
                       }
--- a/src/test/java/dev/windbend/daemon/LoopbackCluster.java
+++ b/src/test/java/dev/windbend/daemon/LoopbackCluster.java
@@ -40,14 +40,14 @@
   private final XnioEventLoop loop;
   private final UndertowHttpClient web;
   private final Map<String, UndertowHttpClient> clients = new HashMap<>();
-  private final List<Controller> controllers = new ArrayList<>();
+  private final List<ControllerProcess> controllers = new ArrayList<>();
   private final String state;
   private final String cloud;
 
-  private static final class Controller {
+  private static final class ControllerProcess {
     String userAddress;
     String peerAddress;
-    Node node;
+    Controller node;
   }
 
   LoopbackCluster(SimulatedCluster stand) throws java.io.IOException {
@@ -77,7 +77,7 @@
                     request.body(),
                     reply(done)));
     for (int i = 0; i < stand.size; i++) {
-      Controller c = new Controller();
+      ControllerProcess c = new ControllerProcess();
       c.userAddress = listen((request, done) -> c.node.serve(request, done));
       c.peerAddress = listen((request, done) -> c.node.servePeer(request, done));
       controllers.add(c);
@@ -117,7 +117,7 @@
   }
 
   private void startController(int i) {
-    Controller c = controllers.get(i);
+    ControllerProcess c = controllers.get(i);
     String name = "n" + i;
     String settings = stand.settings(i).replace("state:1", state).replace("cloud:1", cloud);
     for (int other = 0; other < controllers.size(); other++) {
@@ -126,7 +126,7 @@
     }
     try {
       c.node =
-          new Node(
+          new Controller(
               Settings.parse(settings),
               stand.policy,
               loop,
@@ -164,11 +164,11 @@
       Consumer<ClientResponse> done) {
     String to = SimulatedCluster.to(address);
     if (to.startsWith("n")) {
-      Controller c = controllers.get(to.charAt(1) - '0');
+      ControllerProcess c = controllers.get(to.charAt(1) - '0');
       // Each worker has connections of its own.
       clients
           .computeIfAbsent(from, f -> new UndertowHttpClient(loop, buffers))
-          .call(c.userAddress, method, path, body, StandInWorker.ANSWER_MS, done);
+          .call(c.userAddress, method, path, body, FakeWorker.ANSWER_MS, done);
     } else {
       stand.deliver(from, address, method, path, body, done);
     }
--- a/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
+++ b/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
@@ -58,7 +58,7 @@
     SimulatedCluster w = new SimulatedCluster(5);
     w.loss = 0;
     w.late = 0;
-    w.policy = Operator.parse(settings, ZONES);
+    w.policy = OperatorSettings.parse(settings, ZONES);
     return w;
   }
 
@@ -151,7 +151,7 @@
             "worker POST /commands");
   }
 
-  /** What nodes and operators ask; NodeTest has what users and workers ask. */
+  /** What nodes and operators ask; ControllerTest has what users and workers ask. */
   @ParameterizedTest(name = "{0} {1} {2} {3}: {4}")
   @CsvSource(
       delimiter = '|',
@@ -250,7 +250,7 @@
           + "'cores':1.0,'cards':0.0,'ram_gb':1.0,'load':'i','pull_gb':1.0,'haul_s':5.0,"
           + "'together':false,'spread':false,'standby':true,'waypoint_s':0.0,'stow_s':0.0}";
 
-  /** The answers to submissions in full; NodeTest has more cases of their status. */
+  /** The answers to submissions in full; ControllerTest has more cases of their status. */
   @ParameterizedTest(name = "{0} -> {1}: {2} {3}")
   @CsvSource(
       delimiter = '|',
@@ -287,8 +287,8 @@
   void sendsUsersAwayForASecondIfItIsNotAnswered(String method, String path)
       throws Settings.Invalid {
     SimulatedCluster w = cluster("");
-    Node node =
-        new Node(
+    Controller node =
+        new Controller(
             Settings.parse(w.settings(0)),
             w.policy,
             w.time.new ProcessLoop(0, 0, () -> 0L),
--- a/src/test/java/dev/windbend/daemon/OverdueJobsTest.java
+++ b/src/test/java/dev/windbend/daemon/OverdueJobsTest.java
@@ -1,6 +1,6 @@
 package dev.windbend.daemon;
 
-import static dev.windbend.daemon.Troubles.crash;
+import static dev.windbend.daemon.FaultInjection.crash;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.function.Consumer;
--- a/src/test/java/dev/windbend/daemon/SettingsKeysTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsKeysTest.java
@@ -78,7 +78,7 @@
                 "10.0.0.1:8081",
                 List.of(new Settings.Seed("mast-1", "10.0.0.2:8081")),
                 new Settings.Services("10.2.0.2:8443", "10.2.0.1:2379"),
-                new Settings.Facts(
+                new Settings.Deployment(
                     3,
                     List.of("a", "b"),
                     List.of(new Settings.Team("vision", 1.5, 2.5, 3.5, 4.5)),
@@ -135,14 +135,14 @@
         """;
     ZonePolicy zones =
         new ZonePolicy(true, List.of("b"), 6_500, 7_500, 8_500, 9_500, 10_500, 11.5, 12_500);
-    assertThat(Operator.parse(ini, ZONES))
+    assertThat(OperatorSettings.parse(ini, ZONES))
         .isEqualTo(new Policy(1_500, false, 2_500, 3.5, 4_500, false, 5.5, zones));
   }
 
   @Test
   void hasTheseDefaults() throws Settings.Invalid {
-    assertThat(Operator.parse("", ZONES)).isEqualTo(DEFAULTS);
-    assertThat(Operator.defaults()).isEqualTo(DEFAULTS);
+    assertThat(OperatorSettings.parse("", ZONES)).isEqualTo(DEFAULTS);
+    assertThat(OperatorSettings.defaults()).isEqualTo(DEFAULTS);
   }
 
   /** The file in the repository says so of itself: the defaults, but for enabled. */
@@ -151,7 +151,7 @@
     Path file = Path.of("deploy", "zones.ini");
     ZonePolicy zones =
         new ZonePolicy(true, List.of(), 3_000, 3_000, 10_000, 300_000, 600_000, 5, 5_000);
-    assertThat(Operator.read(file, ZONES))
+    assertThat(OperatorSettings.read(file, ZONES))
         .isEqualTo(new Policy(10_000, true, 60_000, 4, 4_000, true, 0.7, zones));
     assertThat(file)
         .content(StandardCharsets.UTF_8)
--- a/src/test/java/dev/windbend/daemon/SettingsTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsTest.java
@@ -84,10 +84,10 @@
 
   @Test
   void operatorsMaySetTheDesignsNumbers() throws Settings.Invalid {
-    Policy p = Operator.parse("[plan]\nperiod_s = 5\nrounds_on_events = false\n", ZONES);
+    Policy p = OperatorSettings.parse("[plan]\nperiod_s = 5\nrounds_on_events = false\n", ZONES);
     assertThat(p.periodMs()).isEqualTo(5_000);
     assertThat(p.roundsOnEvents()).isFalse();
-    assertThat(p.blockMs()).isEqualTo(Operator.defaults().blockMs());
+    assertThat(p.blockMs()).isEqualTo(OperatorSettings.defaults().blockMs());
   }
 
   @ParameterizedTest
@@ -104,7 +104,7 @@
         "[zone]\nzones = a, nowhere",
       })
   void operatorsMistakesAreNamed(String ini) {
-    assertThatThrownBy(() -> Operator.parse(ini, ZONES))
+    assertThatThrownBy(() -> OperatorSettings.parse(ini, ZONES))
         .isInstanceOf(Settings.Invalid.class)
         .hasMessageContaining("must be");
   }
@@ -118,22 +118,22 @@
         "zones = nowhere|[zone] zones must be zones of the deployment, which are a, b: nowhere",
       })
   void mistakesOfZonesAreNamedInFull(String line, String message) {
-    assertThatThrownBy(() -> Operator.parse("[zone]\n" + line, ZONES))
+    assertThatThrownBy(() -> OperatorSettings.parse("[zone]\n" + line, ZONES))
         .isInstanceOf(Settings.Invalid.class)
         .hasMessage(message);
   }
 
   @Test
   void zonesAreLookedAfterWhereTheFileSaysSo() throws Settings.Invalid {
-    ZonePolicy p = Operator.parse("[zone]\nenabled = true\nzones = b\n", ZONES).zones();
+    ZonePolicy p = OperatorSettings.parse("[zone]\nenabled = true\nzones = b\n", ZONES).zones();
     assertThat(p.enabled()).isTrue();
     assertThat(p.watched()).containsExactly("b");
-    assertThat(Operator.defaults().zones().enabled()).isFalse();
+    assertThat(OperatorSettings.defaults().zones().enabled()).isFalse();
   }
 
   @Test
   void aFormerNameIsAnsweredWithTheNewOne() {
-    assertThatThrownBy(() -> Operator.parse("[part]\nhold_s = 4", ZONES))
+    assertThatThrownBy(() -> OperatorSettings.parse("[part]\nhold_s = 4", ZONES))
         .isInstanceOf(Settings.Invalid.class)
         .hasMessageContaining("[shard]");
   }
--- a/src/test/java/dev/windbend/daemon/SimulatedCluster.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedCluster.java
@@ -32,12 +32,12 @@
 
   final VirtualTime time = new VirtualTime();
   final Random random;
-  final StandInStore store = new StandInStore(time);
-  final Map<String, StandInWorker> machines = new LinkedHashMap<>();
-  final RuleJudge judge = new RuleJudge(this);
+  final FakeStateService store = new FakeStateService(time);
+  final Map<String, FakeWorker> machines = new LinkedHashMap<>();
+  final InvariantChecker judge = new InvariantChecker(this);
   final Map<String, SimulatedUser> users = new LinkedHashMap<>();
   final int size;
-  private final Node[] nodes;
+  private final Controller[] nodes;
   private final VirtualTime.ProcessLoop[] loops;
   private final Map<String, List<String>> hires = new HashMap<>();
   private final Set<String> listed = new HashSet<>();
@@ -65,7 +65,7 @@
   double teamCores = TEAM_CORES;
 
   /** The operators' settings of all nodes. */
-  Policy policy = Operator.defaults();
+  Policy policy = OperatorSettings.defaults();
 
   /** Machines that nodes have given back. */
   int returned;
@@ -154,7 +154,7 @@
   SimulatedCluster(long seed, int size) {
     this.random = new Random(seed);
     this.size = size;
-    this.nodes = new Node[size];
+    this.nodes = new Controller[size];
     this.loops = new VirtualTime.ProcessLoop[size];
     this.slowMs = new long[size];
   }
@@ -167,7 +167,7 @@
     loops[i] = loop;
     try {
       nodes[i] =
-          new Node(
+          new Controller(
               Settings.parse(settings(i)),
               policy,
               loop,
@@ -224,9 +224,9 @@
 
   JsonNode json(byte[] body) {
     try {
-      return StandInStore.JSON.readTree(body);
+      return FakeStateService.JSON.readTree(body);
     } catch (java.io.IOException e) {
-      return StandInStore.JSON.createObjectNode();
+      return FakeStateService.JSON.createObjectNode();
     }
   }
 
@@ -362,7 +362,7 @@
     } else if (address.equals("cloud:1")) {
       cloud(path, body, done);
     } else if (path.equals("/commands")) {
-      StandInWorker w = machines.get(to(address));
+      FakeWorker w = machines.get(to(address));
       if (w == null) {
         done.accept(ClientResponse.NO_RESPONSE);
       } else {
@@ -384,7 +384,7 @@
               done.accept(new ClientResponse(a.status(), a.body()));
             }
           };
-      Node node = nodes[i];
+      Controller node = nodes[i];
       loop.after(
           0,
           () -> {
@@ -400,7 +400,7 @@
   // ---- cloud
 
   private void cloud(String path, byte[] body, Consumer<ClientResponse> done) {
-    ObjectNode out = StandInStore.JSON.createObjectNode();
+    ObjectNode out = FakeStateService.JSON.createObjectNode();
     if (path.equals("/machine_types")) {
       ObjectNode t = out.putArray("rigs").addObject();
       t.put("label", "t4").put("cores", 4.0).put("cards", 0.0).put("ram_gb", 16.0);
@@ -408,7 +408,7 @@
       t.put("ready_s", 5.0).putArray("yards").add("a").add("b");
     } else if (path.startsWith("/hosts/return")) {
       for (JsonNode n : json(body).path("trucks")) {
-        StandInWorker w = machines.remove(n.asText());
+        FakeWorker w = machines.remove(n.asText());
         if (w != null) {
           returned++;
           w.vanish();
@@ -417,7 +417,7 @@
       }
     } else if (path.startsWith("/hosts?")) {
       ArrayNode all = out.putArray("trucks");
-      for (StandInWorker w : machines.values()) {
+      for (FakeWorker w : machines.values()) {
         if (listed.contains(w.name)) {
           all.addObject()
               .put("uid", w.name)
@@ -449,13 +449,13 @@
       ArrayNode all = out.putArray("trucks");
       hires.get(hire).forEach(all::add);
     }
-    done.accept(StandInStore.reply(200, out));
+    done.accept(FakeStateService.reply(200, out));
   }
 
   /** A new machine; also one that nobody asked for. */
   String boot(String zone, boolean spot) {
     String name = "host-%06d".formatted(nextMachine++);
-    StandInWorker w = new StandInWorker(this, name, zone, spot);
+    FakeWorker w = new FakeWorker(this, name, zone, spot);
     machines.put(name, w);
     capacity--;
     time.at(bootMs + random.nextInt((int) bootSpreadMs), w::start);
@@ -464,7 +464,7 @@
   }
 
   /** The cloud takes a machine without notice. */
-  void take(StandInWorker w) {
+  void take(FakeWorker w) {
     if (w != null && machines.remove(w.name) != null) {
       w.vanish();
       capacity++;
@@ -474,7 +474,7 @@
   /** A task has completed; the end of a job may be met by its user. */
   void completed(String drop) {
     if (judge.completed(drop) && meetEnds) {
-      SimulatedUser u = users.get(RuleJudge.uid(drop));
+      SimulatedUser u = users.get(InvariantChecker.uid(drop));
       u.cancels |= random.nextInt(3) == 0;
       for (int i = 0; i < 6; i++) {
         Runnable what = i % 3 == 0 ? u::submit : i % 3 == 1 || !u.cancels ? u::poll : u::cancel;
@@ -496,11 +496,11 @@
   }
 
   /** Users call off so many jobs that run, through any node but one; their tasks' machines. */
-  List<StandInWorker> cancelNow(int count, String notThrough) {
-    List<StandInWorker> all = new ArrayList<>();
+  List<FakeWorker> cancelNow(int count, String notThrough) {
+    List<FakeWorker> all = new ArrayList<>();
     int left = count;
     for (SimulatedUser u : users.values()) {
-      List<StandInWorker> on = judge.machinesOf(u);
+      List<FakeWorker> on = judge.machinesOf(u);
       if (left > 0 && !on.isEmpty() && !u.cancels && !u.told.equals("done")) {
         left--;
         u.cancels = true;
@@ -521,12 +521,12 @@
   }
 
   boolean mistaken(String drop) {
-    SimulatedUser u = users.get(RuleJudge.uid(drop));
+    SimulatedUser u = users.get(InvariantChecker.uid(drop));
     return u != null && u.mistaken;
   }
 
   boolean inZone(String name, String zone) {
-    StandInWorker machine = machines.get(name);
+    FakeWorker machine = machines.get(name);
     return machine != null && machine.zone.equals(zone);
   }
 
@@ -556,7 +556,7 @@
   /** All but the nodes: what the state service, the machines, the cloud and the users hold. */
   ObjectNode save() {
     ObjectNode out =
-        StandInStore.JSON
+        FakeStateService.JSON
             .createObjectNode()
             .put("now_ms", time.nowMs())
             .put("capacity", capacity)
@@ -590,8 +590,7 @@
             });
     for (JsonNode m : saved.get("machines")) {
       String name = m.get("machine").asText();
-      StandInWorker w =
-          new StandInWorker(this, name, m.get("zone").asText(), m.get("spot").asBoolean());
+      FakeWorker w = new FakeWorker(this, name, m.get("zone").asText(), m.get("spot").asBoolean());
       machines.put(name, w);
       if (m.get("listed").asBoolean()) {
         listed.add(name);
--- a/src/test/java/dev/windbend/daemon/SimulatedUser.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedUser.java
@@ -64,7 +64,7 @@
 
   /** What the user wants and has been answered. */
   ObjectNode save() {
-    return StandInStore.JSON
+    return FakeStateService.JSON
         .createObjectNode()
         .put("job", uid)
         .put("team", team)
@@ -138,7 +138,7 @@
   }
 
   private byte[] submission() {
-    ObjectNode j = StandInStore.JSON.createObjectNode();
+    ObjectNode j = FakeStateService.JSON.createObjectNode();
     j.put("uid", uid).put("fleet", "f" + tasks % 3).put("crew", team).put("shape", "batch");
     j.put("urgency", tasks % 4 == 0 ? "urgent" : "standard").put("drops", tasks);
     j.put("cores", cores).put("cards", 0.0).put("ram_gb", 1.0).put("load", "img");
@@ -195,7 +195,7 @@
           } else if (r.status() == 200) {
             hear(r, sentMs);
           } else if (cluster.time.nowMs() - Math.max(answeredMs, cluster.judge.calmFromMs)
-              > RuleJudge.FORGOTTEN_MS) {
+              > InvariantChecker.FORGOTTEN_MS) {
             cluster.judge.broken("forgotten: no question about " + uid + " is answered");
           }
           cluster.time.at(5_000, this::poll);
--- a/src/test/java/dev/windbend/daemon/StoredDataTest.java
+++ b/src/test/java/dev/windbend/daemon/StoredDataTest.java
@@ -35,7 +35,7 @@
   @BeforeAll
   static void read() throws IOException {
     try (InputStream in = StoredDataTest.class.getResourceAsStream(FILE)) {
-      saved = StandInStore.JSON.readTree(in);
+      saved = FakeStateService.JSON.readTree(in);
     }
   }
 
@@ -60,7 +60,7 @@
     long fromMs = w.time.nowMs();
     Map<String, Long> tokens = new TreeMap<>();
     w.machines.values().forEach(m -> tokens.put(m.name, m.token()));
-    List<StandInWorker> machines = List.copyOf(w.machines.values());
+    List<FakeWorker> machines = List.copyOf(w.machines.values());
     Set<String> live = keysBelow("w/j/");
     assertThat(w.users)
         .as("a user for each job on record")
@@ -79,7 +79,7 @@
     assertThat(statuses.values()).isSubsetOf("pending", "running", "done", "aborted");
     w.time.runUntil(fromMs + KNOWN_MS);
     List<String> unknown = new ArrayList<>();
-    for (StandInWorker m : machines) {
+    for (FakeWorker m : machines) {
       if (!m.gone && m.token() <= tokens.get(m.name)) {
         unknown.add(m.name);
       }
@@ -108,7 +108,7 @@
     }
     assertThat(w.judge.starts)
         .as("starts of cancelled or ended jobs, seed %d", seed)
-        .noneMatch(task -> over.contains(RuleJudge.uid(task)));
+        .noneMatch(task -> over.contains(InvariantChecker.uid(task)));
     Set<String> running = new TreeSet<>();
     for (JsonNode machine : saved.get("machines")) {
       for (JsonNode task : machine.get("tasks")) {
--- a/src/test/java/dev/windbend/daemon/StoredDataWriter.java
+++ b/src/test/java/dev/windbend/daemon/StoredDataWriter.java
@@ -33,7 +33,7 @@
       ObjectNode saved = day(seed);
       if (saved != null) {
         System.out.printf("seed %d, %s%n", seed, StoredDay.count(saved));
-        ObjectWriter writer = StandInStore.JSON.writerWithDefaultPrettyPrinter();
+        ObjectWriter writer = FakeStateService.JSON.writerWithDefaultPrettyPrinter();
         Files.writeString(
             file, writer.writeValueAsString(saved) + "\n", StandardOpenOption.CREATE_NEW);
         return;
@@ -46,7 +46,7 @@
   static SimulatedCluster cluster(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed);
     try {
-      w.policy = Operator.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
+      w.policy = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
     } catch (Settings.Invalid e) {
       throw new AssertionError(e);
     }
@@ -62,7 +62,7 @@
     w.users.values().stream().filter(u -> u.tasks % 3 == 0).forEach(u -> u.type = "t4");
     ZoneLossTest.lose(w, LOST_MS, LOST_FOR_MS);
     w.time.runUntil(LOST_MS);
-    Troubles.each(w, 0, 1_000, (int) (LOST_FOR_MS / 1_000), () -> w.cancelNow(1, null));
+    FaultInjection.each(w, 0, 1_000, (int) (LOST_FOR_MS / 1_000), () -> w.cancelNow(1, null));
     for (long now = LOST_MS; now < LOST_MS + LOST_FOR_MS; now += STEP_MS) {
       w.time.runUntil(now);
       if (w.store.liveKeys("w/z/") == 0) {
--- a/src/test/java/dev/windbend/daemon/StoredDay.java
+++ b/src/test/java/dev/windbend/daemon/StoredDay.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dev.windbend.job.JobRecord;
-import dev.windbend.machine.RentalRecord;
+import dev.windbend.machine.ScaleOutRecord;
 import dev.windbend.runtime.Json;
 import dev.windbend.store.PagedStore;
 import dev.windbend.zone.ZoneRecord;
@@ -80,7 +80,7 @@
       case "w/j" -> live(key, read(key, value, JobRecord.Live.class));
       case "a" -> ended(key, read(key, value, JobRecord.Ended.class));
       case "w/p" -> page(key, read(key, value, PagedStore.Page.class));
-      case "w/h" -> machines(key, path[2], read(key, value, RentalRecord.class));
+      case "w/h" -> machines(key, path[2], read(key, value, ScaleOutRecord.class));
       case "w/z" -> zone(key, read(key, value, ZoneRecord.class));
       case "w/c" -> {
         require(value.path("owner").isTextual(), key);
@@ -135,7 +135,7 @@
             });
   }
 
-  private void machines(String key, String shard, RentalRecord record) {
+  private void machines(String key, String shard, ScaleOutRecord record) {
     require(record.type() != null && record.zone() != null, key);
     if (record.open()) {
       add(Kind.OPEN_RENTAL);
--- a/src/test/java/dev/windbend/daemon/ZoneLossLoopbackTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossLoopbackTest.java
@@ -15,7 +15,7 @@
   @Test
   void noTaskRunsTwiceAndAllWorkEnds() throws Exception {
     SimulatedCluster stand = new SimulatedCluster(11);
-    stand.policy = Operator.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
+    stand.policy = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
     stand.capacity = CAPACITY;
     stand.loss = 0;
     stand.late = 0;
--- a/src/test/java/dev/windbend/daemon/ZoneLossMeasurement.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossMeasurement.java
@@ -34,9 +34,9 @@
   private ZoneLossMeasurement() {}
 
   public static void main(String[] arguments) throws Settings.Invalid {
-    Policy on = Operator.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
+    Policy on = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
     for (Day day : DAYS) {
-      print(day, "off", Operator.defaults());
+      print(day, "off", OperatorSettings.defaults());
       print(day, "on", on);
     }
   }
@@ -88,7 +88,7 @@
   private void follow(SimulatedCluster w, long lostMs, List<String> left) {
     List<String> still = new ArrayList<>();
     for (String task : left) {
-      SimulatedUser user = w.users.get(RuleJudge.uid(task));
+      SimulatedUser user = w.users.get(InvariantChecker.uid(task));
       if (w.judge.isFinished(task) || runsElsewhere(w, task)) {
         afterMs
             .computeIfAbsent(kind(user), u -> new Histogram(END_MS, DIGITS))
--- a/src/test/java/dev/windbend/daemon/ZoneLossTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossTest.java
@@ -1,7 +1,7 @@
 package dev.windbend.daemon;
 
-import static dev.windbend.daemon.Troubles.crash;
-import static dev.windbend.daemon.Troubles.outage;
+import static dev.windbend.daemon.FaultInjection.crash;
+import static dev.windbend.daemon.FaultInjection.outage;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.windbend.shard.Policy;
@@ -136,7 +136,7 @@
                       w.machines.values().stream()
                           .filter(m -> m.zone.equals(ZONE))
                           .forEach(m -> w.mute.add(m.name));
-              Troubles.each(w, LOST_MS, 1_000, 60, mute);
+              FaultInjection.each(w, LOST_MS, 1_000, 60, mute);
               w.time.at(LOST_MS + 60_000, w.mute::clear);
             }),
         day(
@@ -180,7 +180,7 @@
             776_680_250,
             w -> {
               lose(w, LOST_MS, 60_000);
-              Troubles.each(w, LOST_MS + 4_000, 4_000, 4, () -> w.cancelNow(2, null));
+              FaultInjection.each(w, LOST_MS + 4_000, 4_000, 4, () -> w.cancelNow(2, null));
             }));
   }
 
@@ -193,7 +193,7 @@
 
   private static Policy policy(String settings) {
     try {
-      return Operator.parse(settings, List.of("a", "b"));
+      return OperatorSettings.parse(settings, List.of("a", "b"));
     } catch (Settings.Invalid e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/dev/windbend/machine/CloudMessagesTest.java
+++ b/src/test/java/dev/windbend/machine/CloudMessagesTest.java
@@ -26,7 +26,7 @@
             "pull_gb_per_s":1.5,"rate":12.0,"low_price":4.5,"ready_s":45.0,"yards":["a","b"]}]}"""),
         arguments(
             "rental",
-            new CloudMessages.Rental("r-17", "g8", "a", true, 12),
+            new CloudMessages.CreateInstances("r-17", "g8", "a", true, 12),
             """
             {"hire":"r-17","rig":"g8","yard":"a","standby":true,"how_many":12}"""),
         arguments(
@@ -49,23 +49,23 @@
             {"trucks":[],"has_next":false}"""),
         arguments(
             "stored: rental that the cloud has answered",
-            new RentalRecord("g8", "a", true, 12, List.of("host-000231"), null),
+            new ScaleOutRecord("g8", "a", true, 12, List.of("host-000231"), null),
             """
             {"type":"g8","zone":"a","spot":true,"count":12,"machines":["host-000231"]}"""),
         arguments(
             "stored: rental that the cloud has not answered yet",
-            new RentalRecord("g8", "a", false, 12, null, null),
+            new ScaleOutRecord("g8", "a", false, 12, null, null),
             """
             {"type":"g8","zone":"a","spot":false,"count":12}"""),
         arguments(
             "stored: transfer, as first written",
-            new RentalRecord("g8", "b", true, 2, List.of("host-1", "host-2"), 0L),
+            new ScaleOutRecord("g8", "b", true, 2, List.of("host-1", "host-2"), 0L),
             """
             {"type":"g8","zone":"b","spot":true,"count":2,"machines":["host-1","host-2"],
             "fence":0}"""),
         arguments(
             "stored: transfer, rewritten",
-            new RentalRecord("g8", "b", true, 1, List.of("host-2"), 9_007_199_254_740_993L),
+            new ScaleOutRecord("g8", "b", true, 1, List.of("host-2"), 9_007_199_254_740_993L),
             """
             {"type":"g8","zone":"b","spot":true,"count":1,"machines":["host-2"],
             "fence":9007199254740993}"""));
@@ -90,8 +90,8 @@
         new CloudMessages.Listed(null, null, null, false, null, 0));
     assertRead(
         "{\"machines\":null,\"fence\":null}",
-        RentalRecord.class,
-        new RentalRecord(null, null, false, 0, null, null));
+        ScaleOutRecord.class,
+        new ScaleOutRecord(null, null, false, 0, null, null));
     // The cloud says more of a machine than we ask for.
     assertRead(
         """
--- a/src/test/java/dev/windbend/machine/FleetTest.java
+++ b/src/test/java/dev/windbend/machine/FleetTest.java
@@ -76,7 +76,7 @@
       byte[] none = "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8);
       done.accept(new ClientResponse(503, none));
     } else {
-      int n = Math.min(stock, Json.read(body, CloudMessages.Rental.class).count());
+      int n = Math.min(stock, Json.read(body, CloudMessages.CreateInstances.class).count());
       stock -= n;
       List<String> names = new ArrayList<>();
       for (int i = 0; i < n; i++) {
--- a/src/test/java/dev/windbend/machine/MachineIndexTest.java
+++ b/src/test/java/dev/windbend/machine/MachineIndexTest.java
@@ -12,7 +12,7 @@
   private final MachineIndex directory = new MachineIndex();
 
   private void record(String key, Long fence, long version, String... machines) {
-    RentalRecord r = new RentalRecord("t", "z", true, 0, List.of(machines), fence);
+    ScaleOutRecord r = new ScaleOutRecord("t", "z", true, 0, List.of(machines), fence);
     directory.changed(key, new VersionedValue(Json.tree(r), version));
   }
 
@@ -57,7 +57,7 @@
   void aRentalWithoutAnAnswerNamesNothing() {
     directory.changed(
         "w/h/0/h",
-        new VersionedValue(Json.tree(new RentalRecord("t", "z", true, 5, null, null)), 10));
+        new VersionedValue(Json.tree(new ScaleOutRecord("t", "z", true, 5, null, null)), 10));
     assertThat(directory.shardOf("m1")).isEqualTo(-1);
   }
 
--- a/src/test/java/dev/windbend/peer/PeerMessagesTest.java
+++ b/src/test/java/dev/windbend/peer/PeerMessagesTest.java
@@ -36,7 +36,7 @@
             {"cancelled":[{"job":"wk-000412","revision":42},{"job":"wk-000413","revision":43}]}"""),
         arguments(
             "question for machines",
-            new TransferClient.Ask(
+            new MachineTransferClient.Ask(
                 1,
                 2,
                 new MachineRequest(
@@ -52,7 +52,7 @@
             "spot":true},"count":3}}}"""),
         arguments(
             "question for machines, a task that may run anywhere",
-            new TransferClient.Ask(
+            new MachineTransferClient.Ask(
                 0,
                 1,
                 new MachineRequest(
@@ -65,7 +65,7 @@
             "task":{"cores":1.0,"cards":0.0,"ram":1.0,"spot":false},"count":1}}}"""),
         arguments(
             "question for machines, no task is overdue",
-            new TransferClient.Ask(0, 1, new MachineRequest(5, 0.5, null)),
+            new MachineTransferClient.Ask(0, 1, new MachineRequest(5, 0.5, null)),
             """
             {"from":0,"to":1,"request":{"count":5,"has":0.5}}"""),
         arguments(
@@ -92,7 +92,7 @@
     assertRead("{\"cancelled\":null}", Peers.View.class, new Peers.View(0, null));
     assertRead("{}", Peers.Told.class, new Peers.Told(null));
     assertRead("{}", Cancelled.class, new Cancelled(null, 0));
-    assertRead("{}", TransferClient.Ask.class, new TransferClient.Ask(0, 0, null));
+    assertRead("{}", MachineTransferClient.Ask.class, new MachineTransferClient.Ask(0, 0, null));
     assertRead("{\"overdue\":null}", MachineRequest.class, new MachineRequest(0, 0, null));
     assertRead("{}", MachineRequest.Reply.class, new MachineRequest.Reply(0, 0));
   }
--- a/src/test/java/dev/windbend/plan/PlannerTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.plan.Snapshot.Offer;
-import dev.windbend.plan.Snapshot.Room;
+import dev.windbend.plan.Snapshot.InstanceOffer;
+import dev.windbend.plan.Snapshot.MachineCapacity;
+import dev.windbend.plan.Snapshot.PendingJob;
 import dev.windbend.plan.Snapshot.Running;
 import dev.windbend.plan.Snapshot.Size;
 import dev.windbend.plan.Snapshot.Team;
-import dev.windbend.plan.Snapshot.Work;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,20 +22,20 @@
   private static final long NOW = 1_000_000;
   private static final Size WHOLE = new Size(8, 0, 32);
 
-  private final List<Work> works = new ArrayList<>();
-  private final List<Room> rooms = new ArrayList<>();
-  private final List<Offer> offers =
+  private final List<PendingJob> works = new ArrayList<>();
+  private final List<MachineCapacity> rooms = new ArrayList<>();
+  private final List<InstanceOffer> offers =
       new ArrayList<>(
           List.of(
-              new Offer(0, 0, true, WHOLE, 1, 30_000, 1),
-              new Offer(0, 0, false, WHOLE, 2, 30_000, 1)));
+              new InstanceOffer(0, 0, true, WHOLE, 1, 30_000, 1),
+              new InstanceOffer(0, 0, false, WHOLE, 2, 30_000, 1)));
   private double limit = 100;
   private double used = 0;
   private boolean oldestFirst;
   private double reserve = 1_000;
   private long hearsMs;
 
-  private Wanted plan() {
+  private SchedulingDecision plan() {
     return Planner.plan(
         new Snapshot(
             NOW,
@@ -73,8 +73,8 @@
     boolean overdue;
     boolean displaced;
 
-    Work work() {
-      return new Work(
+    PendingJob work() {
+      return new PendingJob(
           0,
           rank,
           size,
@@ -122,7 +122,7 @@
 
   private void room(int zone, boolean spot, double free, Running... running) {
     rooms.add(
-        new Room(
+        new MachineCapacity(
             0,
             zone,
             spot,
@@ -147,7 +147,7 @@
   void takesIdleRoomFirstAndRentsNothing() {
     work(2, 4, 2, 30, 40);
     room(0, true, 8);
-    Wanted w = plan();
+    SchedulingDecision w = plan();
     assertThat(w.places()).hasSize(2);
     assertThat(w.rentals()).isEmpty();
   }
@@ -157,7 +157,7 @@
     work(2, 2, 1, 30, 40);
     room(0, true, 8);
     room(0, true, 2, running(6, 10, 2, 5));
-    assertThat(plan().places()).containsExactly(new Wanted.Place(0, 1));
+    assertThat(plan().places()).containsExactly(new SchedulingDecision.Place(0, 1));
   }
 
   @ParameterizedTest(name = "estimate {0} s, due in {1} s: {2} rented")
@@ -171,7 +171,8 @@
   })
   void waitsWhileTheSlackAllows(long estimate, long due, int rented) {
     work(2, 4, 1, estimate, due);
-    assertThat(plan().rentals().stream().mapToInt(Wanted.Rental::count).sum()).isEqualTo(rented);
+    assertThat(plan().rentals().stream().mapToInt(SchedulingDecision.Rental::count).sum())
+        .isEqualTo(rented);
   }
 
   @ParameterizedTest(name = "free in {0} s, due in {1} s: {2} rented")
@@ -179,27 +180,28 @@
   void queuesBehindAMachineFreeSoonElseRents(long freeIn, long due, int rented) {
     work(2, 8, 1, 20, due);
     room(0, true, 0, running(8, freeIn, 2, 5));
-    assertThat(plan().rentals().stream().mapToInt(Wanted.Rental::count).sum()).isEqualTo(rented);
+    assertThat(plan().rentals().stream().mapToInt(SchedulingDecision.Rental::count).sum())
+        .isEqualTo(rented);
   }
 
   @Test
   void holdsASoonFreeMachineForOneTaskOnly() {
     work(2, 8, 2, 20, 30);
     room(0, true, 0, running(8, 20, 2, 5));
-    assertThat(plan().rentals()).containsExactly(new Wanted.Rental(0, 1));
+    assertThat(plan().rentals()).containsExactly(new SchedulingDecision.Rental(0, 1));
   }
 
   @Test
   void packsRentedMachinesAndTakesTheCheapest() {
     work(2, 4, 5, 20, 30);
-    assertThat(plan().rentals()).containsExactly(new Wanted.Rental(0, 3));
+    assertThat(plan().rentals()).containsExactly(new SchedulingDecision.Rental(0, 3));
   }
 
   @Test
   void rentsOrdinaryMachinesWhereCheapOnesAreRefused() {
     offers.remove(0);
     work(2, 4, 1, 20, 30);
-    assertThat(plan().rentals()).containsExactly(new Wanted.Rental(0, 1));
+    assertThat(plan().rentals()).containsExactly(new SchedulingDecision.Rental(0, 1));
   }
 
   @Test
@@ -215,9 +217,9 @@
   void stopsLowerWorkOnlyIfItLosesLessThanItGains() {
     work(1, 4, 1, 20, 60);
     room(0, true, 0, running(4, 90, 2, 30), running(4, 90, 2, 5));
-    Wanted w = plan();
-    assertThat(w.stops()).containsExactly(new Wanted.Stop(0, 1));
-    assertThat(w.places()).containsExactly(new Wanted.Place(0, 0));
+    SchedulingDecision w = plan();
+    assertThat(w.stops()).containsExactly(new SchedulingDecision.Stop(0, 1));
+    assertThat(w.places()).containsExactly(new SchedulingDecision.Place(0, 0));
   }
 
   @ParameterizedTest(name = "rank {0}, loses {1} s, free in {2} s")
@@ -236,7 +238,7 @@
     room(0, true, 0, running(8, 90, 2, 5));
     hearsMs = 100;
     room(0, true, 0, running(8, 90, 2, 5));
-    assertThat(plan().stops()).containsExactly(new Wanted.Stop(1, 0));
+    assertThat(plan().stops()).containsExactly(new SchedulingDecision.Stop(1, 0));
   }
 
   @ParameterizedTest(name = "free in {0} s, to start within {1} s: {2} stopped")
@@ -270,7 +272,9 @@
     room(0, false, 8);
     assertThat(plan().places())
         .containsExactlyInAnyOrder(
-            new Wanted.Place(0, 1), new Wanted.Place(1, 2), new Wanted.Place(3, 1));
+            new SchedulingDecision.Place(0, 1),
+            new SchedulingDecision.Place(1, 2),
+            new SchedulingDecision.Place(3, 1));
   }
 
   @Test
@@ -317,7 +321,7 @@
     offers.clear();
     oldestFirst = first;
     room(0, true, 8);
-    assertThat(plan().places()).containsExactly(new Wanted.Place(served, 0));
+    assertThat(plan().places()).containsExactly(new SchedulingDecision.Place(served, 0));
   }
 
   @Test
@@ -328,7 +332,8 @@
     for (int i = 0; i < 4; i++) {
       room(0, true, 8);
     }
-    assertThat(plan().places().stream().map(Wanted.Place::work)).containsExactly(0, 0, 1, 0);
+    assertThat(plan().places().stream().map(SchedulingDecision.Place::work))
+        .containsExactly(0, 0, 1, 0);
   }
 
   @Test
@@ -353,7 +358,8 @@
           d.guaranteed = is;
         });
     room(0, true, 0, running(8, 40, 2, 5));
-    assertThat(plan().rentals().stream().mapToInt(Wanted.Rental::count).sum()).isEqualTo(rented);
+    assertThat(plan().rentals().stream().mapToInt(SchedulingDecision.Rental::count).sum())
+        .isEqualTo(rented);
   }
 
   @ParameterizedTest(name = "image at hand in {0} s, an early start counts {1}: placed {2}")
@@ -377,17 +383,17 @@
     work(2, 4, 1, 30, 40);
     room(0, false, 8);
     room(0, true, 8);
-    assertThat(plan().places()).containsExactly(new Wanted.Place(0, 1));
+    assertThat(plan().places()).containsExactly(new SchedulingDecision.Place(0, 1));
   }
 
   @Test
   void takesMachinesThatHearItAtOnceFirst() {
     work(2, 4, 1, 30, 40);
     room(0, true, 8);
-    Room r = rooms.remove(0);
+    MachineCapacity r = rooms.remove(0);
     for (long hears : new long[] {5_000, 0}) {
       rooms.add(
-          new Room(
+          new MachineCapacity(
               r.type(),
               r.zone(),
               r.spot(),
@@ -403,15 +409,15 @@
               r.images(),
               r.running()));
     }
-    assertThat(plan().places()).containsExactly(new Wanted.Place(0, 1));
+    assertThat(plan().places()).containsExactly(new SchedulingDecision.Place(0, 1));
   }
 
   @Test
   void rentsFromTheZoneWithFewerMachines() {
-    offers.add(new Offer(0, 1, true, WHOLE, 1, 30_000, 1));
+    offers.add(new InstanceOffer(0, 1, true, WHOLE, 1, 30_000, 1));
     work(2, 8, 4, 20, 30);
     room(0, true, 0, running(8, 900, 2, 5));
-    assertThat(plan().rentals()).containsExactly(new Wanted.Rental(2, 4));
+    assertThat(plan().rentals()).containsExactly(new SchedulingDecision.Rental(2, 4));
   }
 
   /** What a round costs goes by machines and jobs, not by tasks. */
@@ -427,7 +433,7 @@
     for (int j = 0; j < jobs; j++) {
       work(2, 4, tasks, 30, 20);
     }
-    Wanted w = plan();
+    SchedulingDecision w = plan();
     assertThat(w.places()).isEmpty();
     assertThat(w.looks()).isLessThan(3 * machines * jobs).isLessThan(tasks * jobs * 2);
   }
@@ -436,7 +442,7 @@
   void givesBackWhatIsIdleAtTheEndOfItsBlock() {
     room(0, true, 8);
     rooms.add(
-        new Room(
+        new MachineCapacity(
             0,
             0,
             true,
@@ -451,7 +457,7 @@
             1,
             new IntOpenHashSet(),
             List.of()));
-    Wanted w = plan();
+    SchedulingDecision w = plan();
     assertThat(w.giveBack()).containsExactly(1);
     assertThat(w.spare()).containsExactly(0, 1);
   }
@@ -515,6 +521,6 @@
           d.displaced = second;
           d.dueMs = NOW + 1_000 * secondDueS;
         });
-    assertThat(plan().places()).extracting(Wanted.Place::work).containsExactly(placed);
+    assertThat(plan().places()).extracting(SchedulingDecision.Place::work).containsExactly(placed);
   }
 }
--- a/src/test/java/dev/windbend/shard/NodeLeaseTest.java
+++ b/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class NodeLeaseTest {
+class ControllerLeaseTest {
   private static final long TERM_MS = 4_000;
   private static final long RENEWAL_MS = TERM_MS / 4;
 
@@ -18,7 +18,7 @@
   private int ended;
 
   private final StoreClient store = new StoreClient(loop, web, "state:1", 1_000, 100, 8, 1);
-  private final NodeLease lease = new NodeLease(loop, store, TERM_MS, () -> ended++);
+  private final ControllerLease lease = new ControllerLease(loop, store, TERM_MS, () -> ended++);
 
   private void answer(int call, int status, String body) {
     web.calls.get(call).accept(new ClientResponse(status, body.getBytes(StandardCharsets.UTF_8)));
@@ -70,7 +70,7 @@
     pass(RENEWAL_MS);
     answer(1, 404, "{}");
     assertThat(ended).isEqualTo(1);
-    assertThat(lease.id()).isEqualTo(NodeLease.NONE);
+    assertThat(lease.id()).isEqualTo(ControllerLease.NONE);
     grant(2, 7);
     assertThat(lease.surelyHeld()).as("renewed before it ended").isFalse();
     grant(3, 8);
--- a/src/test/java/dev/windbend/shard/FactsTest.java
+++ b/src/test/java/dev/windbend/shard/DeploymentSpecTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** When jobs of a class are due, from what is asked of it. */
-class FactsTest {
-  private static final Facts.Aims AIMS =
-      new Facts.Aims(
+class DeploymentSpecTest {
+  private static final DeploymentSpec.ServiceObjectives AIMS =
+      new DeploymentSpec.ServiceObjectives(
           Map.of("both", new double[] {1, 1.5}, "times", new double[] {1, 1.5}),
           Map.of("both", new double[] {250}, "within", new double[] {150, 250}),
           Map.of(),
--- a/src/test/java/dev/windbend/shard/GradualStartTest.java
+++ b/src/test/java/dev/windbend/shard/FailoverRampUpTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The first rounds after a takeover hold up neither reports nor the renewal of the lease. */
-class GradualStartTest {
+class FailoverRampUpTest {
   private static final double REPORT_S = 2;
 
   private final ManualEventLoop loop = new ManualEventLoop(50_000);
-  private final GradualStart start = new GradualStart(loop, REPORT_S);
+  private final FailoverRampUp start = new FailoverRampUp(loop, REPORT_S);
 
   @Test
   void roundsWaitForReportsButNotForEver() {
--- a/src/test/java/dev/windbend/shard/MachineTransfersTest.java
+++ b/src/test/java/dev/windbend/shard/MachineTransfersTest.java
@@ -7,7 +7,7 @@
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineIndex;
 import dev.windbend.machine.MachineTypeCatalog;
-import dev.windbend.machine.RentalRecord;
+import dev.windbend.machine.ScaleOutRecord;
 import dev.windbend.machine.TaskRequirements;
 import dev.windbend.runtime.ClientResponse;
 import dev.windbend.runtime.HttpClient;
@@ -66,9 +66,9 @@
     for (int i = 0; i < 10; i++) {
       names.add("m" + i);
     }
-    RentalRecord hire = new RentalRecord("t", "a", true, 10, names, null);
+    ScaleOutRecord hire = new ScaleOutRecord("t", "a", true, 10, names, null);
     MachineIndex directory = new MachineIndex();
-    String key = RentalRecord.prefix(0) + "h";
+    String key = ScaleOutRecord.prefix(0) + "h";
     directory.changed(key, new VersionedValue(Json.tree(hire), 5));
     fleet.restore("h", hire, 5, directory, false);
     fleet.machines().forEach(MachineTransfersTest::confirm);
@@ -137,9 +137,9 @@
   /** A shard that has just got a machine for an overdue task does not lose it to the next one. */
   @Test
   void keepsAMachineThatItHasJustReceived() {
-    RentalRecord record = new RentalRecord("t", "a", true, 1, List.of("received"), 6L);
+    ScaleOutRecord record = new ScaleOutRecord("t", "a", true, 1, List.of("received"), 6L);
     MachineIndex directory = new MachineIndex();
-    String key = RentalRecord.prefix(0) + "g";
+    String key = ScaleOutRecord.prefix(0) + "g";
     directory.changed(key, new VersionedValue(Json.tree(record), 6));
     Fleet one = new Fleet(loop, cloud, catalog, 0, 7, host);
     one.restore("g", record, 6, directory, false);
--- a/src/test/java/dev/windbend/shard/ShardOwnershipRecordTest.java
+++ b/src/test/java/dev/windbend/shard/ShardOwnershipRecordTest.java
@@ -9,8 +9,8 @@
 class ShardOwnershipRecordTest {
   @Test
   void isStoredAs() {
-    assertPinned(new ShardOwnership.Claim("mast-0"), "{\"owner\":\"mast-0\"}");
-    assertRead("{}", ShardOwnership.Claim.class, new ShardOwnership.Claim(null));
-    assertRead("{\"owner\":null}", ShardOwnership.Claim.class, new ShardOwnership.Claim(null));
+    assertPinned(new LeaderElection.Claim("mast-0"), "{\"owner\":\"mast-0\"}");
+    assertRead("{}", LeaderElection.Claim.class, new LeaderElection.Claim(null));
+    assertRead("{\"owner\":null}", LeaderElection.Claim.class, new LeaderElection.Claim(null));
   }
 }
--- a/src/test/java/dev/windbend/worker/ReportReaderTest.java
+++ b/src/test/java/dev/windbend/worker/HeartbeatReaderTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ReportReaderTest {
+class HeartbeatReaderTest {
   private static final String HEAD =
       "\"truck\":\"host-1\",\"addr\":\"10.1.0.2:9000\",\"rig\":\"g8\",\"yard\":\"a\",";
 
@@ -32,9 +32,9 @@
         " {HEAD\"shift\":1,\"drops\":[]} \n",
       })
   void readsWhatTheRecordsSay(String json) {
-    WorkerMessages.Report expected = Json.read(bytes(json), WorkerMessages.Report.class);
+    WorkerMessages.Heartbeat expected = Json.read(bytes(json), WorkerMessages.Heartbeat.class);
     assertThat(expected).isNotNull();
-    assertThat(ReportReader.read(bytes(json))).isEqualTo(expected);
+    assertThat(HeartbeatReader.read(bytes(json))).isEqualTo(expected);
   }
 
   @ParameterizedTest
@@ -67,11 +67,11 @@
         "{\"rig\":\"g8\",\"yard\":\"a\",\"shift\":1,\"drops\":[]}",
       })
   void refusesWhatIsNoReport(String json) {
-    assertThat(ReportReader.read(bytes(json))).isNull();
+    assertThat(HeartbeatReader.read(bytes(json))).isNull();
   }
 
   @Test
   void refusesBytesThatAreNoText() {
-    assertThat(ReportReader.read(new byte[] {(byte) 0xff, 0, '{'})).isNull();
+    assertThat(HeartbeatReader.read(new byte[] {(byte) 0xff, 0, '{'})).isNull();
   }
 }
--- a/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
+++ b/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
@@ -17,7 +17,7 @@
     return Stream.of(
         arguments(
             "report",
-            new WorkerMessages.Report(
+            new WorkerMessages.Heartbeat(
                 "host-000231",
                 "10.1.0.232:9000",
                 "g8",
@@ -37,7 +37,7 @@
             {"drop":"wk-000398/0","run":5,"status":"exited","cause":"halted","saved":true}]}"""),
         arguments(
             "report without what may be missing",
-            new WorkerMessages.Report(
+            new WorkerMessages.Heartbeat(
                 "host-000231", null, "g8", "a", false, 3, 0, 0, null, List.of()),
             """
             {"truck":"host-000231","rig":"g8","yard":"a","standby":false,
@@ -85,8 +85,8 @@
   void readsMessagesOfWhichFieldsAreMissing() {
     assertRead(
         "{}",
-        WorkerMessages.Report.class,
-        new WorkerMessages.Report(null, null, null, null, false, 0, 0, 0, null, null));
+        WorkerMessages.Heartbeat.class,
+        new WorkerMessages.Heartbeat(null, null, null, null, false, 0, 0, 0, null, null));
     assertRead(
         "{\"drop\":null,\"run\":null,\"status\":null,\"cause\":null,\"saved\":null}",
         WorkerMessages.TaskState.class,
--- a/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
+++ b/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.windbend.plan.Planner;
+import dev.windbend.plan.SchedulingDecision;
 import dev.windbend.plan.Snapshot;
-import dev.windbend.plan.Wanted;
 import dev.windbend.zone.EvacuationPlan.Lost;
 import dev.windbend.zone.EvacuationPlan.Task;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
@@ -78,8 +78,8 @@
 
   /** A displaced job, and what it asks of room elsewhere. */
   private record Displaced(int rank, int cores, int waiting, long dueInMs, long estimateMs) {
-    private Snapshot.Work work() {
-      return new Snapshot.Work(
+    private Snapshot.PendingJob work() {
+      return new Snapshot.PendingJob(
           0,
           rank,
           new Snapshot.Size(cores, 0, 1),
@@ -120,8 +120,8 @@
         .ofMaxSize(12);
   }
 
-  private static Snapshot.Room room(int freeCores) {
-    return new Snapshot.Room(
+  private static Snapshot.MachineCapacity room(int freeCores) {
+    return new Snapshot.MachineCapacity(
         0,
         0,
         true,
@@ -145,9 +145,10 @@
   @Property(tries = 400)
   void noLowerTaskIsPlacedWhereAHigherOneThatFitsWaits(
       @ForAll("displaced") List<Displaced> jobs, @ForAll("rooms") List<Integer> freeCores) {
-    List<Snapshot.Work> works = jobs.stream().map(Displaced::work).toList();
-    List<Snapshot.Room> rooms = freeCores.stream().map(EvacuationPlanTest::room).toList();
-    Wanted wanted =
+    List<Snapshot.PendingJob> works = jobs.stream().map(Displaced::work).toList();
+    List<Snapshot.MachineCapacity> rooms =
+        freeCores.stream().map(EvacuationPlanTest::room).toList();
+    SchedulingDecision wanted =
         Planner.plan(
             new Snapshot(
                 NOW,
@@ -160,9 +161,9 @@
                 works,
                 rooms,
                 List.of()));
-    int[] left = works.stream().mapToInt(Snapshot.Work::waiting).toArray();
+    int[] left = works.stream().mapToInt(Snapshot.PendingJob::waiting).toArray();
     wanted.places().forEach(p -> left[p.work()]--);
-    for (Wanted.Place placed : wanted.places()) {
+    for (SchedulingDecision.Place placed : wanted.places()) {
       Displaced lower = jobs.get(placed.work());
       for (int i = 0; i < jobs.size(); i++) {
         Displaced higher = jobs.get(i);
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -13,7 +13,7 @@
 import dev.windbend.machine.MachineHealth;
 import dev.windbend.machine.MachineIndex;
 import dev.windbend.machine.MachineTypeCatalog;
-import dev.windbend.machine.RentalRecord;
+import dev.windbend.machine.ScaleOutRecord;
 import dev.windbend.runtime.ClientResponse;
 import dev.windbend.runtime.Json;
 import dev.windbend.runtime.ManualEventLoop;
@@ -109,10 +109,10 @@
       for (int i = 0; i < PER_RENTAL; i++) {
         names.add("host-%02d-%02d".formatted(rental, i));
       }
-      RentalRecord record =
-          new RentalRecord("t", rental % 2 == 0 ? "a" : "b", true, PER_RENTAL, names, null);
+      ScaleOutRecord record =
+          new ScaleOutRecord("t", rental % 2 == 0 ? "a" : "b", true, PER_RENTAL, names, null);
       String name = "p" + rental;
-      index.changed(RentalRecord.prefix(0) + name, new VersionedValue(Json.tree(record), 1));
+      index.changed(ScaleOutRecord.prefix(0) + name, new VersionedValue(Json.tree(record), 1));
       fleet.restore(name, record, 1, index, true);
     }
   }
