--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -66,9 +66,9 @@
   private final MachineTypeCatalog catalog;
   private final Replica replica;
   private final ShardLayout layout;
-  private final LeaderElection claims;
+  private final LeaderElection election;
   private final Peers peers;
-  private final MachineTransferClient lending;
+  private final MachineTransferClient transferClient;
   private final ConcurrencyLimiter gate;
   private final ShardLeader.Shared shared;
   private final Estimates estimates = new Estimates();
@@ -107,7 +107,7 @@
     this.replica = new Replica(loop, store, EVERYTHING);
     this.layout = new ShardLayout(f.teams().stream().map(Settings.Team::name).toList(), nodes);
     long leaseMs = (long) (1000 * f.workers().leaseS());
-    this.claims =
+    this.election =
         new LeaderElection(
             loop, store, replica, layout, settings.node(), policy.leaseTermMs(), leaseMs, this);
     Cancellations cancellations = new Cancellations(replica, this::cancelled);
@@ -130,8 +130,8 @@
             this::judge,
             this::waitsFor);
     DirectStopClient directStops = new DirectStopClient(loop, web, f.workers().reportS());
-    this.lending =
-        new MachineTransferClient(web, layout.shards(), claims::owner, peerAddresses, this::lend);
+    this.transferClient =
+        new MachineTransferClient(web, layout.shards(), election::owner, peerAddresses, this::lend);
     DeploymentSpec facts = facts(settings, size);
     this.gate = new ConcurrencyLimiter(loop, JobHandler::submits, door::handle);
     replica.listen(directory::changed);
@@ -148,13 +148,13 @@
             directory,
             facts,
             policy,
-            claims,
+            election,
             peers,
             cancellations,
             directStops,
             estimates,
             images,
-            lending,
+            transferClient,
             settings.zone(),
             zoneMetrics);
     Gauge.builder("windbend.shards", owners, Map::size).register(meters);
@@ -196,7 +196,7 @@
             .map(
                 t ->
                     new DeploymentSpec.TeamQuota(
-                        t.name(), t.cores(), t.coresMost(), t.cards(), t.cardsMost()))
+                        t.name(), t.cores(), t.maxCores(), t.gpus(), t.maxGpus()))
             .toList(),
         size,
         f.workers().reportS(),
@@ -215,7 +215,7 @@
   public void start() {
     catalog.start();
     replica.start();
-    claims.start();
+    election.start();
     peers.start();
   }
 
@@ -295,7 +295,7 @@
       case Peers.PATH -> method("POST", request, done, () -> done.accept(peers.view(request)));
       case Peers.CANCELLED -> method("POST", request, done, () -> done.accept(peers.told(request)));
       case MachineTransferClient.PATH ->
-          method("POST", request, done, () -> lending.serve(request, done));
+          method("POST", request, done, () -> transferClient.serve(request, done));
       case "/metrics" ->
           method("GET", request, done, () -> done.accept(ServerResponse.of(200, metrics())));
       case ZONES ->
@@ -364,7 +364,7 @@
       return null;
     }
     Settings.Team t = settings.facts().teams().get(team);
-    if (spec.cores() > t.coresMost() + 1e-9 || spec.cards() > t.cardsMost() + 1e-9) {
+    if (spec.cores() > t.maxCores() + 1e-9 || spec.gpus() > t.maxGpus() + 1e-9) {
       return new JobHandler.Verdict("one task is over the team's limit");
     }
     for (MachineType type : catalog.all()) {
@@ -373,7 +373,7 @@
           spec.zone() == null
               || (catalog.zones().find(spec.zone()) >= 0
                   && type.in(catalog.zones().find(spec.zone())));
-      if (named && there && type.fits(spec.cores(), spec.cards(), spec.ram())) {
+      if (named && there && type.fits(spec.cores(), spec.gpus(), spec.memoryGb())) {
         return new JobHandler.Verdict(null);
       }
     }
@@ -393,7 +393,7 @@
       done.accept(ServerResponse.ofStatus(400));
       return;
     }
-    claims.heardWorker();
+    election.heardWorker();
     int shard = directory.shardOf(r.machine());
     for (ShardLeader o : owners.values()) {
       if (o.ready() && o.has(r.machine())) {
@@ -406,7 +406,7 @@
     int home = Math.max(shard, 0);
     ShardLeader mine = owners.get(home);
     if (mine == null) {
-      String owner = claims.owner(home);
+      String owner = election.owner(home);
       done.accept(
           owner == null || owner.equals(settings.node())
               ? ServerResponse.ofStatus(503)
--- a/src/main/java/dev/windbend/daemon/Settings.java
+++ b/src/main/java/dev/windbend/daemon/Settings.java
@@ -30,10 +30,10 @@
       Cloud cloud) {}
 
   /** A guarantee of 0 is none, and so is a limit of 0: a guest team may use what is left over. */
-  public record Team(String name, double cores, double coresMost, double cards, double cardsMost) {
+  public record Team(String name, double cores, double maxCores, double gpus, double maxGpus) {
     public Team {
-      coresMost = coresMost == 0 ? Double.POSITIVE_INFINITY : coresMost;
-      cardsMost = cardsMost == 0 ? Double.POSITIVE_INFINITY : cardsMost;
+      maxCores = maxCores == 0 ? Double.POSITIVE_INFINITY : maxCores;
+      maxGpus = maxGpus == 0 ? Double.POSITIVE_INFINITY : maxGpus;
     }
   }
 
@@ -151,8 +151,8 @@
     need(facts.teams() != null && !facts.teams().isEmpty(), "facts.teams");
     for (Team t : facts.teams()) {
       need(text(t.name()), "facts.teams.name");
-      need(t.coresMost() >= t.cores() && t.cores() >= 0, "facts.teams.cpus of " + t.name());
-      need(t.cardsMost() >= t.cards() && t.cards() >= 0, "facts.teams.gpus of " + t.name());
+      need(t.maxCores() >= t.cores() && t.cores() >= 0, "facts.teams.cpus of " + t.name());
+      need(t.maxGpus() >= t.gpus() && t.gpus() >= 0, "facts.teams.gpus of " + t.name());
     }
     need(facts.workers() != null, "facts.workers");
     need(facts.workers().reportS() > 0, "facts.workers.report_s");
--- a/src/main/java/dev/windbend/machine/CloudMessages.java
+++ b/src/main/java/dev/windbend/machine/CloudMessages.java
@@ -12,8 +12,8 @@
   record Type(
       @JsonProperty("label") String name,
       @JsonProperty("cores") double cores,
-      @JsonProperty("cards") double cards,
-      @JsonProperty("ram_gb") double ram,
+      @JsonProperty("cards") double gpus,
+      @JsonProperty("ram_gb") double memoryGb,
       @JsonProperty("cache_gb") double cacheGb,
       @JsonProperty("pull_gb_per_s") double fetchGbPerS,
       @JsonProperty("rate") double price,
--- a/src/main/java/dev/windbend/machine/Machine.java
+++ b/src/main/java/dev/windbend/machine/Machine.java
@@ -357,16 +357,16 @@
     return free;
   }
 
-  boolean hasRoomFor(double cores, double cards, double ram) {
+  boolean hasRoomFor(double cores, double gpus, double memoryGb) {
     double freeCores = type.cores() + ROUNDING;
-    double freeCards = type.cards() + ROUNDING;
-    double freeRam = type.ram() + ROUNDING;
+    double freeGpus = type.gpus() + ROUNDING;
+    double freeMemoryGb = type.memoryGb() + ROUNDING;
     for (Placement p : tasks.values()) {
       freeCores -= p.job().spec().cores();
-      freeCards -= p.job().spec().cards();
-      freeRam -= p.job().spec().ram();
+      freeGpus -= p.job().spec().gpus();
+      freeMemoryGb -= p.job().spec().memoryGb();
     }
-    return freeCores >= cores && freeCards >= cards && freeRam >= ram;
+    return freeCores >= cores && freeGpus >= gpus && freeMemoryGb >= memoryGb;
   }
 
   /** Begins a new window in which the least free room is noted. */
--- a/src/main/java/dev/windbend/machine/MachineType.java
+++ b/src/main/java/dev/windbend/machine/MachineType.java
@@ -5,8 +5,8 @@
     int index,
     String name,
     double cores,
-    double cards,
-    double ram,
+    double gpus,
+    double memoryGb,
     double cacheGb,
     double fetchGbPerS,
     double price,
@@ -24,6 +24,6 @@
   }
 
   public boolean fits(double c, double g, double r) {
-    return c <= cores + 1e-9 && g <= cards + 1e-9 && r <= ram + 1e-9;
+    return c <= cores + 1e-9 && g <= gpus + 1e-9 && r <= memoryGb + 1e-9;
   }
 }
--- a/src/main/java/dev/windbend/machine/TaskRequirements.java
+++ b/src/main/java/dev/windbend/machine/TaskRequirements.java
@@ -12,8 +12,8 @@
  */
 public record TaskRequirements(
     @JsonProperty("cores") double cores,
-    @JsonProperty("cards") double cards,
-    @JsonProperty("ram") double ram,
+    @JsonProperty("cards") double gpus,
+    @JsonProperty("ram") double memoryGb,
     @JsonProperty("types") List<String> types,
     @JsonProperty("zones") List<String> zones,
     @JsonProperty("spot") boolean spot) {
@@ -23,11 +23,11 @@
     return (types == null || types.contains(machine.type().name()))
         && (zones == null || zones.contains(machine.zoneName()))
         && (spot || !machine.spot())
-        && machine.type().fits(cores, cards, ram);
+        && machine.type().fits(cores, gpus, memoryGb);
   }
 
   /** Whether the task may run on the machine beside the tasks that are there now. */
   public boolean hasRoomOn(Machine machine) {
-    return allows(machine) && machine.hasRoomFor(cores, cards, ram);
+    return allows(machine) && machine.hasRoomFor(cores, gpus, memoryGb);
   }
 }
--- a/src/main/java/dev/windbend/plan/Planner.java
+++ b/src/main/java/dev/windbend/plan/Planner.java
@@ -43,7 +43,7 @@
   private final int[] rented;
   private final int[] machinesIn;
   private final double[] usedCores;
-  private final double[] usedCards;
+  private final double[] usedGpus;
   private final List<SchedulingDecision.Place> places = new ArrayList<>();
   private final List<SchedulingDecision.Stop> stops = new ArrayList<>();
   private double cheapest = Double.POSITIVE_INFINITY;
@@ -111,7 +111,7 @@
     this.asks = new Ask[s.works().size()];
     this.rented = new int[s.offers().size()];
     this.usedCores = s.teams().stream().mapToDouble(Snapshot.Team::usedCores).toArray();
-    this.usedCards = s.teams().stream().mapToDouble(Snapshot.Team::usedCards).toArray();
+    this.usedGpus = s.teams().stream().mapToDouble(Snapshot.Team::usedGpus).toArray();
     int zones = 0;
     for (InstanceOffer o : s.offers()) {
       zones = Math.max(zones, o.zone() + 1);
@@ -244,8 +244,8 @@
 
   private int underLimit(PendingJob w) {
     Snapshot.Team t = s.teams().get(w.team());
-    return new Size(t.mostCores() - usedCores[w.team()], t.mostCards() - usedCards[w.team()], 0)
-        .times(new Size(w.size().cores(), w.size().cards(), 0));
+    return new Size(t.maxCores() - usedCores[w.team()], t.maxGpus() - usedGpus[w.team()], 0)
+        .times(new Size(w.size().cores(), w.size().gpus(), 0));
   }
 
   /** The room is spoken for from then on, and counts for the team's limit at once. */
@@ -253,7 +253,7 @@
     PendingJob w = a.w;
     l.take(atMs, w.estimateMs() + fetchMs(w, l), w.size());
     usedCores[w.team()] += w.size().cores();
-    usedCards[w.team()] += w.size().cards();
+    usedGpus[w.team()] += w.size().gpus();
     a.took(l);
   }
 
--- a/src/main/java/dev/windbend/plan/Snapshot.java
+++ b/src/main/java/dev/windbend/plan/Snapshot.java
@@ -20,36 +20,37 @@
     List<InstanceOffer> offers) {
 
   /** Cores, cards and memory. */
-  public record Size(double cores, double cards, double ram) {
+  public record Size(double cores, double gpus, double memoryGb) {
     public static final Size NONE = new Size(0, 0, 0);
 
     public Size plus(Size o) {
-      return new Size(cores + o.cores, cards + o.cards, ram + o.ram);
+      return new Size(cores + o.cores, gpus + o.gpus, memoryGb + o.memoryGb);
     }
 
     public Size minus(Size o) {
-      return new Size(cores - o.cores, cards - o.cards, ram - o.ram);
+      return new Size(cores - o.cores, gpus - o.gpus, memoryGb - o.memoryGb);
     }
 
     public Size least(Size o) {
-      return new Size(Math.min(cores, o.cores), Math.min(cards, o.cards), Math.min(ram, o.ram));
+      return new Size(
+          Math.min(cores, o.cores), Math.min(gpus, o.gpus), Math.min(memoryGb, o.memoryGb));
     }
 
     /** How many of the other go in. */
     public int times(Size o) {
       double n = 1e9;
       n = o.cores > 0 ? Math.min(n, (cores + 1e-6) / o.cores) : n;
-      n = o.cards > 0 ? Math.min(n, (cards + 1e-6) / o.cards) : n;
-      n = o.ram > 0 ? Math.min(n, (ram + 1e-6) / o.ram) : n;
+      n = o.gpus > 0 ? Math.min(n, (gpus + 1e-6) / o.gpus) : n;
+      n = o.memoryGb > 0 ? Math.min(n, (memoryGb + 1e-6) / o.memoryGb) : n;
       return (int) n;
     }
 
     public boolean holds(Size o) {
-      return cores + 1e-6 >= o.cores && cards + 1e-6 >= o.cards && ram + 1e-6 >= o.ram;
+      return cores + 1e-6 >= o.cores && gpus + 1e-6 >= o.gpus && memoryGb + 1e-6 >= o.memoryGb;
     }
   }
 
-  public record Team(double mostCores, double mostCards, double usedCores, double usedCards) {}
+  public record Team(double maxCores, double maxGpus, double usedCores, double usedGpus) {}
 
   /**
    * The waiting tasks of a job. {@code types}: allowed ones, null for any; {@code zone} -1: any;
--- a/src/main/java/dev/windbend/shard/DeploymentSpec.java
+++ b/src/main/java/dev/windbend/shard/DeploymentSpec.java
@@ -23,7 +23,7 @@
   }
 
   public record TeamQuota(
-      String name, double cores, double coresMost, double cards, double cardsMost) {}
+      String name, double cores, double maxCores, double gpus, double maxGpus) {}
 
   /**
    * What is asked of classes of jobs: times of the deadline, seconds to finish within, seconds to
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -36,7 +36,7 @@
     }
     int teams = facts.teams().size();
     double used = TeamUsage.cores(board.all(), teams)[oldest.team()];
-    double usedCards = TeamUsage.cards(board.all(), teams)[oldest.team()];
+    double usedGpus = TeamUsage.gpus(board.all(), teams)[oldest.team()];
     TaskRequirements task = overdueJobs.requirements(oldest);
     DeploymentSpec.TeamQuota team = facts.teams().get(oldest.team());
     int booting = 0;
@@ -49,15 +49,15 @@
     }
     int asked = fleet.pending().stream().mapToInt(Fleet.Pending::count).sum();
     boolean atLimit =
-        used + oldest.spec().cores() > team.coresMost() + 1e-6
-            || usedCards + oldest.spec().cards() > team.cardsMost() + 1e-6;
+        used + oldest.spec().cores() > team.maxCores() + 1e-6
+            || usedGpus + oldest.spec().gpus() > team.maxGpus() + 1e-6;
     return new OldestWaitingJob(
         oldest.spec().uid(),
         ageS,
         reason(
             oldest.notBeforeMs() - nowMs,
             atLimit ? used : -1,
-            team.coresMost(),
+            team.maxCores(),
             room,
             booting,
             asked,
--- a/src/main/java/dev/windbend/shard/OverdueJobs.java
+++ b/src/main/java/dev/windbend/shard/OverdueJobs.java
@@ -44,7 +44,7 @@
     double cores = 0;
     double[] used = TeamUsage.cores(jobs.all(), facts.teams().size());
     for (Job j : jobs.all()) {
-      double limit = facts.teams().get(j.team()).coresMost();
+      double limit = facts.teams().get(j.team()).maxCores();
       if (!overdue(j, now)
           || failsEverywhere(j)
           || used[j.team()] + j.spec().cores() > limit
@@ -76,8 +76,8 @@
   TaskRequirements requirements(Job j) {
     return new TaskRequirements(
         j.spec().cores(),
-        j.spec().cards(),
-        j.spec().ram(),
+        j.spec().gpus(),
+        j.spec().memoryGb(),
         j.spec().types(),
         allowedZones(j),
         j.spec().spot());
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -278,7 +278,7 @@
   private List<Snapshot.InstanceOffer> offers() {
     List<Snapshot.InstanceOffer> all = new ArrayList<>();
     for (MachineType t : catalog.all()) {
-      Snapshot.Size size = new Snapshot.Size(t.cores(), t.cards(), t.ram());
+      Snapshot.Size size = new Snapshot.Size(t.cores(), t.gpus(), t.memoryGb());
       for (int zone : t.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
           if (!fleet.refused(t.index(), zone, spot) && zones.rentable(zone) > 0) {
--- a/src/main/java/dev/windbend/shard/ShardLeader.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -60,7 +60,7 @@
   private final MachineIndex directory;
   private final DeploymentSpec facts;
   private final Policy policy;
-  private final LeaderElection claims;
+  private final LeaderElection election;
   private final Peers peers;
   private final Cancellations cancellations;
   private final NameIndex images;
@@ -68,7 +68,7 @@
   private final PagedStore pages;
   private final JobRegistry board;
   private final Fleet fleet;
-  private final OrphanedMachines strays;
+  private final OrphanedMachines orphanedMachines;
   private final MachineHealth watch;
   private final MachineTransfers loans;
   private final FailoverRampUp gradualStart;
@@ -105,7 +105,7 @@
       MachineIndex directory,
       DeploymentSpec facts,
       Policy policy,
-      LeaderElection claims,
+      LeaderElection election,
       Peers peers,
       Cancellations cancellations,
       DirectStopClient directStops,
@@ -125,7 +125,7 @@
     this.directory = with.directory;
     this.facts = with.facts;
     this.policy = with.policy;
-    this.claims = with.claims;
+    this.election = with.election;
     this.peers = with.peers;
     this.cancellations = with.cancellations;
     this.images = with.images;
@@ -136,12 +136,12 @@
             LeaderElection.key(shard),
             token,
             facts.writeGapMs(with.layout.shards()),
-            () -> claims.lose(shard),
+            () -> election.lose(shard),
             this::afterWrite);
     this.pages = new PagedStore(JobRecord.pages(shard), facts.valueBytes(), with.store.opsLimit());
     this.board = new JobRegistry(name -> teamHere(with.layout, name), committer, pages);
     this.fleet = new Fleet(loop, with.cloud, catalog, shard, token, this);
-    this.strays = new OrphanedMachines(loop, with.store, fleet, with.layout.shards());
+    this.orphanedMachines = new OrphanedMachines(loop, with.store, fleet, with.layout.shards());
     this.watch = new MachineHealth(fleet, catalog.zones().size(), facts.reportS(), facts.leaseS());
     this.loans =
         new MachineTransfers(shard, loop, fleet, guaranteedCores(with.layout), with.lender);
@@ -252,7 +252,7 @@
     closed = true;
     committer.close();
     fleet.close();
-    strays.close();
+    orphanedMachines.close();
     reports.close();
   }
 
@@ -383,7 +383,7 @@
   /** A machine that no shard knows; only the first shard's owner takes them in. */
   public void stray(WorkerMessages.Heartbeat r) {
     if (ready() && mayAct()) {
-      strays.note(r.machine(), new OrphanedMachine(r.type(), r.zone(), r.spot()));
+      orphanedMachines.note(r.machine(), new OrphanedMachine(r.type(), r.zone(), r.spot()));
     }
   }
 
@@ -467,7 +467,7 @@
 
   @Override
   public boolean mayAct() {
-    return ready() && claims.owns(shard) && claims.surelyHeld();
+    return ready() && election.owns(shard) && election.surelyHeld();
   }
 
   @Override
@@ -492,8 +492,8 @@
       if (sureSinceMs < 0) {
         sureSinceMs = now;
       }
-      if (watch.lostWorkers(now, Math.max(sureSinceMs, claims.heardMs()))) {
-        claims.leaveToOthers(shard);
+      if (watch.lostWorkers(now, Math.max(sureSinceMs, election.heardMs()))) {
+        election.leaveToOthers(shard);
       }
       if (zoneMonitor != null) {
         zoneMonitor.look(now, sureSinceMs);
@@ -515,7 +515,7 @@
       }
       if (shard == 0 && now - lastCheckMs >= 2_000 * facts.listLagS()) {
         lastCheckMs = now;
-        fleet.check((long) (8_000 * facts.listLagS()), directory::knows, strays::note);
+        fleet.check((long) (8_000 * facts.listLagS()), directory::knows, orphanedMachines::note);
       }
     } else {
       sureSinceMs = -1;
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -76,11 +76,11 @@
       List<List<Placement>> running) {
     // Everything not proved gone counts, wherever it is.
     double[] cores = TeamUsage.cores(board.all(), facts.teams().size());
-    double[] cards = TeamUsage.cards(board.all(), facts.teams().size());
+    double[] gpus = TeamUsage.gpus(board.all(), facts.teams().size());
     List<Snapshot.Team> teams = new ArrayList<>();
     for (int i = 0; i < cores.length; i++) {
       DeploymentSpec.TeamQuota t = facts.teams().get(i);
-      teams.add(new Snapshot.Team(t.coresMost(), t.cardsMost(), cores[i], cards[i]));
+      teams.add(new Snapshot.Team(t.maxCores(), t.maxGpus(), cores[i], gpus[i]));
     }
     Object2IntOpenHashMap<String> roomOf = new Object2IntOpenHashMap<>();
     List<Snapshot.MachineCapacity> rooms = new ArrayList<>();
@@ -135,14 +135,14 @@
     List<Job> jobs = new ArrayList<>(board.all());
     jobs.sort(Comparator.comparingLong(j -> j.submittedWallMs()));
     double[] cores = new double[facts.teams().size()];
-    double[] cards = new double[cores.length];
+    double[] gpus = new double[cores.length];
     Set<Job> all = new HashSet<>();
     for (Job j : jobs) {
       int open = j.waitingCount() + j.placements().size();
       cores[j.team()] += open * j.spec().cores();
-      cards[j.team()] += open * j.spec().cards();
+      gpus[j.team()] += open * j.spec().gpus();
       DeploymentSpec.TeamQuota t = facts.teams().get(j.team());
-      if (cores[j.team()] <= t.cores() + 1e-6 && cards[j.team()] <= t.cards() + 1e-6) {
+      if (cores[j.team()] <= t.cores() + 1e-6 && gpus[j.team()] <= t.gpus() + 1e-6) {
         all.add(j);
       }
     }
@@ -151,7 +151,7 @@
 
   private Snapshot.MachineCapacity room(Machine m, List<Placement> on, long now) {
     MachineType t = m.type();
-    Snapshot.Size free = new Snapshot.Size(t.cores(), t.cards(), t.ram());
+    Snapshot.Size free = new Snapshot.Size(t.cores(), t.gpus(), t.memoryGb());
     List<Snapshot.Running> running = new ArrayList<>();
     for (Placement p : on) {
       Snapshot.Size size = size(p.job());
@@ -210,7 +210,7 @@
         p.spot(),
         false,
         0,
-        new Snapshot.Size(t.cores(), t.cards(), t.ram()),
+        new Snapshot.Size(t.cores(), t.gpus(), t.memoryGb()),
         ready,
         false,
         ready,
@@ -222,7 +222,7 @@
   }
 
   private static Snapshot.Size size(Job j) {
-    return new Snapshot.Size(j.spec().cores(), j.spec().cards(), j.spec().ram());
+    return new Snapshot.Size(j.spec().cores(), j.spec().gpus(), j.spec().memoryGb());
   }
 
   private long expectedEnd(Placement p, MachineType t, long now) {
--- a/src/main/java/dev/windbend/shard/TeamUsage.java
+++ b/src/main/java/dev/windbend/shard/TeamUsage.java
@@ -12,8 +12,8 @@
     return sum(jobs, teams, job -> job.spec().cores());
   }
 
-  static double[] cards(Collection<Job> jobs, int teams) {
-    return sum(jobs, teams, job -> job.spec().cards());
+  static double[] gpus(Collection<Job> jobs, int teams) {
+    return sum(jobs, teams, job -> job.spec().gpus());
   }
 
   private static double[] sum(Collection<Job> jobs, int teams, ToDoubleFunction<Job> ofOneTask) {
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -25,7 +25,7 @@
 
   private final EventLoop loop;
   private final Fleet fleet;
-  private final TaskReconciler desk;
+  private final TaskReconciler reconciler;
   private final DirectStopClient directStops;
   private final Host host;
   private final long token;
@@ -58,7 +58,7 @@
   public HeartbeatHandler(
       EventLoop loop,
       Fleet fleet,
-      TaskReconciler desk,
+      TaskReconciler reconciler,
       DirectStopClient directStops,
       Host host,
       long token,
@@ -67,7 +67,7 @@
       double idleHold) {
     this.loop = loop;
     this.fleet = fleet;
-    this.desk = desk;
+    this.reconciler = reconciler;
     this.directStops = directStops;
     this.host = host;
     this.token = token;
@@ -118,7 +118,7 @@
     boolean free = m.tasks().isEmpty();
     int before = m.tasks().size();
     m.beginAwaitingResponse();
-    desk.absorb(m, r, now);
+    reconciler.absorb(m, r, now);
     if (m.recallMs() >= 0) {
       drain(m, now);
     }
@@ -127,7 +127,7 @@
     }
     if (writePending(m)) {
       await(new Waiting(m, r, now + LONGEST_HOLD_MS, false, done));
-    } else if (hasRoom(m) && desk.orders(m, r, false).isEmpty() && !startPending(m)) {
+    } else if (hasRoom(m) && reconciler.orders(m, r, false).isEmpty() && !startPending(m)) {
       // With room and nothing to do, it hears of new work at once instead of at its next report.
       await(new Waiting(m, r, now + idleHoldMs, true, done));
     } else {
@@ -148,7 +148,7 @@
     if (r.shift() > m.incarnation()) {
       missed |= m.confirmedUnderToken() && now - m.lastHeartbeatMs() < leaseMs / 2;
     } else {
-      missed |= desk.startMissing(m, r);
+      missed |= reconciler.startMissing(m, r);
     }
     if (missed) {
       m.recordMissedResponse();
@@ -184,7 +184,7 @@
    */
   private ServerResponse unsure(Machine m, WorkerMessages.Heartbeat r) {
     return host.mayAct() || host.mayKeepWorkers()
-        ? answer(m, desk.cancelledStops(r))
+        ? answer(m, reconciler.cancelledStops(r))
         : ServerResponse.ofStatus(503);
   }
 
@@ -234,7 +234,7 @@
     w.done()
         .accept(
             newest && act
-                ? answer(m, desk.orders(m, w.report(), mayStart))
+                ? answer(m, reconciler.orders(m, w.report(), mayStart))
                 : unsure(m, w.report()));
   }
 
--- a/src/test/java/dev/windbend/daemon/BehaviourTrace.java
+++ b/src/test/java/dev/windbend/daemon/BehaviourTrace.java
@@ -229,13 +229,13 @@
   }
 
   /** A job that can't be accepted. */
-  private static String job(String team, int cores, int cards) {
+  private static String job(String team, int cores, int gpus) {
     return ("{\"uid\":\"wk-999997\",\"fleet\":\"f\",\"crew\":\"%s\",\"shape\":\"batch\","
             + "\"urgency\":\"standard\",\"drops\":1,\"cores\":%d.0,\"cards\":%d.0,\"ram_gb\":1.0,"
             + "\"load\":\"img\",\"pull_gb\":0.1,\"yard\":null,\"together\":false,"
             + "\"spread\":false,\"standby\":false,\"due_s\":null,\"haul_s\":6.0,"
             + "\"waypoint_s\":0.0,\"stow_s\":0.0}")
-        .formatted(team, cores, cards);
+        .formatted(team, cores, gpus);
   }
 
   private static void ask(
--- a/src/test/java/dev/windbend/daemon/SettingsTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsTest.java
@@ -46,7 +46,7 @@
   void readsThePlatformsFileAndIgnoresWhatItDoesNotKnow() throws Settings.Invalid {
     Settings s = Settings.parse(GOOD);
     assertThat(s.node()).isEqualTo("mast-0");
-    assertThat(s.facts().teams().get(0).coresMost()).isEqualTo(2);
+    assertThat(s.facts().teams().get(0).maxCores()).isEqualTo(2);
     assertThat(s.peers()).isEmpty();
   }
 
@@ -78,8 +78,8 @@
         Settings.parse(
             GOOD.replace("cpus = 1.0", "cpus = 0.0").replace("_max = 2.0", "_max = 0.0"));
     assertThat(s.facts().teams().get(0).cores()).isZero();
-    assertThat(s.facts().teams().get(0).coresMost()).isInfinite();
-    assertThat(s.facts().teams().get(0).cardsMost()).isInfinite();
+    assertThat(s.facts().teams().get(0).maxCores()).isInfinite();
+    assertThat(s.facts().teams().get(0).maxGpus()).isInfinite();
   }
 
   @Test
