--- a/src/test/java/dev/windbend/daemon/BehaviourTrace.java
+++ b/src/test/java/dev/windbend/daemon/BehaviourTrace.java
@@ -152,7 +152,7 @@
       long dayMs,
       LongFunction<SimulatedCluster> cluster) {
     for (Arguments row : rows.toList()) {
-      Consumer<SimulatedCluster> troubles = troubles(row, 1);
+      Consumer<SimulatedCluster> troubles = troubles(row);
       all.add(
           new Day(
               name(all, table),
@@ -170,7 +170,7 @@
   /** Cancellations that meet an outage; long tasks, and an owner chosen in the middle. */
   private static void addGaps(List<Day> all) {
     for (Arguments row : ConcurrentFaultsTest.gaps().toList()) {
-      BiConsumer<SimulatedCluster, String> troubles = troubles(row, 2);
+      BiConsumer<SimulatedCluster, String> troubles = troubles(row);
       all.add(
           new Day(
               name(all, "gaps"),
@@ -193,8 +193,9 @@
   }
 
   @SuppressWarnings("unchecked")
-  private static <T> T troubles(Arguments row, int column) {
-    return (T) row.get()[column];
+  private static <T> T troubles(Arguments row) {
+    Object[] columns = row.get();
+    return (T) columns[columns.length - 1];
   }
 
   // ---- visits
--- a/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
+++ b/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
@@ -4,7 +4,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dev.windbend.runtime.ClientResponse;
-import dev.windbend.runtime.HttpClient;
 import dev.windbend.runtime.HttpServer;
 import dev.windbend.runtime.ServerRequest;
 import dev.windbend.runtime.ServerResponse;
