--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -1,5 +1,6 @@
 package dev.windbend.daemon;
 
+import dev.windbend.job.Admission;
 import dev.windbend.job.Cancellations;
 import dev.windbend.job.JobHandler;
 import dev.windbend.job.JobProgress;
@@ -127,7 +128,7 @@
             progress,
             cancellations,
             peers::tell,
-            this::judge,
+            this::decide,
             this::waitsFor);
     DirectStopClient directStops = new DirectStopClient(loop, web, f.workers().reportS());
     this.transferClient =
@@ -354,18 +355,17 @@
     return all;
   }
 
-  /** Null: can't tell before the machine types are known. */
-  private JobHandler.Verdict judge(JobSpec spec) {
+  private Admission decide(JobSpec spec) {
     int team = layout.team(spec.team());
     if (team < 0) {
-      return new JobHandler.Verdict("unknown team");
+      return new Admission.Rejected("unknown team");
     }
     if (!catalog.known()) {
-      return null;
+      return Admission.UNDECIDED;
     }
     Settings.Team t = settings.facts().teams().get(team);
     if (spec.cores() > t.maxCores() + 1e-9 || spec.gpus() > t.maxGpus() + 1e-9) {
-      return new JobHandler.Verdict("one task is over the team's limit");
+      return new Admission.Rejected("one task is over the team's limit");
     }
     for (MachineType type : catalog.all()) {
       boolean named = spec.types() == null || spec.types().contains(type.name());
@@ -374,10 +374,10 @@
               || (catalog.zones().find(spec.zone()) >= 0
                   && type.in(catalog.zones().find(spec.zone())));
       if (named && there && type.fits(spec.cores(), spec.gpus(), spec.memoryGb())) {
-        return new JobHandler.Verdict(null);
+        return Admission.ADMITTED;
       }
     }
-    return new JobHandler.Verdict("a task fits no allowed machine type");
+    return new Admission.Rejected("a task fits no allowed machine type");
   }
 
   // ---- workers
--- a/src/main/java/dev/windbend/job/JobHandler.java
+++ b/src/main/java/dev/windbend/job/JobHandler.java
@@ -28,7 +28,7 @@
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final Fitness fitness;
+  private final AdmissionPolicy admission;
   private final ArrayDeque<Accepting> accepting = new ArrayDeque<>();
   private final JobLookup lookup;
   private final JobProgress progress;
@@ -37,14 +37,6 @@
   private final Function<JobSpec, String> waitsFor;
   private boolean writing;
 
-  /** Says whether a job could ever run; null if that can't be told yet. */
-  public interface Fitness {
-    Verdict judge(JobSpec spec);
-  }
-
-  /** Why a job can never run; null: it can. */
-  public record Verdict(String never) {}
-
   private record Accepting(JobRecord.Live record, Consumer<ServerResponse> done) {}
 
   /**
@@ -59,7 +51,7 @@
       JobProgress progress,
       Cancellations cancellations,
       Consumer<Cancellations.Cancelled> tellOthers,
-      Fitness fitness,
+      AdmissionPolicy admission,
       Function<JobSpec, String> waitsFor) {
     this.loop = loop;
     this.store = store;
@@ -67,7 +59,7 @@
     this.progress = progress;
     this.cancellations = cancellations;
     this.tellOthers = tellOthers;
-    this.fitness = fitness;
+    this.admission = admission;
     this.waitsFor = waitsFor;
   }
 
@@ -112,30 +104,34 @@
       done.accept(problem(400, e.getMessage()));
       return;
     }
-    Verdict verdict = fitness.judge(spec);
-    if (verdict == null) {
+    Admission decision = admission.decide(spec);
+    if (decision instanceof Admission.Undecided) {
       done.accept(ServerResponse.retryAfter(1));
       return;
     }
-    if (verdict.never() != null) {
-      // It may have been accepted when the machine types or teams were others: then it stands.
-      lookup.find(
-          spec.uid(),
-          found -> {
-            if (!found.sure()) {
-              done.accept(ServerResponse.retryAfter(1));
-            } else if (found.live() == null && found.over() == null) {
-              done.accept(problem(422, verdict.never()));
-            } else {
-              done.accept(status(spec.uid(), found));
-            }
-          });
+    if (decision instanceof Admission.Rejected rejected) {
+      reject(spec.uid(), rejected, done);
       return;
     }
     accepting.add(new Accepting(new JobRecord.Live(spec, loop.wallMs(), false), done));
     write();
   }
 
+  /** A job accepted when the machine types or the teams were others stays accepted. */
+  private void reject(String uid, Admission.Rejected rejected, Consumer<ServerResponse> done) {
+    lookup.find(
+        uid,
+        found -> {
+          if (!found.sure()) {
+            done.accept(ServerResponse.retryAfter(1));
+          } else if (found.live() == null && found.over() == null) {
+            done.accept(problem(422, rejected.reason()));
+          } else {
+            done.accept(status(uid, found));
+          }
+        });
+  }
+
   /** Group commit: all that came while the last write was under way goes together. */
   private void write() {
     if (writing || accepting.isEmpty()) {
--- a/src/main/java/dev/windbend/overload/ConcurrencyLimiter.java
+++ b/src/main/java/dev/windbend/overload/ConcurrencyLimiter.java
@@ -3,6 +3,7 @@
 import com.netflix.concurrency.limits.Limit;
 import com.netflix.concurrency.limits.limit.Gradient2Limit;
 import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.RequestHandler;
 import dev.windbend.runtime.ServerRequest;
 import dev.windbend.runtime.ServerResponse;
@@ -11,53 +12,71 @@
 import java.util.function.Predicate;
 
 /**
- * Limits the users' requests in progress; the limit adapts to the times they take. What is over it
- * is answered at once, with when to come back. New submissions get a part of it only: questions
- * about accepted jobs and cancellations go ahead of them.
+ * Limits the users' requests in progress; the limit adapts to their response times. A request over
+ * it is answered at once with 503 and when to retry. Submissions get a part of the limit only, so
+ * that requests on accepted jobs, cancellations among them, go ahead of them.
  */
 public final class ConcurrencyLimiter {
-  private static final int FIRST = 40;
-  private static final int LEAST = 8;
-  private static final int MOST = 200;
-  private static final double FOR_NEW = 0.7;
+  private static final int INITIAL_LIMIT = 40;
+  private static final int MIN_LIMIT = 8;
+  private static final int MAX_LIMIT = 200;
+  private static final double SUBMISSIONS_SHARE = 0.7;
+  private static final int RETRY_AFTER_SECONDS = 1;
 
   private final EventLoop loop;
-  private final Predicate<ServerRequest> isNew;
-  private final RequestHandler inner;
+  private final Predicate<ServerRequest> isSubmission;
+  private final RequestHandler handler;
   private final Limit limit =
-      Gradient2Limit.newBuilder().initialLimit(FIRST).minLimit(LEAST).maxConcurrency(MOST).build();
+      Gradient2Limit.newBuilder()
+          .initialLimit(INITIAL_LIMIT)
+          .minLimit(MIN_LIMIT)
+          .maxConcurrency(MAX_LIMIT)
+          .build();
   private int inProgress;
 
-  public ConcurrencyLimiter(EventLoop loop, Predicate<ServerRequest> isNew, RequestHandler inner) {
+  /**
+   * A limiter in front of a handler.
+   *
+   * @param isSubmission whether a request submits a job
+   * @param handler handles the requests within the limit
+   */
+  public ConcurrencyLimiter(
+      EventLoop loop, Predicate<ServerRequest> isSubmission, RequestHandler handler) {
     this.loop = loop;
-    this.isNew = isNew;
-    this.inner = inner;
+    this.isSubmission = isSubmission;
+    this.handler = handler;
   }
 
+  /** How many requests may be in progress now. */
   public int limit() {
     return limit.getLimit();
   }
 
+  /**
+   * Hands the request on, or answers that it is over the limit.
+   *
+   * @param done takes the response; called exactly once, now or later
+   */
   public void handle(ServerRequest request, Consumer<ServerResponse> done) {
-    if (inProgress >= limit.getLimit() * (isNew.test(request) ? FOR_NEW : 1)) {
-      done.accept(ServerResponse.retryAfter(1));
+    if (inProgress >= limit.getLimit() * (isSubmission.test(request) ? SUBMISSIONS_SHARE : 1)) {
+      done.accept(ServerResponse.retryAfter(RETRY_AFTER_SECONDS));
       return;
     }
-    int now = ++inProgress;
-    long start = nanos();
-    inner.handle(
+    int concurrency = ++inProgress;
+    long startNs = nowNs();
+    handler.handle(
         request,
-        answer -> {
+        response -> {
           inProgress--;
-          // An outage is not load: its 503s say nothing about how much we can take.
-          if (answer.status() != 503) {
-            limit.onSample(start, Math.max(1, nanos() - start), now, false);
+          // In an outage of the state service, response times say nothing about overload.
+          if (response.status() != HttpStatus.SERVICE_UNAVAILABLE) {
+            limit.onSample(startNs, Math.max(1, nowNs() - startNs), concurrency, false);
           }
-          done.accept(answer);
+          done.accept(response);
         });
   }
 
-  private long nanos() {
+  private long nowNs() {
     return TimeUnit.MILLISECONDS.toNanos(loop.nowMs());
   }
 }
--- /dev/null
+++ b/src/main/java/dev/windbend/overload/package-info.java
@@ -0,0 +1,2 @@
+/** Overload protection: limits the users' requests in progress by their response times. */
+package dev.windbend.overload;
--- a/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
+++ b/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
@@ -14,7 +14,7 @@
 class ConcurrencyLimiterTest {
   private final ManualEventLoop loop = new ManualEventLoop(0);
   private final ArrayDeque<Consumer<ServerResponse>> open = new ArrayDeque<>();
-  private final ConcurrencyLimiter gate =
+  private final ConcurrencyLimiter limiter =
       new ConcurrencyLimiter(
           loop, r -> r.method().equals("POST"), (request, done) -> open.add(done));
   private final ServerRequest request = new ServerRequest("GET", "/", Map.of(), new byte[0]);
@@ -26,10 +26,10 @@
 
   @Test
   void answersAtOnceWhatIsOverTheLimitAndSaysWhenToComeBack() {
-    int limit = gate.limit();
+    int limit = limiter.limit();
     int[] refused = {0};
     for (int i = 0; i < limit + 5; i++) {
-      gate.handle(
+      limiter.handle(
           request,
           a -> {
             assertThat(a.retryAfterS()).isPositive();
@@ -44,11 +44,11 @@
   void questionsGoAheadOfNewSubmissions() {
     ServerRequest submission = new ServerRequest("POST", "/", Map.of(), new byte[0]);
     int[] refused = {0};
-    for (int i = 0; i < gate.limit(); i++) {
-      gate.handle(submission, a -> refused[0]++);
+    for (int i = 0; i < limiter.limit(); i++) {
+      limiter.handle(submission, a -> refused[0]++);
     }
     assertThat(refused[0]).isPositive();
-    gate.handle(request, a -> refused[0] = -1);
+    limiter.handle(request, a -> refused[0] = -1);
     assertThat(refused[0]).isPositive();
   }
 
@@ -57,19 +57,19 @@
     for (int i = 0; i < 300; i++) {
       serve(10);
     }
-    int before = gate.limit();
+    int before = limiter.limit();
     int least = before;
     for (int i = 0; i < 30; i++) {
       serve(2_000);
-      least = Math.min(least, gate.limit());
+      least = Math.min(least, limiter.limit());
     }
     assertThat(least).isLessThan(before);
   }
 
   private void serve(long ms) {
-    int n = gate.limit();
+    int n = limiter.limit();
     for (int i = 0; i < n; i++) {
-      gate.handle(request, a -> {});
+      limiter.handle(request, a -> {});
     }
     loop.nowMs += ms;
     while (!open.isEmpty()) {
