--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -13,6 +13,7 @@
 import dev.windbend.machine.ScaleOutRecord;
 import dev.windbend.overload.ConcurrencyLimiter;
 import dev.windbend.peer.MachineTransferClient;
+import dev.windbend.peer.MachineTransferMessages;
 import dev.windbend.peer.Peers;
 import dev.windbend.plan.Estimates;
 import dev.windbend.runtime.EventLoop;
@@ -22,7 +23,6 @@
 import dev.windbend.runtime.ServerResponse;
 import dev.windbend.shard.DeploymentSpec;
 import dev.windbend.shard.LeaderElection;
-import dev.windbend.shard.MachineRequest;
 import dev.windbend.shard.Policy;
 import dev.windbend.shard.ShardLayout;
 import dev.windbend.shard.ShardLeader;
@@ -132,7 +132,8 @@
             this::waitsFor);
     DirectStopClient directStops = new DirectStopClient(loop, web, f.workers().reportS());
     this.transferClient =
-        new MachineTransferClient(web, layout.shards(), election::owner, peerAddresses, this::lend);
+        new MachineTransferClient(
+            web, layout.shards(), election::leaderOf, peerAddresses, this::transfer);
     DeploymentSpec facts = facts(settings, size);
     this.gate = new ConcurrencyLimiter(loop, JobHandler::submits, door::handle);
     replica.listen(directory::changed);
@@ -165,7 +166,7 @@
     Gauge.builder(
             "windbend.waiting.oldest.s",
             owners,
-            all -> all.values().stream().mapToInt(ShardLeader::oldestWaitS).max().orElse(0))
+            all -> all.values().stream().mapToInt(ShardLeader::oldestWaitSeconds).max().orElse(0))
         .register(meters);
     Gauge.builder("windbend.store.failing.ms", store, StoreClient::failingForMs).register(meters);
   }
@@ -223,14 +224,14 @@
   // ---- ownership
 
   @Override
-  public void won(int shard, long token) {
+  public void elected(int shard, long token) {
     ShardLeader o = new ShardLeader(shard, token, shared);
     owners.put(shard, o);
     o.start();
   }
 
   @Override
-  public void lost(int shard) {
+  public void deposed(int shard) {
     ShardLeader o = owners.remove(shard);
     if (o != null) {
       o.close();
@@ -238,9 +239,10 @@
   }
 
   /** An owner elsewhere, or of another shard here, lacks machines. Null: the shard is not ours. */
-  private MachineRequest.Reply lend(int from, int to, MachineRequest request) {
+  private MachineTransferMessages.Reply transfer(
+      int from, int to, MachineTransferMessages.Request request) {
     ShardLeader o = owners.get(from);
-    return o == null ? null : o.lend(to, request);
+    return o == null ? null : o.transfer(to, request);
   }
 
   /** Confirmed to its user by some node. */
@@ -256,7 +258,7 @@
       }
     } else if (key.startsWith(ScaleOutRecord.KEYS)) {
       for (ShardLeader o : List.copyOf(owners.values())) {
-        o.hireChanged(key, now);
+        o.machinesChanged(key, now);
       }
     }
   }
@@ -393,11 +395,11 @@
       done.accept(ServerResponse.ofStatus(400));
       return;
     }
-    election.heardWorker();
+    election.recordWorkerContact();
     int shard = directory.shardOf(r.machine());
     for (ShardLeader o : owners.values()) {
-      if (o.ready() && o.has(r.machine())) {
-        o.report(r, done);
+      if (o.ready() && o.hasMachine(r.machine())) {
+        o.handleHeartbeat(r, done);
         return;
       }
     }
@@ -406,7 +408,7 @@
     int home = Math.max(shard, 0);
     ShardLeader mine = owners.get(home);
     if (mine == null) {
-      String owner = election.owner(home);
+      String owner = election.leaderOf(home);
       done.accept(
           owner == null || owner.equals(settings.node())
               ? ServerResponse.ofStatus(503)
@@ -414,7 +416,7 @@
       return;
     }
     if (shard < 0 && !directory.knew(r.machine())) {
-      mine.stray(r);
+      mine.noteOrphan(r);
     }
     done.accept(ServerResponse.ofStatus(503));
   }
--- a/src/main/java/dev/windbend/machine/Fleet.java
+++ b/src/main/java/dev/windbend/machine/Fleet.java
@@ -33,7 +33,7 @@
   private final MachineTypeCatalog catalog;
   private final int shard;
   private final long token;
-  private final Host host;
+  private final Listener listener;
   private final Map<String, ScaleOutRequest> hires = new LinkedHashMap<>();
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Set<Machine> leaving = new LinkedHashSet<>();
@@ -51,16 +51,18 @@
   private boolean givingBack;
   private boolean closed;
 
-  /** What the fleet needs of its owner. */
-  public interface Host {
-    void touch(PendingWrite unit);
+  /** Hears of changes of the fleet, and says whether it may act. */
+  public interface Listener {
+    /** A record of machines differs from what is stored, and is to be written. */
+    void recordChanged(PendingWrite record);
 
     /** The cloud has confirmed: the machine and all that was on it are gone. */
-    void gone(Machine machine);
+    void machineGone(Machine machine);
 
     /** New machines are on their way, or a rental was refused. */
     void fleetChanged();
 
+    /** Whether this controller certainly leads the shard. */
     boolean mayAct();
   }
 
@@ -70,13 +72,13 @@
       MachineTypeCatalog catalog,
       int shard,
       long token,
-      Host host) {
+      Listener listener) {
     this.loop = loop;
     this.cloud = cloud;
     this.catalog = catalog;
     this.shard = shard;
     this.token = token;
-    this.host = host;
+    this.listener = listener;
   }
 
   public void close() {
@@ -118,7 +120,7 @@
     }
     if (h.machines.size() < record.machines().size()) {
       h.changed(loop.nowMs(), false);
-      host.touch(h);
+      listener.recordChanged(h);
       afterWrite();
     }
   }
@@ -191,7 +193,7 @@
                   null,
                   null),
               0);
-      host.touch(h);
+      listener.recordChanged(h);
       LOG.info(
           "renting {}: {} {} in {} spot={}",
           name,
@@ -234,7 +236,7 @@
 
   private void grant(ScaleOutRecord record, int to, Runnable done) {
     String key = ScaleOutRecord.prefix(to) + "g" + shard + "-" + token + "-" + ++sequence;
-    host.touch(new TransferRecord(key, record, done));
+    listener.recordChanged(new TransferRecord(key, record, done));
   }
 
   /** Takes note of what has been written: machines given away, rentals that are complete. */
@@ -251,7 +253,7 @@
       left.put(m.name(), m.hire.fence);
     }
     m.hire.without(m, loop.nowMs());
-    host.touch(m.hire);
+    listener.recordChanged(m.hire);
   }
 
   public void giveBack(Machine m, String why) {
@@ -281,7 +283,7 @@
 
   /** Pursues what is under way: rentals to ask, machines to give back. */
   public void pursue() {
-    if (closed || !host.mayAct()) {
+    if (closed || !listener.mayAct()) {
       return;
     }
     for (ScaleOutRequest h : List.copyOf(hires.values())) {
@@ -300,7 +302,7 @@
       givingBack = true;
       cloud.giveBack(
           batch.stream().map(m -> m.name()).toList(),
-          () -> !closed && host.mayAct(),
+          () -> !closed && listener.mayAct(),
           ok -> {
             if (closed) {
               return;
@@ -325,7 +327,7 @@
     leaving.remove(m);
     m.recordGone();
     leave(m);
-    host.gone(m);
+    listener.machineGone(m);
   }
 
   private void ask(ScaleOutRequest h) {
@@ -347,20 +349,20 @@
                 }
               }
               h.answered(loop.nowMs());
-              host.touch(h);
+              listener.recordChanged(h);
               if (names.size() < h.asked.count()) {
                 refuse(h);
               } else {
                 scarce.remove(kind(h));
               }
               afterWrite();
-              host.fleetChanged();
+              listener.fleetChanged();
             }
             case REFUSED, MALFORMED -> {
               LOG.info("rental {}: {}", h.name, how);
               refuse(h);
               drop(h);
-              host.fleetChanged();
+              listener.fleetChanged();
             }
             default ->
                 // It may have been carried out: the same name again, until there is an answer.
@@ -386,7 +388,7 @@
   private void drop(ScaleOutRequest h) {
     hires.remove(h.name);
     h.finish(loop.nowMs());
-    host.touch(h);
+    listener.recordChanged(h);
   }
 
   /**
--- a/src/main/java/dev/windbend/peer/MachineTransferClient.java
+++ b/src/main/java/dev/windbend/peer/MachineTransferClient.java
@@ -1,107 +1,105 @@
 package dev.windbend.peer;
 
-import com.fasterxml.jackson.annotation.JsonProperty;
+import dev.windbend.peer.MachineTransferMessages.Reply;
+import dev.windbend.peer.MachineTransferMessages.Request;
+import dev.windbend.peer.MachineTransferMessages.Routed;
 import dev.windbend.runtime.HttpClient;
 import dev.windbend.runtime.Json;
 import dev.windbend.runtime.ServerRequest;
 import dev.windbend.runtime.ServerResponse;
-import dev.windbend.shard.MachineRequest;
-import dev.windbend.shard.ShardLeader;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
 
 /**
- * Asks the other shards' owners for machines, one after the other. The machines themselves change
+ * Asks the other shards' leaders for machines, one after the other. The machines themselves change
  * hands by their records in the state service, so a lost or repeated message does no harm.
  */
-public final class MachineTransferClient implements ShardLeader.Lender {
+public final class MachineTransferClient implements MachineRequester {
+  /** Where a controller takes requests of other controllers. */
   public static final String PATH = "/peer/lend";
+
   private static final long LIMIT_MS = 400;
 
   private final HttpClient web;
   private final int shards;
-  private final IntFunction<String> ownerOf;
+  private final IntFunction<String> leaderOf;
   private final Map<String, String> addresses;
-  private final Local local;
-
-  /** Lends from a shard owned here; null if it is not. */
-  public interface Local {
-    MachineRequest.Reply lend(int from, int to, MachineRequest request);
-  }
+  private final LocalShards local;
 
-  record Ask(
-      @JsonProperty("from") int from,
-      @JsonProperty("to") int to,
-      @JsonProperty("request") MachineRequest request) {
-    boolean valid(int shards) {
-      return request != null && request.count() >= 0 && to >= 0 && to < shards && from != to;
-    }
+  /** The shards that this controller leads. */
+  public interface LocalShards {
+    /**
+     * Transfers machines of one shard to another one.
+     *
+     * @return null: this controller doesn't lead the shard {@code from}
+     */
+    Reply transfer(int from, int to, Request request);
   }
 
+  /**
+   * Makes a client that asks other controllers, and local shards directly.
+   *
+   * @param leaderOf the name of a shard's leader; null: none is known
+   * @param addresses by name of the controller
+   */
   public MachineTransferClient(
       HttpClient web,
       int shards,
-      IntFunction<String> ownerOf,
+      IntFunction<String> leaderOf,
       Map<String, String> addresses,
-      Local local) {
+      LocalShards local) {
     this.web = web;
     this.shards = shards;
-    this.ownerOf = ownerOf;
+    this.leaderOf = leaderOf;
     this.addresses = addresses;
     this.local = local;
   }
 
   @Override
-  public void ask(int shard, MachineRequest request, Consumer<MachineRequest.Reply> done) {
-    next(shard, 1, request, MachineRequest.Reply.NOTHING, done);
+  public void request(int shard, Request request, Consumer<Reply> done) {
+    askNext(shard, 1, request, Reply.NONE, done);
   }
 
-  private void next(
-      int shard,
-      int step,
-      MachineRequest request,
-      MachineRequest.Reply soFar,
-      Consumer<MachineRequest.Reply> done) {
-    MachineRequest left = request.remaining(soFar);
+  private void askNext(int shard, int step, Request request, Reply soFar, Consumer<Reply> done) {
+    Request left = request.remaining(soFar);
     if (step >= shards || left == null) {
       done.accept(soFar);
       return;
     }
     int from = (shard + step) % shards;
-    Consumer<MachineRequest.Reply> then =
-        reply -> next(shard, step + 1, request, soFar.plus(reply), done);
-    MachineRequest.Reply here = local.lend(from, shard, left);
+    Consumer<Reply> then = reply -> askNext(shard, step + 1, request, soFar.plus(reply), done);
+    Reply here = local.transfer(from, shard, left);
     if (here != null) {
       then.accept(here);
       return;
     }
-    String owner = ownerOf.apply(from);
-    String address = owner == null ? null : addresses.get(owner);
+    String leader = leaderOf.apply(from);
+    String address = leader == null ? null : addresses.get(leader);
     if (address == null) {
-      then.accept(MachineRequest.Reply.NOTHING);
+      then.accept(Reply.NONE);
       return;
     }
     web.call(
         address,
         "POST",
         PATH,
-        Json.write(new Ask(from, shard, left)),
+        Json.write(new Routed(from, shard, left)),
         LIMIT_MS,
-        reply -> {
-          MachineRequest.Reply given =
-              reply.ok() ? Json.read(reply.body(), MachineRequest.Reply.class) : null;
-          then.accept(given == null ? MachineRequest.Reply.NOTHING : given);
+        response -> {
+          Reply given = response.ok() ? Json.read(response.body(), Reply.class) : null;
+          then.accept(given == null ? Reply.NONE : given);
         });
   }
 
+  /** Answers a request of another controller: 400 if it is malformed, else 200 with the reply. */
   public void serve(ServerRequest request, Consumer<ServerResponse> done) {
-    Ask ask = Json.read(request.body(), Ask.class);
-    if (ask == null || !ask.valid(shards)) {
+    Routed routed = Json.read(request.body(), Routed.class);
+    if (routed == null || !routed.valid(shards)) {
       done.accept(ServerResponse.ofStatus(400));
       return;
     }
-    MachineRequest.Reply given = local.lend(ask.from(), ask.to(), ask.request());
-    done.accept(ServerResponse.of(200, given == null ? MachineRequest.Reply.NOTHING : given));
+    Reply given = local.transfer(routed.from(), routed.to(), routed.request());
+    done.accept(ServerResponse.of(200, given == null ? Reply.NONE : given));
   }
 }
--- a/src/main/java/dev/windbend/shard/ControllerLease.java
+++ b/src/main/java/dev/windbend/shard/ControllerLease.java
@@ -74,7 +74,7 @@
   }
 
   /** The lease can't have ended, whatever the clocks do. */
-  boolean surelyHeld() {
+  boolean surelyValid() {
     return loop.nowMs() < validUntilMs;
   }
 
--- a/src/main/java/dev/windbend/shard/LeaderElection.java
+++ b/src/main/java/dev/windbend/shard/LeaderElection.java
@@ -1,8 +1,8 @@
 package dev.windbend.shard;
 
-import com.fasterxml.jackson.annotation.JsonProperty;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.Json;
+import dev.windbend.store.Outcome;
 import dev.windbend.store.Replica;
 import dev.windbend.store.StoreClient;
 import dev.windbend.store.TransactionBuilder;
@@ -12,200 +12,255 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who owns which shard. A claim is a key under the node's lease; its version is the token that
- * fences every owner's orders and writes.
+ * Elects a leader for each shard. A controller campaigns by writing a {@link ShardLeaderRecord}
+ * under its lease, on condition that there is none; the record's version is the fencing token of
+ * all orders and writes of that leader.
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
-  public static final String KEYS = "w/c/";
 
   private static final long STEP_MS = 250;
-  private static final long RANK_PAUSE_MS = 600;
-  private static final long LOAD_PAUSE_MS = 900;
+
+  /** How much later each next controller in a shard's order of preference campaigns. */
+  private static final long RANK_DELAY_MS = 600;
+
+  /** How much later a controller campaigns for each shard that it leads already. */
+  private static final long LOAD_DELAY_MS = 900;
+
+  private static final long LONG_AGO_MS = Long.MIN_VALUE / 2;
+  private static final long NOT_VACANT = -1;
+  private static final long NOT_LEADER = 0;
+
+  /** The version that a record must have which must not exist. */
+  private static final long ABSENT = 0;
 
   private final EventLoop loop;
   private final StoreClient store;
   private final Replica replica;
   private final ShardLayout layout;
-  private final String me;
+  private final String nodeName;
   private final ControllerLease lease;
-  private final long leaseMs;
+  private final long workerLeaseMs;
   private final Listener listener;
+
+  /** By shard: the fencing token, or {@link #NOT_LEADER}. */
   private final long[] tokens;
-  private final long[] freeSince;
-  private final boolean[] claiming;
-  private long heardMs = Long.MIN_VALUE / 2;
-  private long leftMs = Long.MIN_VALUE / 2;
 
-  /** Told when this node gains or loses a shard. */
+  /** By shard: since when it has no leader, or {@link #NOT_VACANT}. */
+  private final long[] vacantSinceMs;
+
+  /** By shard: a transaction on its record is under way. */
+  private final boolean[] writing;
+
+  private long lastWorkerContactMs = LONG_AGO_MS;
+  private long yieldedMs = LONG_AGO_MS;
+
+  /** Hears which shards this controller leads. */
   public interface Listener {
-    void won(int shard, long token);
+    /** This controller leads the shard now, under this fencing token. */
+    void elected(int shard, long token);
 
-    void lost(int shard);
+    /** It doesn't lead the shard any more. */
+    void deposed(int shard);
   }
 
-  record Claim(@JsonProperty("owner") String owner) {}
-
+  /**
+   * Makes an election that begins with {@link #start}.
+   *
+   * @param nodeName this controller's name
+   * @param leaseTermMs for how long the state service grants the lease that leadership is bound to
+   * @param workerLeaseMs for how long the lease of a worker's agent lasts
+   */
   public LeaderElection(
       EventLoop loop,
       StoreClient store,
       Replica replica,
       ShardLayout layout,
-      String me,
-      long termMs,
-      long leaseMs,
+      String nodeName,
+      long leaseTermMs,
+      long workerLeaseMs,
       Listener listener) {
     this.loop = loop;
     this.store = store;
     this.replica = replica;
     this.layout = layout;
-    this.me = me;
-    this.lease = new ControllerLease(loop, store, termMs, this::loseAll);
-    this.leaseMs = leaseMs;
+    this.nodeName = nodeName;
+    this.lease = new ControllerLease(loop, store, leaseTermMs, this::stepDownFromAll);
+    this.workerLeaseMs = workerLeaseMs;
     this.listener = listener;
     this.tokens = new long[layout.shards()];
-    this.freeSince = new long[layout.shards()];
-    this.claiming = new boolean[layout.shards()];
-    Arrays.fill(freeSince, -1);
+    this.vacantSinceMs = new long[layout.shards()];
+    this.writing = new boolean[layout.shards()];
+    Arrays.fill(vacantSinceMs, NOT_VACANT);
   }
 
+  /** Acquires the lease, and campaigns from then on wherever a leader is lacking. */
   public void start() {
     lease.acquire();
     step();
   }
 
-  static String key(int shard) {
-    return KEYS + shard;
+  /** The lease can't have expired, whatever the clocks do. */
+  public boolean leaseSurelyValid() {
+    return lease.surelyValid();
   }
 
-  /** Our lease can't have ended, whatever the clocks do. */
-  public boolean surelyHeld() {
-    return lease.surelyHeld();
+  /** Whether this controller was elected for the shard, and has not been deposed since. */
+  public boolean isLeader(int shard) {
+    return tokens[shard] != NOT_LEADER;
   }
 
-  public boolean owns(int shard) {
-    return tokens[shard] > 0;
+  /**
+   * The name of the shard's leader, as far as this controller knows.
+   *
+   * @return null: none is known
+   */
+  public String leaderOf(int shard) {
+    return leaderIn(replica.get(ShardLeaderRecord.key(shard)));
   }
 
-  /** The owner as far as this node knows; null: nobody. */
-  public String owner(int shard) {
-    VersionedValue s = replica.get(key(shard));
-    Claim c = s == null ? null : Json.read(s.value(), Claim.class);
-    return c == null ? null : c.owner();
+  private static String leaderIn(VersionedValue stored) {
+    ShardLeaderRecord leader =
+        stored == null ? null : Json.read(stored.value(), ShardLeaderRecord.class);
+    return leader == null ? null : leader.leader();
   }
 
-  private int owned() {
-    int n = 0;
-    for (long t : tokens) {
-      n += t > 0 ? 1 : 0;
+  /** Called when a write of the leader failed because its election is not valid any more. */
+  public void stepDown(int shard) {
+    if (isLeader(shard)) {
+      tokens[shard] = NOT_LEADER;
+      LOG.warn("leader deposed: shard={}", shard);
+      listener.deposed(shard);
     }
-    return n;
   }
 
-  private void loseAll() {
+  private void stepDownFromAll() {
     for (int shard = 0; shard < tokens.length; shard++) {
-      lose(shard);
-    }
-  }
-
-  /** Called by an owner whose write failed on its claim. */
-  public void lose(int shard) {
-    if (tokens[shard] > 0) {
-      tokens[shard] = 0;
-      LOG.warn("shard {} lost", shard);
-      listener.lost(shard);
+      stepDown(shard);
     }
   }
 
   /**
-   * Our workers do not reach us, though the state service does: another node may be reached, so it
-   * gets the shard. We claim none until a worker is heard again, or for a lease.
+   * Leaves the shard to another controller: its workers do not reach this one, though the state
+   * service does, and may reach another. This one campaigns for no shard until a worker reaches it
+   * again, or for the time of a worker's lease.
    */
-  public void leaveToOthers(int shard) {
+  public void yield(int shard) {
     long token = tokens[shard];
-    if (token > 0 && layout.nodes() > 1) {
-      LOG.warn("shard {} is left to others: no worker reaches us", shard);
-      leftMs = loop.nowMs();
-      lose(shard);
-      release(shard, token);
+    if (token != NOT_LEADER && layout.nodes() > 1) {
+      LOG.warn(
+          "leadership yielded: shard={} token={} cause=\"no worker reaches us\"", shard, token);
+      yieldedMs = loop.nowMs();
+      stepDown(shard);
+      resign(shard, token);
     }
   }
 
-  /** When any worker reached this node last. */
-  public long heardMs() {
-    return heardMs;
+  /** When any worker reached this controller last (steady clock). */
+  public long lastWorkerContactMs() {
+    return lastWorkerContactMs;
   }
 
-  public void heardWorker() {
-    heardMs = loop.nowMs();
-  }
-
-  private void release(int shard, long version) {
-    claiming[shard] = true;
-    store.commit(
-        new TransactionBuilder().when(key(shard), version).delete(key(shard)),
-        outcome -> claiming[shard] = false);
+  /** A worker has reached this controller. */
+  public void recordWorkerContact() {
+    lastWorkerContactMs = loop.nowMs();
   }
 
   private void step() {
     if (replica.synced()) {
-      for (int p = 0; p < tokens.length; p++) {
-        step(p);
+      for (int shard = 0; shard < tokens.length; shard++) {
+        step(shard);
       }
     }
     loop.after(STEP_MS, this::step);
   }
 
   private void step(int shard) {
-    VersionedValue s = replica.get(key(shard));
-    if (tokens[shard] > 0) {
-      boolean mine = s != null && s.version() == tokens[shard];
-      if (!mine && replica.revision() >= tokens[shard]) {
-        lose(shard);
+    VersionedValue stored = replica.get(ShardLeaderRecord.key(shard));
+    if (isLeader(shard)) {
+      confirmLeadership(shard, stored);
+    } else if (!writing[shard] && leaseSurelyValid()) {
+      if (yielding()) {
+        leaveVacant(shard, stored);
+      } else if (stored != null) {
+        reclaim(shard, stored);
+      } else {
+        campaignInTurn(shard);
       }
-      return;
     }
-    if (claiming[shard] || !surelyHeld()) {
-      return;
+  }
+
+  private void confirmLeadership(int shard, VersionedValue stored) {
+    boolean ours = stored != null && stored.version() == tokens[shard];
+    if (!ours && replica.revision() >= tokens[shard]) {
+      stepDown(shard);
     }
-    if (loop.nowMs() - leftMs < leaseMs && heardMs <= leftMs) {
-      freeSince[shard] = -1;
-      if (s != null && me.equals(owner(shard))) {
-        release(shard, s.version());
-      }
-      return;
+  }
+
+  private boolean yielding() {
+    return loop.nowMs() - yieldedMs < workerLeaseMs && lastWorkerContactMs <= yieldedMs;
+  }
+
+  private void leaveVacant(int shard, VersionedValue stored) {
+    vacantSinceMs[shard] = NOT_VACANT;
+    if (stored != null && nodeName.equals(leaderIn(stored))) {
+      resign(shard, stored.version());
     }
-    if (s != null) {
-      freeSince[shard] = -1;
-      if (me.equals(owner(shard))) {
-        // Ours from a former life, or from an answer that never came: retaken at once.
-        claim(shard, s.version());
-      }
-      return;
+  }
+
+  /** A record of ours is from before a restart, or its commit was never answered. */
+  private void reclaim(int shard, VersionedValue stored) {
+    vacantSinceMs[shard] = NOT_VACANT;
+    if (nodeName.equals(leaderIn(stored))) {
+      campaign(shard, stored.version());
     }
+  }
+
+  /** Controllers campaign one after the other, so that shards spread evenly over them. */
+  private void campaignInTurn(int shard) {
     long now = loop.nowMs();
-    if (freeSince[shard] < 0) {
-      freeSince[shard] = now;
+    if (vacantSinceMs[shard] == NOT_VACANT) {
+      vacantSinceMs[shard] = now;
+    }
+    long delayMs = RANK_DELAY_MS * layout.rank(shard, nodeName) + LOAD_DELAY_MS * shardsLed();
+    if (now - vacantSinceMs[shard] >= delayMs) {
+      campaign(shard, ABSENT);
+    }
+  }
+
+  private int shardsLed() {
+    int led = 0;
+    for (long token : tokens) {
+      led += token != NOT_LEADER ? 1 : 0;
     }
-    long pause = RANK_PAUSE_MS * layout.rank(shard, me) + LOAD_PAUSE_MS * owned();
-    if (now - freeSince[shard] >= pause) {
-      claim(shard, 0);
+    return led;
+  }
+
+  private void campaign(int shard, long expectedVersion) {
+    writing[shard] = true;
+    long leaseId = lease.id();
+    String key = ShardLeaderRecord.key(shard);
+    store.commit(
+        new TransactionBuilder()
+            .when(key, expectedVersion)
+            .putHeld(key, new ShardLeaderRecord(nodeName), leaseId),
+        outcome -> settleCampaign(shard, leaseId, outcome));
+  }
+
+  private void settleCampaign(int shard, long leaseId, Outcome outcome) {
+    writing[shard] = false;
+    vacantSinceMs[shard] = NOT_VACANT;
+    if (outcome.done() && lease.id() == leaseId) {
+      tokens[shard] = outcome.revision();
+      LOG.info("leader elected: shard={} token={}", shard, tokens[shard]);
+      listener.elected(shard, tokens[shard]);
     }
   }
 
-  private void claim(int shard, long version) {
-    claiming[shard] = true;
-    long id = lease.id();
+  private void resign(int shard, long version) {
+    writing[shard] = true;
+    String key = ShardLeaderRecord.key(shard);
     store.commit(
-        new TransactionBuilder().when(key(shard), version).putHeld(key(shard), new Claim(me), id),
-        outcome -> {
-          claiming[shard] = false;
-          freeSince[shard] = -1;
-          if (outcome.done() && lease.id() == id) {
-            tokens[shard] = outcome.revision();
-            LOG.info("shard {} won with token {}", shard, tokens[shard]);
-            listener.won(shard, tokens[shard]);
-          }
-        });
+        new TransactionBuilder().when(key, version).delete(key), outcome -> writing[shard] = false);
   }
 }
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -4,6 +4,8 @@
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.TaskRequirements;
+import dev.windbend.peer.MachineRequester;
+import dev.windbend.peer.MachineTransferMessages;
 import dev.windbend.runtime.EventLoop;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -39,7 +41,7 @@
   private final EventLoop loop;
   private final Fleet fleet;
   private final double guaranteedCores;
-  private final ShardLeader.Lender lender;
+  private final MachineRequester requester;
   private final List<Machine> spare = new ArrayList<>();
   private boolean asking;
   private long lastAskMs = Long.MIN_VALUE / 2;
@@ -47,30 +49,30 @@
   private long windowMs;
 
   MachineTransfers(
-      int shard, EventLoop loop, Fleet fleet, double guaranteedCores, ShardLeader.Lender lender) {
+      int shard, EventLoop loop, Fleet fleet, double guaranteedCores, MachineRequester requester) {
     this.shard = shard;
     this.loop = loop;
     this.fleet = fleet;
     this.guaranteedCores = guaranteedCores;
-    this.lender = lender;
+    this.requester = requester;
   }
 
-  boolean asking() {
+  boolean requestPending() {
     return asking;
   }
 
-  boolean mayAsk() {
+  boolean mayRequest() {
     return !asking && loop.nowMs() - lastAskMs >= ASK_GAP_MS;
   }
 
   /** What the last round left idle. */
-  void spare(List<Machine> machines) {
+  void setIdleMachines(List<Machine> machines) {
     spare.clear();
     spare.addAll(machines);
   }
 
   /** No machine is on its way for an overdue task. */
-  boolean mayAskForOverdue() {
+  boolean mayRequestForOverdue() {
     return loop.nowMs() - overdueServedMs >= OVERDUE_GAP_MS;
   }
 
@@ -79,11 +81,11 @@
    *
    * @param overdue tasks to get room for in any case; null: none
    */
-  void ask(
+  void request(
       double shortCores,
       double largest,
       boolean cloudHasMore,
-      MachineRequest.Overdue overdue,
+      MachineTransferMessages.Overdue overdue,
       IntConsumer given) {
     int count = (int) Math.ceil(shortCores / largest);
     double below = guaranteedCores - cores(m -> true);
@@ -95,8 +97,9 @@
     }
     asking = true;
     lastAskMs = loop.nowMs();
-    MachineRequest request = new MachineRequest(Math.min(MOST, count), has, overdue);
-    lender.ask(
+    MachineTransferMessages.Request request =
+        new MachineTransferMessages.Request(Math.min(MOST, count), has, overdue);
+    requester.request(
         shard,
         request,
         reply -> {
@@ -121,7 +124,7 @@
    * guarantees, some of the busy ones as soon as they are empty. For an overdue task it gets one
    * that has room for it, busy or not.
    */
-  MachineRequest.Reply lend(int to, MachineRequest request) {
+  MachineTransferMessages.Reply transfer(int to, MachineTransferMessages.Request request) {
     int count = request.count();
     List<Machine> given = new ArrayList<>();
     for (Machine m : spare) {
@@ -142,10 +145,10 @@
       // the asking one would end up with machines that it has no work for.
       coming = Math.min(count, coming + promised(to));
     }
-    return new MachineRequest.Reply(coming, overdueComing(to, request.overdue(), given));
+    return new MachineTransferMessages.Reply(coming, overdueComing(to, request.overdue(), given));
   }
 
-  private int overdueComing(int to, MachineRequest.Overdue overdue, List<Machine> given) {
+  private int overdueComing(int to, MachineTransferMessages.Overdue overdue, List<Machine> given) {
     if (overdue == null) {
       return 0;
     }
--- a/src/main/java/dev/windbend/shard/OverdueJobs.java
+++ b/src/main/java/dev/windbend/shard/OverdueJobs.java
@@ -7,6 +7,7 @@
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.machine.TaskRequirements;
+import dev.windbend.peer.MachineTransferMessages;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -39,7 +40,7 @@
   }
 
   /** One task of each overdue job that no machine of this shard has room for; null: none. */
-  MachineRequest.Overdue tasksWithoutRoom(long now) {
+  MachineTransferMessages.Overdue tasksWithoutRoom(long now) {
     Job longest = null;
     double cores = 0;
     double[] used = TeamUsage.cores(jobs.all(), facts.teams().size());
@@ -59,7 +60,7 @@
     }
     return longest == null
         ? null
-        : new MachineRequest.Overdue(
+        : new MachineTransferMessages.Overdue(
             requirements(longest), (int) Math.ceil(cores / catalog.largestCores()));
   }
 
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -7,6 +7,7 @@
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineType;
 import dev.windbend.machine.MachineTypeCatalog;
+import dev.windbend.peer.MachineTransferMessages;
 import dev.windbend.plan.Planner;
 import dev.windbend.plan.SchedulingDecision;
 import dev.windbend.plan.Snapshot;
@@ -152,7 +153,7 @@
     carryOut(wanted, now, works, rooms, running);
     if (partial) {
       // Machines that look idle may be needed by jobs that this round left out.
-      loans.spare(List.of());
+      loans.setIdleMachines(List.of());
     } else {
       spare(wanted.spare(), rooms);
     }
@@ -196,11 +197,11 @@
   private void getMachines(
       SchedulingDecision wanted, List<Snapshot.InstanceOffer> offers, long now) {
     // Looking for overdue jobs goes over all jobs and machines: only when others may be asked.
-    boolean mayAsk = loans.mayAsk();
-    MachineRequest.Overdue overdue =
-        mayAsk && loans.mayAskForOverdue() ? overdueJobs.tasksWithoutRoom(now) : null;
+    boolean mayAsk = loans.mayRequest();
+    MachineTransferMessages.Overdue overdue =
+        mayAsk && loans.mayRequestForOverdue() ? overdueJobs.tasksWithoutRoom(now) : null;
     if (mayAsk && (wanted.shortCores() > 0 || overdue != null)) {
-      loans.ask(
+      loans.request(
           wanted.shortCores(),
           catalog.largestCores(),
           !fleet.refusedSome(),
@@ -210,7 +211,7 @@
               rent(wanted.rentals(), offers, given);
             }
           });
-    } else if (!loans.asking()) {
+    } else if (!loans.requestPending()) {
       rent(wanted.rentals(), offers, 0);
     }
   }
@@ -250,7 +251,7 @@
     for (int i : indices) {
       spare.add(rooms.get(i));
     }
-    loans.spare(spare);
+    loans.setIdleMachines(spare);
   }
 
   private void rent(
--- a/src/main/java/dev/windbend/shard/ShardLeader.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -15,6 +15,8 @@
 import dev.windbend.machine.OrphanedMachine;
 import dev.windbend.machine.OrphanedMachines;
 import dev.windbend.machine.ScaleOutRecord;
+import dev.windbend.peer.MachineRequester;
+import dev.windbend.peer.MachineTransferMessages;
 import dev.windbend.peer.Peers;
 import dev.windbend.plan.Estimates;
 import dev.windbend.runtime.EventLoop;
@@ -47,7 +49,11 @@
  * One owned shard: its live jobs and machines, rebuilt from the records when it is won, and the
  * loops that look after them. It acts only while the claim is surely held.
  */
-public final class ShardLeader implements TaskReconciler.Book, Fleet.Host, HeartbeatHandler.Host {
+public final class ShardLeader
+    implements TaskReconciler.TaskEvents,
+        Fleet.Listener,
+        HeartbeatHandler.Leadership,
+        HeartbeatHandler.SchedulingTrigger {
   private static final Logger LOG = LoggerFactory.getLogger(ShardLeader.class);
   private static final long TICK_MS = 500;
 
@@ -89,11 +95,6 @@
   private long lastCheckMs;
   private long sureSinceMs = -1;
 
-  /** Asks the other shards' owners for machines; hands what is coming. */
-  public interface Lender {
-    void ask(int shard, MachineRequest request, Consumer<MachineRequest.Reply> done);
-  }
-
   /** What all shards of a node share. */
   public record Shared(
       EventLoop loop,
@@ -111,7 +112,7 @@
       DirectStopClient directStops,
       Estimates estimates,
       NameIndex images,
-      Lender lender,
+      MachineRequester transferRequester,
       String ownZone,
       ZoneMetrics zoneMetrics) {}
 
@@ -133,10 +134,10 @@
         new Committer(
             loop,
             with.store,
-            LeaderElection.key(shard),
+            ShardLeaderRecord.key(shard),
             token,
             facts.writeGapMs(with.layout.shards()),
-            () -> election.lose(shard),
+            () -> election.stepDown(shard),
             this::afterWrite);
     this.pages = new PagedStore(JobRecord.pages(shard), facts.valueBytes(), with.store.opsLimit());
     this.board = new JobRegistry(name -> teamHere(with.layout, name), committer, pages);
@@ -144,7 +145,8 @@
     this.orphanedMachines = new OrphanedMachines(loop, with.store, fleet, with.layout.shards());
     this.watch = new MachineHealth(fleet, catalog.zones().size(), facts.reportS(), facts.leaseS());
     this.loans =
-        new MachineTransfers(shard, loop, fleet, guaranteedCores(with.layout), with.lender);
+        new MachineTransfers(
+            shard, loop, fleet, guaranteedCores(with.layout), with.transferRequester);
     OverdueJobs overdueJobs = new OverdueJobs(catalog, facts, board, fleet);
     this.deadlines = new JobDeadlines(loop, catalog, facts, policy, with.estimates);
     this.zoneMonitor = policy.zones().enabled() ? zoneMonitor(with) : null;
@@ -175,6 +177,7 @@
             new TaskReconciler(this),
             with.directStops,
             this,
+            this,
             token,
             facts.reportS(),
             facts.leaseS(),
@@ -265,7 +268,7 @@
   }
 
   /** How old the oldest job with tasks that wait is, 0: none. */
-  public int oldestWaitS() {
+  public int oldestWaitSeconds() {
     return log.oldestWaitS();
   }
 
@@ -361,7 +364,7 @@
   // ---- machines
 
   /** A record of machines has changed: another shard may have given us some. */
-  public void hireChanged(String key, VersionedValue now) {
+  public void machinesChanged(String key, VersionedValue now) {
     String hires = ScaleOutRecord.prefix(shard);
     if (ready() && now != null && key.startsWith(hires)) {
       hire(key.substring(hires.length()), now);
@@ -376,68 +379,68 @@
     }
   }
 
-  public boolean has(String machine) {
+  public boolean hasMachine(String machine) {
     return fleet.find(machine) != null;
   }
 
   /** A machine that no shard knows; only the first shard's owner takes them in. */
-  public void stray(WorkerMessages.Heartbeat r) {
+  public void noteOrphan(WorkerMessages.Heartbeat r) {
     if (ready() && mayAct()) {
       orphanedMachines.note(r.machine(), new OrphanedMachine(r.type(), r.zone(), r.spot()));
     }
   }
 
-  public void report(WorkerMessages.Heartbeat r, Consumer<ServerResponse> done) {
+  public void handleHeartbeat(WorkerMessages.Heartbeat r, Consumer<ServerResponse> done) {
     reports.report(r, done);
   }
 
   /** Lends to another shard; says what is coming. */
-  public MachineRequest.Reply lend(int to, MachineRequest request) {
-    return mayAct() ? loans.lend(to, request) : MachineRequest.Reply.NOTHING;
+  public MachineTransferMessages.Reply transfer(int to, MachineTransferMessages.Request request) {
+    return mayAct() ? loans.transfer(to, request) : MachineTransferMessages.Reply.NONE;
   }
 
   // ---- what the slices need
 
   @Override
-  public Job job(String uid) {
+  public Job findJob(String uid) {
     return board.find(uid);
   }
 
   @Override
-  public boolean cancelled(String uid) {
+  public boolean isCancelled(String uid) {
     Job job = board.find(uid);
     return (job != null && job.cancelled()) || cancellations.ahead(uid);
   }
 
   @Override
-  public void touched(Job job) {
+  public void jobChanged(Job job) {
     board.touched(job);
   }
 
   @Override
-  public void completed(Placement p, long nowMs) {
+  public void taskCompleted(Placement p, long nowMs) {
     if (p.runningMs() >= 0) {
       deadlines.finished(p.job(), (nowMs - p.runningMs()) / 1000.0);
     }
   }
 
   @Override
-  public void failed(Placement p, Machine m) {
+  public void taskFailed(Placement p, Machine m) {
     failures.failed(p, m);
   }
 
   @Override
-  public int image(String name) {
+  public int imageIndex(String name) {
     return images.index(name);
   }
 
   @Override
-  public void touch(PendingWrite unit) {
-    committer.touch(unit);
+  public void recordChanged(PendingWrite record) {
+    committer.touch(record);
   }
 
   @Override
-  public void gone(Machine m) {
+  public void machineGone(Machine m) {
     long now = loop.nowMs();
     if (zoneMonitor != null) {
       zoneMonitor.gone(m);
@@ -456,18 +459,18 @@
   }
 
   @Override
-  public void wantRound() {
+  public void requestCycle() {
     rounds.want();
   }
 
   @Override
-  public void roundNow() {
+  public void runCycleNow() {
     rounds.now();
   }
 
   @Override
   public boolean mayAct() {
-    return ready() && election.owns(shard) && election.surelyHeld();
+    return ready() && election.isLeader(shard) && election.leaseSurelyValid();
   }
 
   @Override
@@ -492,8 +495,8 @@
       if (sureSinceMs < 0) {
         sureSinceMs = now;
       }
-      if (watch.lostWorkers(now, Math.max(sureSinceMs, election.heardMs()))) {
-        election.leaveToOthers(shard);
+      if (watch.lostWorkers(now, Math.max(sureSinceMs, election.lastWorkerContactMs()))) {
+        election.yield(shard);
       }
       if (zoneMonitor != null) {
         zoneMonitor.look(now, sureSinceMs);
--- /dev/null
+++ b/src/main/java/dev/windbend/shard/ShardLeaderRecord.java
@@ -0,0 +1,17 @@
+package dev.windbend.shard;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+
+/**
+ * Who leads a shard. The record is bound to the leader's lease, and the revision at which it was
+ * written is the leader's fencing token.
+ *
+ * @param leader the name of the controller
+ */
+record ShardLeaderRecord(@JsonProperty("owner") String leader) {
+  private static final String KEYS = "w/c/";
+
+  static String key(int shard) {
+    return KEYS + shard;
+  }
+}
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -27,24 +27,30 @@
   private final Fleet fleet;
   private final TaskReconciler reconciler;
   private final DirectStopClient directStops;
-  private final Host host;
+  private final Leadership leadership;
+  private final SchedulingTrigger scheduling;
   private final long token;
   private final long reportMs;
   private final long leaseMs;
   private final long idleHoldMs;
   private final Map<Machine, Waiting> waiting = new LinkedHashMap<>();
 
-  /** What is needed of the shard's owner. */
-  public interface Host {
+  /** Whether this controller leads the shard. */
+  public interface Leadership {
+    /** It certainly does, so it may give orders. */
     boolean mayAct();
 
-    /** Unsure of our claim: nobody else could use the workers now. */
+    /** Though it can't be sure that it does, no other controller could use the workers now. */
     boolean mayKeepWorkers();
+  }
 
-    /** Room was freed, or a machine leaves. */
-    void wantRound();
+  /** Has scheduling cycles run. */
+  public interface SchedulingTrigger {
+    /** Capacity was freed, or a machine leaves: a cycle follows soon. */
+    void requestCycle();
 
-    void roundNow();
+    /** A cycle runs at once, unless one has just been: then soon. */
+    void runCycleNow();
   }
 
   /** A report whose answer waits for a write, or for work. */
@@ -60,7 +66,8 @@
       Fleet fleet,
       TaskReconciler reconciler,
       DirectStopClient directStops,
-      Host host,
+      Leadership leadership,
+      SchedulingTrigger scheduling,
       long token,
       double reportS,
       double leaseS,
@@ -69,7 +76,8 @@
     this.fleet = fleet;
     this.reconciler = reconciler;
     this.directStops = directStops;
-    this.host = host;
+    this.leadership = leadership;
+    this.scheduling = scheduling;
     this.token = token;
     this.reportMs = (long) (1000 * reportS);
     this.leaseMs = (long) (1000 * leaseS);
@@ -102,10 +110,10 @@
     if (r.recallS() != null && m.recallMs() < 0) {
       m.recordRecall(now + (long) (r.recallS() * 1000));
       LOG.info("{} is recalled in {} s", m.name(), r.recallS());
-      host.wantRound();
+      scheduling.requestCycle();
     }
-    if (!m.confirmedUnderToken() || !host.mayAct()) {
-      if (host.mayAct()) {
+    if (!m.confirmedUnderToken() || !leadership.mayAct()) {
+      if (leadership.mayAct()) {
         m.recordResponseUnderToken();
       }
       done.accept(unsure(m, r));
@@ -123,7 +131,7 @@
       drain(m, now);
     }
     if (m.tasks().size() < before || free) {
-      host.roundNow();
+      scheduling.runCycleNow();
     }
     if (writePending(m)) {
       await(new Waiting(m, r, now + LONGEST_HOLD_MS, false, done));
@@ -183,7 +191,7 @@
    * dev.windbend.peer.Peers#mayKeepWorkers}. Asked when the answer goes out, as it may have waited.
    */
   private ServerResponse unsure(Machine m, WorkerMessages.Heartbeat r) {
-    return host.mayAct() || host.mayKeepWorkers()
+    return leadership.mayAct() || leadership.mayKeepWorkers()
         ? answer(m, reconciler.cancelledStops(r))
         : ServerResponse.ofStatus(503);
   }
@@ -226,7 +234,7 @@
     m.endAwaitingResponse();
     boolean newest =
         m.incarnation() == w.report().shift() && m.heartbeatSequence() == w.report().tally();
-    boolean act = host.mayAct();
+    boolean act = leadership.mayAct();
     boolean mayStart = act && !m.returning() && !m.cordoned() && m.recorded();
     if (act) {
       m.recordResponseUnderToken();
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -19,28 +19,31 @@
   private static final long FULL_MS = 3_000;
   private static final long UNKNOWN_MS = 3_000;
 
-  private final Book book;
+  private final TaskEvents events;
 
-  /** What the desk needs of the shard's owner. */
-  public interface Book {
+  /** Hears what became of tasks, and tells of the jobs that they belong to. */
+  public interface TaskEvents {
     /** Null if it is not a live job of this shard. */
-    Job job(String uid);
+    Job findJob(String uid);
 
     /** Finally cancelled, as far as this node knows; whoever owns the shard now. */
-    boolean cancelled(String uid);
+    boolean isCancelled(String uid);
 
-    /** The job's records have changed. */
-    void touched(Job job);
+    /** The job differs from what is stored of it, and is to be written. */
+    void jobChanged(Job job);
 
-    void completed(Placement placement, long nowMs);
+    /** The task has ended with success. */
+    void taskCompleted(Placement placement, long nowMs);
 
-    void failed(Placement placement, Machine machine);
+    /** The task has ended with an error. */
+    void taskFailed(Placement placement, Machine machine);
 
-    int image(String name);
+    /** The index of an image, by which machines remember what they hold. */
+    int imageIndex(String name);
   }
 
-  public TaskReconciler(Book book) {
-    this.book = book;
+  public TaskReconciler(TaskEvents events) {
+    this.events = events;
   }
 
   /** Takes in a report that is newer than all before and came under our token. */
@@ -55,7 +58,7 @@
           exited(m, p, t, nowMs);
         } else if (t.running() && p.runningMs() < 0) {
           p.recordRunning(nowMs);
-          m.recordImage(book.image(p.job().spec().image()));
+          m.recordImage(events.imageIndex(p.job().spec().image()));
         }
       } else if (t.exited() && "done".equals(t.cause())) {
         foundDone(t, nowMs);
@@ -105,7 +108,7 @@
   private void leave(Machine m, Placement p, long nowMs) {
     m.remove(p, nowMs);
     p.job().gone(p);
-    book.touched(p.job());
+    events.jobChanged(p.job());
   }
 
   private void exited(Machine m, Placement p, TaskState t, long nowMs) {
@@ -114,10 +117,10 @@
     switch (cause) {
       case "done" -> {
         p.job().complete(p.task(), nowMs);
-        book.completed(p, nowMs);
+        events.taskCompleted(p, nowMs);
         m.clearFailedJobs();
       }
-      case "error" -> book.failed(p, m);
+      case "error" -> events.taskFailed(p, m);
       case "no_room", "in_use" -> m.refuseStartsUntil(nowMs + FULL_MS);
       case "unknown" -> p.job().deferUntil(nowMs + UNKNOWN_MS);
       default -> {
@@ -139,7 +142,7 @@
     if (other != null) {
       other.stop(0);
     }
-    book.touched(job);
+    events.jobChanged(job);
   }
 
   /** The orders that make the reported tasks the wanted ones. Starts only if they may go out. */
@@ -184,7 +187,7 @@
     List<Order> stops = new ArrayList<>();
     for (TaskState t : r.tasks()) {
       int slash = t.task().lastIndexOf('/');
-      if (!t.exited() && slash > 0 && book.cancelled(t.task().substring(0, slash))) {
+      if (!t.exited() && slash > 0 && events.isCancelled(t.task().substring(0, slash))) {
         stops.add(Order.stop(t.task(), t.attempt(), 0));
       }
     }
@@ -203,7 +206,7 @@
 
   private Job job(String taskName) {
     int slash = taskName.lastIndexOf('/');
-    return slash < 0 ? null : book.job(taskName.substring(0, slash));
+    return slash < 0 ? null : events.findJob(taskName.substring(0, slash));
   }
 
   private static int index(String taskName) {
--- a/src/test/java/dev/windbend/ArchitectureTest.java
+++ b/src/test/java/dev/windbend/ArchitectureTest.java
@@ -19,9 +19,6 @@
       Set.of(
           "Cancellations",
           "JobSpec",
-          "LeaderElection",
-          "MachineRequest",
-          "MachineTransferClient",
           "PagedStore",
           "Peers",
           "TaskRequirements",
--- a/src/test/java/dev/windbend/machine/FleetTest.java
+++ b/src/test/java/dev/windbend/machine/FleetTest.java
@@ -29,18 +29,18 @@
   private final ManualEventLoop loop = new ManualEventLoop(1_000);
 
   /** Every record is stored at once. */
-  private final Fleet.Host host =
-      new Fleet.Host() {
+  private final Fleet.Listener listener =
+      new Fleet.Listener() {
         @Override
-        public void touch(PendingWrite unit) {
-          if (unit.dirty()) {
-            unit.fill(new TransactionBuilder());
-            unit.written(++changes);
+        public void recordChanged(PendingWrite record) {
+          if (record.dirty()) {
+            record.fill(new TransactionBuilder());
+            record.written(++changes);
           }
         }
 
         @Override
-        public void gone(Machine machine) {}
+        public void machineGone(Machine machine) {}
 
         @Override
         public void fleetChanged() {}
@@ -53,7 +53,7 @@
 
   private final CloudClient cloud = new CloudClient(loop, this::answer, "cloud:1", 4, 1);
   private final MachineTypeCatalog catalog = new MachineTypeCatalog(loop, cloud, List.of("a"));
-  private final Fleet fleet = new Fleet(loop, cloud, catalog, 0, 7, host);
+  private final Fleet fleet = new Fleet(loop, cloud, catalog, 0, 7, listener);
 
   FleetTest() {
     catalog.start();
--- a/src/test/java/dev/windbend/peer/PeerMessagesTest.java
+++ b/src/test/java/dev/windbend/peer/PeerMessagesTest.java
@@ -6,7 +6,6 @@
 
 import dev.windbend.job.Cancellations.Cancelled;
 import dev.windbend.machine.TaskRequirements;
-import dev.windbend.shard.MachineRequest;
 import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
@@ -36,13 +35,13 @@
             {"cancelled":[{"job":"wk-000412","revision":42},{"job":"wk-000413","revision":43}]}"""),
         arguments(
             "question for machines",
-            new MachineTransferClient.Ask(
+            new MachineTransferMessages.Routed(
                 1,
                 2,
-                new MachineRequest(
+                new MachineTransferMessages.Request(
                     5,
                     0.25,
-                    new MachineRequest.Overdue(
+                    new MachineTransferMessages.Overdue(
                         new TaskRequirements(
                             8.5, 1.25, 64, List.of("g8", "t4"), List.of("a"), true),
                         3))),
@@ -52,30 +51,31 @@
             "spot":true},"count":3}}}"""),
         arguments(
             "question for machines, a task that may run anywhere",
-            new MachineTransferClient.Ask(
+            new MachineTransferMessages.Routed(
                 0,
                 1,
-                new MachineRequest(
+                new MachineTransferMessages.Request(
                     0,
                     1,
-                    new MachineRequest.Overdue(
+                    new MachineTransferMessages.Overdue(
                         new TaskRequirements(1, 0, 1, null, null, false), 1))),
             """
             {"from":0,"to":1,"request":{"count":0,"has":1.0,"overdue":{
             "task":{"cores":1.0,"cards":0.0,"ram":1.0,"spot":false},"count":1}}}"""),
         arguments(
             "question for machines, no task is overdue",
-            new MachineTransferClient.Ask(0, 1, new MachineRequest(5, 0.5, null)),
+            new MachineTransferMessages.Routed(
+                0, 1, new MachineTransferMessages.Request(5, 0.5, null)),
             """
             {"from":0,"to":1,"request":{"count":5,"has":0.5}}"""),
         arguments(
             "answer about machines",
-            new MachineRequest.Reply(4, 1),
+            new MachineTransferMessages.Reply(4, 1),
             """
             {"count":4,"overdue":1}"""),
         arguments(
             "answer about machines: none",
-            MachineRequest.Reply.NOTHING,
+            MachineTransferMessages.Reply.NONE,
             """
             {"count":0,"overdue":0}"""));
   }
@@ -92,8 +92,12 @@
     assertRead("{\"cancelled\":null}", Peers.View.class, new Peers.View(0, null));
     assertRead("{}", Peers.Told.class, new Peers.Told(null));
     assertRead("{}", Cancelled.class, new Cancelled(null, 0));
-    assertRead("{}", MachineTransferClient.Ask.class, new MachineTransferClient.Ask(0, 0, null));
-    assertRead("{\"overdue\":null}", MachineRequest.class, new MachineRequest(0, 0, null));
-    assertRead("{}", MachineRequest.Reply.class, new MachineRequest.Reply(0, 0));
+    assertRead(
+        "{}", MachineTransferMessages.Routed.class, new MachineTransferMessages.Routed(0, 0, null));
+    assertRead(
+        "{\"overdue\":null}",
+        MachineTransferMessages.Request.class,
+        new MachineTransferMessages.Request(0, 0, null));
+    assertRead("{}", MachineTransferMessages.Reply.class, new MachineTransferMessages.Reply(0, 0));
   }
 }
--- a/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
+++ b/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
@@ -57,9 +57,9 @@
     grant(2, 7);
     grant(1, 7);
     loop.nowMs += TERM_MS - 200;
-    assertThat(lease.surelyHeld()).isTrue();
+    assertThat(lease.surelyValid()).isTrue();
     loop.nowMs += 200;
-    assertThat(lease.surelyHeld()).isFalse();
+    assertThat(lease.surelyValid()).isFalse();
   }
 
   @Test
@@ -72,12 +72,12 @@
     assertThat(ended).isEqualTo(1);
     assertThat(lease.id()).isEqualTo(ControllerLease.NONE);
     grant(2, 7);
-    assertThat(lease.surelyHeld()).as("renewed before it ended").isFalse();
+    assertThat(lease.surelyValid()).as("renewed before it ended").isFalse();
     grant(3, 8);
     assertThat(lease.id()).isEqualTo(8);
     answer(2, 404, "{}");
     assertThat(ended).as("the former one once more").isEqualTo(1);
-    assertThat(lease.surelyHeld()).isTrue();
+    assertThat(lease.surelyValid()).isTrue();
   }
 
   @Test
--- a/src/test/java/dev/windbend/shard/MachineTransfersTest.java
+++ b/src/test/java/dev/windbend/shard/MachineTransfersTest.java
@@ -9,6 +9,7 @@
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.machine.ScaleOutRecord;
 import dev.windbend.machine.TaskRequirements;
+import dev.windbend.peer.MachineTransferMessages;
 import dev.windbend.runtime.ClientResponse;
 import dev.windbend.runtime.HttpClient;
 import dev.windbend.runtime.Json;
@@ -31,13 +32,13 @@
 
   private final ManualEventLoop loop = new ManualEventLoop(1_000);
 
-  private final Fleet.Host host =
-      new Fleet.Host() {
+  private final Fleet.Listener listener =
+      new Fleet.Listener() {
         @Override
-        public void touch(PendingWrite unit) {}
+        public void recordChanged(PendingWrite record) {}
 
         @Override
-        public void gone(Machine machine) {}
+        public void machineGone(Machine machine) {}
 
         @Override
         public void fleetChanged() {}
@@ -51,7 +52,7 @@
   private CloudClient cloud;
   private MachineTypeCatalog catalog;
   private Fleet fleet;
-  private MachineTransfers loans;
+  private MachineTransfers transfers;
 
   @BeforeEach
   void tenMachines() {
@@ -61,7 +62,7 @@
     cloud = new CloudClient(loop, web, "cloud:1", 10, 1);
     catalog = new MachineTypeCatalog(loop, cloud, List.of("a"));
     catalog.start();
-    fleet = new Fleet(loop, cloud, catalog, 0, 7, host);
+    fleet = new Fleet(loop, cloud, catalog, 0, 7, listener);
     List<String> names = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       names.add("m" + i);
@@ -72,7 +73,7 @@
     directory.changed(key, new VersionedValue(Json.tree(hire), 5));
     fleet.restore("h", hire, 5, directory, false);
     fleet.machines().forEach(MachineTransfersTest::confirm);
-    loans = new MachineTransfers(0, loop, fleet, 40, (shard, request, done) -> {});
+    transfers = new MachineTransfers(0, loop, fleet, 40, (shard, request, done) -> {});
   }
 
   private static void confirm(Machine m) {
@@ -80,8 +81,10 @@
         m.incarnation(), m.heartbeatSequence(), m.address(), true, m.lastHeartbeatMs());
   }
 
-  private int lend(int count, double guaranteeShare) {
-    return loans.lend(1, new MachineRequest(count, guaranteeShare, null)).count();
+  private int transfer(int count, double guaranteeShare) {
+    return transfers
+        .transfer(1, new MachineTransferMessages.Request(count, guaranteeShare, null))
+        .count();
   }
 
   private long promisedTo(int shard) {
@@ -95,23 +98,23 @@
     "8,0.4,5", "8,0.0,5",
   })
   void promisesWhatIsAboveItsOwnGuarantee(int count, double has, int promised) {
-    assertThat(lend(count, has)).isEqualTo(promised);
+    assertThat(transfer(count, has)).isEqualTo(promised);
     assertThat(promisedTo(1)).isEqualTo(promised);
   }
 
   /** Asked again before they are empty, it names the same ones as coming and promises no more. */
   @Test
   void whatIsPromisedCountsAsComing() {
-    assertThat(lend(3, 0.9)).isEqualTo(3);
-    assertThat(lend(3, 0.9)).isEqualTo(3);
+    assertThat(transfer(3, 0.9)).isEqualTo(3);
+    assertThat(transfer(3, 0.9)).isEqualTo(3);
     assertThat(promisedTo(1)).isEqualTo(3);
   }
 
   @Test
   void aStarvedPartGetsAShareOfWhatIsNotEnoughForEither() {
-    loans = new MachineTransfers(0, loop, fleet, 100, (shard, request, done) -> {});
-    assertThat(lend(9, 0.9)).isZero();
-    assertThat(lend(9, 0.2)).isEqualTo(3);
+    transfers = new MachineTransfers(0, loop, fleet, 100, (shard, request, done) -> {});
+    assertThat(transfer(9, 0.9)).isZero();
+    assertThat(transfer(9, 0.2)).isEqualTo(3);
   }
 
   /** Ten machines with room for it: as many as are needed are vacated, if they fit the task. */
@@ -126,11 +129,11 @@
   })
   void vacatesMachinesForOverdueTasks(
       double cores, String zone, boolean spot, int needed, int vacated) {
-    MachineRequest request = overdue(cores, zone, spot, needed);
-    assertThat(loans.lend(1, request).overdueCount()).isEqualTo(vacated);
+    MachineTransferMessages.Request request = overdue(cores, zone, spot, needed);
+    assertThat(transfers.transfer(1, request).overdueCount()).isEqualTo(vacated);
     assertThat(promisedTo(1)).isEqualTo(vacated);
     // Asked again, as its answer may have been lost: the same ones are coming, and no more.
-    assertThat(loans.lend(1, request).overdueCount()).isEqualTo(vacated);
+    assertThat(transfers.transfer(1, request).overdueCount()).isEqualTo(vacated);
     assertThat(promisedTo(1)).isEqualTo(vacated);
   }
 
@@ -141,16 +144,18 @@
     MachineIndex directory = new MachineIndex();
     String key = ScaleOutRecord.prefix(0) + "g";
     directory.changed(key, new VersionedValue(Json.tree(record), 6));
-    Fleet one = new Fleet(loop, cloud, catalog, 0, 7, host);
+    Fleet one = new Fleet(loop, cloud, catalog, 0, 7, listener);
     one.restore("g", record, 6, directory, false);
     one.machines().forEach(MachineTransfersTest::confirm);
-    loans = new MachineTransfers(0, loop, one, 0, (shard, request, done) -> {});
-    assertThat(loans.lend(1, overdue(2, null, true, 1)).overdueCount()).isZero();
+    transfers = new MachineTransfers(0, loop, one, 0, (shard, request, done) -> {});
+    assertThat(transfers.transfer(1, overdue(2, null, true, 1)).overdueCount()).isZero();
   }
 
-  private static MachineRequest overdue(double cores, String zone, boolean spot, int machines) {
+  private static MachineTransferMessages.Request overdue(
+      double cores, String zone, boolean spot, int machines) {
     List<String> zones = zone == null ? null : List.of(zone);
     TaskRequirements task = new TaskRequirements(cores, 0, 1, null, zones, spot);
-    return new MachineRequest(0, 1, new MachineRequest.Overdue(task, machines));
+    return new MachineTransferMessages.Request(
+        0, 1, new MachineTransferMessages.Overdue(task, machines));
   }
 }
--- /dev/null
+++ b/src/test/java/dev/windbend/shard/ShardLeaderRecordTest.java
@@ -0,0 +1,16 @@
+package dev.windbend.shard;
+
+import static dev.windbend.JsonPins.assertPinned;
+import static dev.windbend.JsonPins.assertRead;
+
+import org.junit.jupiter.api.Test;
+
+/** What the state service keeps of who leads a shard. */
+class ShardLeaderRecordTest {
+  @Test
+  void isStoredAs() {
+    assertPinned(new ShardLeaderRecord("mast-0"), "{\"owner\":\"mast-0\"}");
+    assertRead("{}", ShardLeaderRecord.class, new ShardLeaderRecord(null));
+    assertRead("{\"owner\":null}", ShardLeaderRecord.class, new ShardLeaderRecord(null));
+  }
+}
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -53,15 +53,15 @@
   private int writes;
   private ZoneMonitor monitor;
 
-  private final Fleet.Host host =
-      new Fleet.Host() {
+  private final Fleet.Listener listener =
+      new Fleet.Listener() {
         @Override
-        public void touch(PendingWrite unit) {
-          write(unit);
+        public void recordChanged(PendingWrite record) {
+          write(record);
         }
 
         @Override
-        public void gone(Machine machine) {
+        public void machineGone(Machine machine) {
           monitor.gone(machine);
         }
 
@@ -76,7 +76,7 @@
 
   private final CloudClient cloud = new CloudClient(loop, this::answer, "cloud:1", 60, 1);
   private final MachineTypeCatalog catalog = new MachineTypeCatalog(loop, cloud, List.of("a", "b"));
-  private final Fleet fleet = new Fleet(loop, cloud, catalog, 0, 7, host);
+  private final Fleet fleet = new Fleet(loop, cloud, catalog, 0, 7, listener);
   private final MachineHealth health = new MachineHealth(fleet, 2, REPORT_S, LEASE_S);
   private final JobRegistry jobs =
       new JobRegistry(name -> 0, null, new PagedStore("w/p/0/", 4_096, 8));
