--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -201,12 +201,9 @@
                         t.name(), t.cores(), t.maxCores(), t.gpus(), t.maxGpus()))
             .toList(),
         size,
-        f.workers().reportS(),
-        f.workers().leaseS(),
-        Math.max(1, f.cloud().listLagS()),
-        f.cloud().rps(),
-        (int) (1024 * f.state().valueKb()),
-        f.state().writeRps(),
+        new DeploymentSpec.WorkerTiming(f.workers().reportS(), f.workers().leaseS()),
+        new DeploymentSpec.CloudLimits(Math.max(1, f.cloud().listLagS()), f.cloud().rps()),
+        new DeploymentSpec.StoreLimits((int) (1024 * f.state().valueKb()), f.state().writeRps()),
         new DeploymentSpec.ServiceObjectives(dueTimes, within, wait, guaranteeS));
   }
 
--- a/src/main/java/dev/windbend/daemon/OperatorSettings.java
+++ b/src/main/java/dev/windbend/daemon/OperatorSettings.java
@@ -47,13 +47,13 @@
       throw new Settings.Invalid("[" + FORMER_SHARD + "] is now called [" + SHARD + "]");
     }
     return new Policy(
-        ini.millis(PLAN, "period_s", DEFAULTS.periodMs(), 0.5, DAY_S),
-        ini.flag(PLAN, "rounds_on_events", DEFAULTS.roundsOnEvents()),
-        ini.millis(PLAN, "block_s", DEFAULTS.blockMs(), 1, DAY_S),
-        ini.number(PLAN, "implied_due", DEFAULTS.impliedDue(), 1, DAY_S),
+        ini.millis(PLAN, "period_s", DEFAULTS.cyclePeriodMs(), 0.5, DAY_S),
+        ini.flag(PLAN, "rounds_on_events", DEFAULTS.cyclesOnEvents()),
+        ini.millis(PLAN, "block_s", DEFAULTS.billingBlockMs(), 1, DAY_S),
+        ini.number(PLAN, "implied_due", DEFAULTS.impliedDeadlineFactor(), 1, DAY_S),
         ini.millis(SHARD, "hold_s", DEFAULTS.leaseTermMs(), 1, DAY_S),
-        ini.flag(PLAN, "due_from_aims", DEFAULTS.dueFromAims()),
-        ini.number(WORKER, "idle_hold", DEFAULTS.idleHold(), 0, DAY_S),
+        ini.flag(PLAN, "due_from_aims", DEFAULTS.deadlinesFromObjectives()),
+        ini.number(WORKER, "idle_hold", DEFAULTS.idleHoldFraction(), 0, DAY_S),
         ZoneSettings.read(ini, zones));
   }
 }
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -59,12 +59,12 @@
   Deadlines next(Job job, long ageMs) {
     double[] limits =
         facts
-            .aims()
-            .limits(
+            .objectives()
+            .timeLimitsSeconds(
                 job.spec().kind(),
                 job.spec().dueS(),
-                policy.impliedDue() * job.spec().estimateS(),
-                policy.dueFromAims());
+                policy.impliedDeadlineFactor() * job.spec().estimateS(),
+                policy.deadlinesFromObjectives());
     return Deadlines.next(limits, ageMs / MS, estimateS(job));
   }
 
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -90,7 +90,7 @@
   void want() {
     if (!due) {
       due = true;
-      if (policy.roundsOnEvents()) {
+      if (policy.cyclesOnEvents()) {
         loop.after(GAP_MS, this::onEvent);
       }
     }
@@ -98,7 +98,7 @@
 
   /** A round at once, unless one has just been: then soon. */
   void now() {
-    if (!policy.roundsOnEvents() || loop.nowMs() - lastMs < gapMs()) {
+    if (!policy.cyclesOnEvents() || loop.nowMs() - lastMs < gapMs()) {
       want();
     } else {
       round();
@@ -123,7 +123,7 @@
   /** Called again and again: the period's round, if none has been. */
   void tick(long everyMs) {
     long now = loop.nowMs();
-    long most = policy.roundsOnEvents() ? Math.max(everyMs, gapMs()) : policy.periodMs();
+    long most = policy.cyclesOnEvents() ? Math.max(everyMs, gapMs()) : policy.cyclePeriodMs();
     if (now - lastMs >= most) {
       round();
     }
--- a/src/main/java/dev/windbend/shard/ShardLeader.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -136,14 +136,20 @@
             with.store,
             ShardLeaderRecord.key(shard),
             token,
-            facts.writeGapMs(with.layout.shards()),
+            facts.writeIntervalMs(with.layout.shards()),
             () -> election.stepDown(shard),
             this::afterWrite);
-    this.pages = new PagedStore(JobRecord.pages(shard), facts.valueBytes(), with.store.opsLimit());
+    this.pages =
+        new PagedStore(JobRecord.pages(shard), facts.store().valueBytes(), with.store.opsLimit());
     this.board = new JobRegistry(name -> teamHere(with.layout, name), committer, pages);
     this.fleet = new Fleet(loop, with.cloud, catalog, shard, token, this);
     this.orphanedMachines = new OrphanedMachines(loop, with.store, fleet, with.layout.shards());
-    this.watch = new MachineHealth(fleet, catalog.zones().size(), facts.reportS(), facts.leaseS());
+    this.watch =
+        new MachineHealth(
+            fleet,
+            catalog.zones().size(),
+            facts.workers().heartbeatSeconds(),
+            facts.workers().leaseSeconds());
     this.loans =
         new MachineTransfers(
             shard, loop, fleet, guaranteedCores(with.layout), with.transferRequester);
@@ -154,7 +160,7 @@
     SnapshotBuilder snapshots =
         new SnapshotBuilder(
             loop, catalog, facts, policy, deadlines, images, board, fleet, overdueJobs, zones);
-    this.gradualStart = new FailoverRampUp(loop, facts.reportS());
+    this.gradualStart = new FailoverRampUp(loop, facts.workers().heartbeatSeconds());
     this.rounds =
         new SchedulingLoop(
             loop,
@@ -179,18 +185,31 @@
             this,
             this,
             token,
-            facts.reportS(),
-            facts.leaseS(),
-            policy.idleHold());
+            facts.workers().heartbeatSeconds(),
+            facts.workers().leaseSeconds(),
+            policy.idleHoldFraction());
     this.log =
         new ShardStatusLog(
-            shard, loop, board, fleet, facts, overdueJobs, zones, policy.periodMs(), rounds, pages);
+            shard,
+            loop,
+            board,
+            fleet,
+            facts,
+            overdueJobs,
+            zones,
+            policy.cyclePeriodMs(),
+            rounds,
+            pages);
   }
 
   private ZoneMonitor zoneMonitor(Shared with) {
     ZoneMonitor.Place place =
         new ZoneMonitor.Place(
-            shard, with.layout.shards(), with.ownZone, facts.reportS(), facts.leaseS());
+            shard,
+            with.layout.shards(),
+            with.ownZone,
+            facts.workers().heartbeatSeconds(),
+            facts.workers().leaseSeconds());
     return new ZoneMonitor(
         place,
         policy.zones(),
@@ -211,7 +230,7 @@
   private double guaranteedCores(ShardLayout layout) {
     double all = 0;
     for (int i = 0; i < facts.teams().size(); i++) {
-      all += layout.shardOf(i) == shard ? facts.teams().get(i).cores() : 0;
+      all += layout.shardOf(i) == shard ? facts.teams().get(i).guaranteedCores() : 0;
     }
     return all;
   }
@@ -512,13 +531,16 @@
       rounds.tick(2 * TICK_MS);
       committer.run();
       log.tick(now);
-      if (!checkedInherited && now - startedMs >= 2_500 * facts.listLagS()) {
+      if (!checkedInherited && now - startedMs >= 2_500 * facts.cloud().listLagSeconds()) {
         checkedInherited = true;
         fleet.checkInherited();
       }
-      if (shard == 0 && now - lastCheckMs >= 2_000 * facts.listLagS()) {
+      if (shard == 0 && now - lastCheckMs >= 2_000 * facts.cloud().listLagSeconds()) {
         lastCheckMs = now;
-        fleet.check((long) (8_000 * facts.listLagS()), directory::knows, orphanedMachines::note);
+        fleet.check(
+            (long) (8_000 * facts.cloud().listLagSeconds()),
+            directory::knows,
+            orphanedMachines::note);
       }
     } else {
       sureSinceMs = -1;
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -101,14 +101,15 @@
       }
     }
     List<Snapshot.PendingJob> views = new ArrayList<>();
-    Set<Job> guaranteed = facts.aims().guaranteeS() > 0 ? guaranteed() : Set.of();
+    Set<Job> guaranteed = facts.objectives().guaranteedStartSeconds() > 0 ? guaranteed() : Set.of();
     works.forEach(j -> views.add(work(j, now, roomOf, guaranteed)));
     // The cap is on calls to the cloud, and one call rents many.
-    double calls = facts.cloudRps() * policy.periodMs() / 1000.0 / facts.nodes();
+    double calls =
+        facts.cloud().requestsPerSecond() * policy.cyclePeriodMs() / 1000.0 / facts.controllers();
     return new Snapshot(
         now,
-        policy.periodMs(),
-        (long) (2_000 * facts.reportS()),
+        policy.cyclePeriodMs(),
+        (long) (2_000 * facts.workers().heartbeatSeconds()),
         RENTAL * (int) Math.max(1, calls),
         oldestFirst,
         cameLately(),
@@ -142,7 +143,8 @@
       cores[j.team()] += open * j.spec().cores();
       gpus[j.team()] += open * j.spec().gpus();
       DeploymentSpec.TeamQuota t = facts.teams().get(j.team());
-      if (cores[j.team()] <= t.cores() + 1e-6 && gpus[j.team()] <= t.gpus() + 1e-6) {
+      if (cores[j.team()] <= t.guaranteedCores() + 1e-6
+          && gpus[j.team()] <= t.guaranteedGpus() + 1e-6) {
         all.add(j);
       }
     }
@@ -168,7 +170,7 @@
             : sinceS > BOOT_LATE * t.bootS()
                 ? now + (long) (1000 * BOOT_PATIENCE * t.bootS())
                 : Math.max(m.requestedMs() + (long) (1000 * t.bootS()), now + 1_000);
-    long block = policy.blockMs();
+    long block = policy.billingBlockMs();
     // The block in which it went idle (or now, if it is busy) is paid to its end.
     long ref = m.idleSinceMs() >= 0 ? m.idleSinceMs() : now;
     long blocks = Math.max(1, (Math.max(0, ref - m.requestedMs()) + block - 1) / block);
@@ -179,7 +181,8 @@
         up,
         m.awaitingResponse()
             ? 0
-            : Math.max(0, m.lastHeartbeatMs() + (long) (1000 * facts.reportS()) - now),
+            : Math.max(
+                0, m.lastHeartbeatMs() + (long) (1000 * facts.workers().heartbeatSeconds()) - now),
         free,
         ready,
         m.tasks().isEmpty(),
@@ -256,8 +259,8 @@
     double estimateS = deadlines.estimateS(j);
     double startS =
         Math.max(
-            facts.aims().waitS().getOrDefault(j.spec().kind(), 0.0),
-            guaranteed.contains(j) ? facts.aims().guaranteeS() : 0);
+            facts.objectives().startWithinSeconds().getOrDefault(j.spec().kind(), 0.0),
+            guaranteed.contains(j) ? facts.objectives().guaranteedStartSeconds() : 0);
     Deadlines due = deadlines.next(j, age);
     return new Snapshot.PendingJob(
         j.team(),
--- a/src/test/java/dev/windbend/daemon/SettingsTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsTest.java
@@ -85,9 +85,9 @@
   @Test
   void operatorsMaySetTheDesignsNumbers() throws Settings.Invalid {
     Policy p = OperatorSettings.parse("[plan]\nperiod_s = 5\nrounds_on_events = false\n", ZONES);
-    assertThat(p.periodMs()).isEqualTo(5_000);
-    assertThat(p.roundsOnEvents()).isFalse();
-    assertThat(p.blockMs()).isEqualTo(OperatorSettings.defaults().blockMs());
+    assertThat(p.cyclePeriodMs()).isEqualTo(5_000);
+    assertThat(p.cyclesOnEvents()).isFalse();
+    assertThat(p.billingBlockMs()).isEqualTo(OperatorSettings.defaults().billingBlockMs());
   }
 
   @ParameterizedTest
--- a/src/test/java/dev/windbend/shard/DeploymentSpecTest.java
+++ b/src/test/java/dev/windbend/shard/DeploymentSpecTest.java
@@ -10,7 +10,7 @@
 
 /** When jobs of a class are due, from what is asked of it. */
 class DeploymentSpecTest {
-  private static final DeploymentSpec.ServiceObjectives AIMS =
+  private static final DeploymentSpec.ServiceObjectives OBJECTIVES =
       new DeploymentSpec.ServiceObjectives(
           Map.of("both", new double[] {1, 1.5}, "times", new double[] {1, 1.5}),
           Map.of("both", new double[] {250}, "within", new double[] {150, 250}),
@@ -31,7 +31,7 @@
   })
   void isDueAtEachLimitOfItsClass(String kind, Double due, boolean fromAims, String limits) {
     String got =
-        Arrays.stream(AIMS.limits(kind, due, 400, fromAims))
+        Arrays.stream(OBJECTIVES.timeLimitsSeconds(kind, due, 400, fromAims))
             .mapToObj(l -> Long.toString(Math.round(l)))
             .collect(Collectors.joining(" "));
     assertThat(got).isEqualTo(limits);
