--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -24,6 +24,7 @@
 import dev.windbend.shard.DeploymentSpec;
 import dev.windbend.shard.LeaderElection;
 import dev.windbend.shard.Policy;
+import dev.windbend.shard.ShardContext;
 import dev.windbend.shard.ShardLayout;
 import dev.windbend.shard.ShardLeader;
 import dev.windbend.store.Replica;
@@ -71,7 +72,7 @@
   private final Peers peers;
   private final MachineTransferClient transferClient;
   private final ConcurrencyLimiter gate;
-  private final ShardLeader.Shared shared;
+  private final ShardContext shared;
   private final Estimates estimates = new Estimates();
   private final NameIndex images = new NameIndex();
   private final Map<Integer, ShardLeader> owners = new LinkedHashMap<>();
@@ -140,25 +141,16 @@
     replica.listen(progress::changed);
     replica.listen(this::changed);
     this.shared =
-        new ShardLeader.Shared(
+        new ShardContext(
             loop,
-            store,
-            cloud,
-            replica,
             layout,
-            catalog,
-            directory,
             facts,
             policy,
-            election,
-            peers,
-            cancellations,
-            directStops,
+            new ShardContext.Coordination(
+                store, replica, election, peers, cancellations, transferClient),
+            new ShardContext.MachineServices(cloud, catalog, directory, directStops, images),
             estimates,
-            images,
-            transferClient,
-            settings.zone(),
-            zoneMetrics);
+            new ShardContext.ZoneServices(settings.zone(), zoneMetrics));
     Gauge.builder("windbend.shards", owners, Map::size).register(meters);
     Gauge.builder("windbend.jobs.live", this, n -> n.sum(ShardLeader::liveJobs)).register(meters);
     Gauge.builder("windbend.machines", this, n -> n.sum(ShardLeader::machineCount))
@@ -251,11 +243,11 @@
     if (key.startsWith(JobRecord.LIVE)) {
       String uid = key.substring(JobRecord.LIVE.length());
       for (ShardLeader o : List.copyOf(owners.values())) {
-        o.jobChanged(uid, now);
+        o.jobRecordChanged(uid, now);
       }
     } else if (key.startsWith(ScaleOutRecord.KEYS)) {
       for (ShardLeader o : List.copyOf(owners.values())) {
-        o.machinesChanged(key, now);
+        o.machineRecordChanged(key, now);
       }
     }
   }
--- a/src/main/java/dev/windbend/shard/ControllerLease.java
+++ b/src/main/java/dev/windbend/shard/ControllerLease.java
@@ -6,21 +6,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's lease in the state service, under which it owns shards. Renewals go out at a steady
- * rate and never wait for the answers to earlier ones: a node that is so busy that it reads answers
- * seconds late would otherwise send the next renewal too late, and lose all that it owns.
+ * This controller's lease in the state service, which its leadership of shards is bound to.
+ * Renewals go out at a steady rate and never wait for the answers to earlier ones: a controller
+ * that is so busy that it reads answers seconds late would otherwise send the next renewal too
+ * late, and be deposed from all its shards.
  */
 final class ControllerLease {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerLease.class);
 
-  /** Taken off the time for which the lease is believed to be held. */
+  /** Taken off the time for which the lease is taken to be valid. */
   private static final long MARGIN_MS = 150;
 
   private static final long ACQUIRE_RETRY_MS = 500;
   private static final long RENEW_RETRY_MS = 300;
 
   /** Renewals sent within the time the lease is granted for. */
-  private static final int RENEWALS_A_TERM = 4;
+  private static final int RENEWALS_PER_TERM = 4;
 
   /** The id while there is no lease. */
   static final long NONE = -1;
@@ -31,20 +32,23 @@
   private final EventLoop loop;
   private final StoreClient store;
   private final long termMs;
-  private final Runnable ended;
+  private final Runnable onExpiry;
   private long id = NONE;
   private boolean acquiring;
   private long validUntilMs;
   private EventLoop.Timer nextRenewal;
 
   /**
-   * @param ended called when the state service says that the lease has ended
+   * Makes a lease that is not there before {@link #acquire}.
+   *
+   * @param termMs for how long the state service is to grant it at a time
+   * @param onExpiry called when the state service says that the lease has expired
    */
-  ControllerLease(EventLoop loop, StoreClient store, long termMs, Runnable ended) {
+  ControllerLease(EventLoop loop, StoreClient store, long termMs, Runnable onExpiry) {
     this.loop = loop;
     this.store = store;
     this.termMs = termMs;
-    this.ended = ended;
+    this.onExpiry = onExpiry;
   }
 
   /** Asks for a lease until there is one. */
@@ -65,15 +69,15 @@
     }
     id = granted;
     validUntilMs = validUntil(sentMs);
-    renewAfter(termMs / RENEWALS_A_TERM);
+    renewAfter(termMs / RENEWALS_PER_TERM);
   }
 
-  /** {@link #NONE} while there is none. */
+  /** The state service's id of the lease; {@link #NONE} while there is none. */
   long id() {
     return id;
   }
 
-  /** The lease can't have ended, whatever the clocks do. */
+  /** The lease can't have expired, whatever the clocks do. */
   boolean surelyValid() {
     return loop.nowMs() < validUntilMs;
   }
@@ -93,26 +97,26 @@
   private void renew() {
     long renewed = id;
     long sentMs = loop.nowMs();
-    renewAfter(termMs / RENEWALS_A_TERM);
+    renewAfter(termMs / RENEWALS_PER_TERM);
     store.renewLease(
         renewed,
         status -> {
           // Answers may come out of order, and those for a former lease say nothing about this one.
           if (renewed == id) {
-            answered(status, sentMs);
+            settleRenewal(status, sentMs);
           }
         });
   }
 
-  private void answered(int status, long sentMs) {
+  private void settleRenewal(int status, long sentMs) {
     if (status == OK) {
       validUntilMs = Math.max(validUntilMs, validUntil(sentMs));
     } else if (status == NOT_FOUND) {
-      LOG.warn("lease ended");
+      LOG.warn("lease expired: lease={}", id);
       id = NONE;
       validUntilMs = 0;
       nextRenewal.cancel();
-      ended.run();
+      onExpiry.run();
       acquire();
     } else {
       renewAfter(RENEW_RETRY_MS);
--- a/src/main/java/dev/windbend/shard/DeploymentSpec.java
+++ b/src/main/java/dev/windbend/shard/DeploymentSpec.java
@@ -32,6 +32,15 @@
     return (long) (MS_PER_SECOND / SHARE_OF_WRITES * shards / store.writesPerSecond());
   }
 
+  /** The guaranteed cores of all teams of a shard. */
+  double guaranteedCores(ShardLayout layout, int shard) {
+    double cores = 0;
+    for (int team = 0; team < teams.size(); team++) {
+      cores += layout.shardOf(team) == shard ? teams.get(team).guaranteedCores() : 0;
+    }
+    return cores;
+  }
+
   /**
    * What a team is entitled to.
    *
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -12,6 +12,7 @@
 import dev.windbend.plan.SchedulingDecision;
 import dev.windbend.plan.Snapshot;
 import dev.windbend.runtime.EventLoop;
+import dev.windbend.worker.HeartbeatHandler;
 import dev.windbend.zone.ZoneGate;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -22,7 +23,7 @@
 import org.slf4j.LoggerFactory;
 
 /** A shard's planning rounds: what is goes into a snapshot, and what it wants is carried out. */
-final class SchedulingLoop {
+final class SchedulingLoop implements HeartbeatHandler.SchedulingTrigger {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
   private static final long GAP_MS = 150;
   private static final long LONGEST_GAP_MS = 2_000;
@@ -86,8 +87,8 @@
     this.lastMs = loop.nowMs();
   }
 
-  /** Something happened: a round follows soon. */
-  void want() {
+  @Override
+  public void requestCycle() {
     if (!due) {
       due = true;
       if (policy.cyclesOnEvents()) {
@@ -96,10 +97,10 @@
     }
   }
 
-  /** A round at once, unless one has just been: then soon. */
-  void now() {
+  @Override
+  public void runCycleNow() {
     if (!policy.cyclesOnEvents() || loop.nowMs() - lastMs < gapMs()) {
-      want();
+      requestCycle();
     } else {
       round();
     }
@@ -163,7 +164,7 @@
     }
     costMs = loop.nowMs() - now;
     if (partial) {
-      want();
+      requestCycle();
     }
   }
 
--- /dev/null
+++ b/src/main/java/dev/windbend/shard/ShardFailover.java
@@ -0,0 +1,81 @@
+package dev.windbend.shard;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import dev.windbend.job.JobRecord;
+import dev.windbend.machine.MachineTypeCatalog;
+import dev.windbend.machine.ScaleOutRecord;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.store.PagedStore;
+import dev.windbend.store.Replica;
+import dev.windbend.store.VersionedValue;
+import java.util.Map;
+import java.util.SortedMap;
+import java.util.function.LongConsumer;
+
+/**
+ * Takes a shard over after an election: rebuilds its machines and jobs from the records that former
+ * leaders have left in the state service.
+ */
+final class ShardFailover {
+  private static final long RECHECK_MS = 20;
+
+  private final ShardLeadership leadership;
+  private final EventLoop loop;
+  private final Replica replica;
+  private final MachineTypeCatalog catalog;
+  private final PagedStore pages;
+  private final ShardMachines machines;
+  private final ShardJobs jobs;
+
+  ShardFailover(
+      ShardLeadership leadership,
+      EventLoop loop,
+      Replica replica,
+      MachineTypeCatalog catalog,
+      PagedStore pages,
+      ShardMachines machines,
+      ShardJobs jobs) {
+    this.leadership = leadership;
+    this.loop = loop;
+    this.replica = replica;
+    this.catalog = catalog;
+    this.pages = pages;
+    this.machines = machines;
+    this.jobs = jobs;
+  }
+
+  /**
+   * Waits until the replica shows all that former leaders can have written, and rebuilds.
+   *
+   * @param rebuilt called with the time once jobs and machines are complete
+   */
+  void run(LongConsumer rebuilt) {
+    if (leadership.ended()) {
+      return;
+    }
+    if (replica.revision() < leadership.token() || !catalog.known()) {
+      loop.after(RECHECK_MS, () -> run(rebuilt));
+      return;
+    }
+    long now = loop.nowMs();
+    restoreMachines();
+    restoreJobs(now);
+    rebuilt.accept(now);
+  }
+
+  private void restoreMachines() {
+    String prefix = ScaleOutRecord.prefix(leadership.shard());
+    for (Map.Entry<String, VersionedValue> entry : replica.below(prefix).entrySet()) {
+      machines.restore(entry.getKey().substring(prefix.length()), entry.getValue(), true);
+    }
+  }
+
+  private void restoreJobs(long now) {
+    SortedMap<String, JsonNode> entries =
+        pages.restore(replica.below(JobRecord.pages(leadership.shard())));
+    for (VersionedValue record : replica.below(JobRecord.LIVE).values()) {
+      jobs.restore(record, entries, now);
+    }
+    pages.allRestored();
+  }
+}
--- a/src/main/java/dev/windbend/shard/ShardLayout.java
+++ b/src/main/java/dev/windbend/shard/ShardLayout.java
@@ -3,38 +3,59 @@
 import dev.windbend.runtime.NameIndex;
 import java.util.List;
 
-/** How the teams are parted. Every node works it out alike from the settings. */
+/**
+ * Which team is of which shard, and which controller is to lead it. Every controller works it out
+ * alike from the settings.
+ */
 public final class ShardLayout {
+  /** The index of a team that there isn't, or that is of another shard. */
+  public static final int NO_TEAM = -1;
+
   private final NameIndex teams = new NameIndex();
   private final List<String> nodes;
   private final int shards;
 
+  /**
+   * Makes one shard a controller, but not more than there are teams.
+   *
+   * @param teamNames in the order of the settings file
+   * @param nodeNames the names of all controllers, in any order
+   */
   public ShardLayout(List<String> teamNames, List<String> nodeNames) {
     teamNames.forEach(teams::index);
     this.nodes = nodeNames.stream().sorted().toList();
     this.shards = Math.max(1, Math.min(nodes.size(), teams.size()));
   }
 
+  /** How many shards there are; they are numbered from 0. */
   public int shards() {
     return shards;
   }
 
+  /** How many controllers there are. */
   public int nodes() {
     return nodes.size();
   }
 
-  /** -1: no such team. */
+  /** The index of the team, or {@link #NO_TEAM}. */
   public int team(String name) {
     return teams.find(name);
   }
 
+  /** The shard of the team with this index. */
   public int shardOf(int team) {
     return team % shards;
   }
 
-  /** How many nodes come before this one in claiming the shard when it is free. */
+  /** The index of the team if it is of this shard, else {@link #NO_TEAM}. */
+  int teamInShard(String name, int shard) {
+    int team = team(name);
+    return team != NO_TEAM && shardOf(team) == shard ? team : NO_TEAM;
+  }
+
+  /** How many controllers come before this one in campaigning for a shard without a leader. */
   public int rank(int shard, String node) {
-    int n = nodes.size();
-    return Math.floorMod(nodes.indexOf(node) - shard, n);
+    int controllers = nodes.size();
+    return Math.floorMod(nodes.indexOf(node) - shard, controllers);
   }
 }
--- /dev/null
+++ b/src/main/java/dev/windbend/shard/ShardZones.java
@@ -0,0 +1,86 @@
+package dev.windbend.shard;
+
+import dev.windbend.job.JobRegistry;
+import dev.windbend.machine.Fleet;
+import dev.windbend.machine.Machine;
+import dev.windbend.machine.MachineHealth;
+import dev.windbend.runtime.NameIndex;
+import dev.windbend.store.Committer;
+import dev.windbend.zone.ZoneGate;
+import dev.windbend.zone.ZoneMonitor;
+import dev.windbend.zone.ZoneStatus;
+import java.util.List;
+import java.util.Optional;
+
+/** A shard's monitoring of zones, which operators may switch off: then all zones are open. */
+final class ShardZones {
+  private final Optional<ZoneMonitor> monitor;
+  private final ZoneGate gate;
+
+  private ShardZones(Optional<ZoneMonitor> monitor) {
+    this.monitor = monitor;
+    this.gate = monitor.<ZoneGate>map(some -> some).orElse(ZoneGate.OPEN);
+  }
+
+  static ShardZones create(
+      ShardContext context,
+      int shard,
+      Fleet fleet,
+      MachineHealth health,
+      JobRegistry registry,
+      ZoneMonitor.JobTimes times,
+      Committer committer) {
+    if (!context.policy().zones().enabled()) {
+      return new ShardZones(Optional.empty());
+    }
+    DeploymentSpec.WorkerTiming workers = context.deployment().workers();
+    ZoneMonitor.Place place =
+        new ZoneMonitor.Place(
+            shard,
+            context.layout().shards(),
+            context.zones().ownZone(),
+            workers.heartbeatSeconds(),
+            workers.leaseSeconds());
+    ZoneMonitor.Records records =
+        new ZoneMonitor.Records(context.coordination().replica()::get, committer::touch);
+    return new ShardZones(
+        Optional.of(
+            new ZoneMonitor(
+                place,
+                context.policy().zones(),
+                context.loop(),
+                fleet,
+                health,
+                registry,
+                times,
+                records,
+                context.zones().metrics())));
+  }
+
+  /** Which zones machines may be used and created in. */
+  ZoneGate gate() {
+    return gate;
+  }
+
+  void takeOver(NameIndex zoneNames) {
+    monitor.ifPresent(some -> some.takeOver(zoneNames));
+  }
+
+  /**
+   * Looks for zones that are lost or have returned.
+   *
+   * @param leaseValidSinceMs since when the leader's lease has surely been valid
+   */
+  void check(long nowMs, long leaseValidSinceMs) {
+    monitor.ifPresent(some -> some.look(nowMs, leaseValidSinceMs));
+  }
+
+  void machineGone(Machine machine) {
+    monitor.ifPresent(some -> some.gone(machine));
+  }
+
+  /** One entry for each zone that is monitored. */
+  List<ZoneStatus> status() {
+    return monitor.map(ZoneMonitor::status).orElse(List.of());
+  }
+}
--- a/src/main/java/dev/windbend/shard/TaskFailures.java
+++ b/src/main/java/dev/windbend/shard/TaskFailures.java
@@ -10,64 +10,81 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whose fault it is that tasks fail: a machine's, which is emptied, or their job's, which waits.
+ * Assigns the blame for failed tasks: a machine on which tasks of several jobs fail is quarantined,
+ * a job whose tasks fail on several machines waits, for longer each time.
  */
 final class TaskFailures {
   private static final Logger LOG = LoggerFactory.getLogger(TaskFailures.class);
 
   /** A machine on which tasks of so many jobs failed is faulty. */
-  private static final int BAD_JOBS = 2;
+  private static final int FAILED_JOBS_FOR_QUARANTINE = 2;
 
   /** A job whose tasks failed on so many machines was submitted with a mistake, most likely. */
-  private static final int BAD_MACHINES = 3;
+  private static final int FAILED_MACHINES_FOR_BACKOFF = 3;
 
-  private static final long BACK_OFF_MS = 5_000;
-  private static final int BACK_OFF_DOUBLINGS = 4;
+  private static final long BACKOFF_MS = 5_000;
+  private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
+  private final int shard;
   private final EventLoop loop;
   private final JobRegistry jobs;
   private final Fleet fleet;
-  private final Runnable wantRound;
+  private final Runnable requestCycle;
 
-  TaskFailures(EventLoop loop, JobRegistry jobs, Fleet fleet, Runnable wantRound) {
+  /**
+   * Makes an assignment of blame for one shard.
+   *
+   * @param requestCycle called when a machine is quarantined
+   */
+  TaskFailures(int shard, EventLoop loop, JobRegistry jobs, Fleet fleet, Runnable requestCycle) {
+    this.shard = shard;
     this.loop = loop;
     this.jobs = jobs;
     this.fleet = fleet;
-    this.wantRound = wantRound;
+    this.requestCycle = requestCycle;
   }
 
-  void failed(Placement p, Machine m) {
-    Job job = p.job();
-    LOG.info("{} failed on {}", p.taskName(), m.name());
-    job.recordFailedMachine(m.name());
-    m.recordFailedJob(job.spec().uid());
-    if (m.countFailedJobs(this::runsElsewhere) >= BAD_JOBS) {
-      quarantine(m);
+  void taskFailed(Placement placement, Machine machine) {
+    Job job = placement.job();
+    LOG.info(
+        "task failed: shard={} machine={} task={}", shard, machine.name(), placement.taskName());
+    job.recordFailedMachine(machine.name());
+    machine.recordFailedJob(job.spec().uid());
+    if (machine.countFailedJobs(this::countsAgainstMachines) >= FAILED_JOBS_FOR_QUARANTINE) {
+      quarantine(machine);
     }
-    if (job.failedMachineCount() >= BAD_MACHINES) {
-      // It fails everywhere: the job's fault, most likely. Machines are blamed no more for it.
-      job.backOffUntil(
-          loop.nowMs() + (BACK_OFF_MS << Math.min(job.backOffs(), BACK_OFF_DOUBLINGS)));
-      fleet.machines().forEach(x -> x.forgetFailedJob(job.spec().uid()));
-      job.clearFailedMachines();
+    if (job.failedMachineCount() >= FAILED_MACHINES_FOR_BACKOFF) {
+      backOff(job);
     }
   }
 
   /**
-   * Only then is its failure the machine's fault: jobs submitted with a mistake fail on every
-   * machine, and two of them would have good machines quarantined, most of all after a takeover.
+   * A failure is the machine's fault only if tasks of the job have succeeded elsewhere: jobs
+   * submitted with a mistake fail on every machine, and two of them would have good machines
+   * quarantined, most of all after a failover.
    */
-  private boolean runsElsewhere(String uid) {
+  private boolean countsAgainstMachines(String uid) {
     Job job = jobs.find(uid);
     return job == null || job.doneCount() > 0;
   }
 
-  private void quarantine(Machine m) {
-    if (!m.cordoned()) {
-      LOG.warn("{} fails tasks of several jobs: quarantined", m.name());
-      m.cordon();
-      m.tasks().values().forEach(p -> p.stop(p.job().spec().saveS() + 1));
-      wantRound.run();
+  private void quarantine(Machine machine) {
+    if (!machine.cordoned()) {
+      LOG.warn(
+          "machine quarantined: shard={} machine={} cause=\"tasks of several jobs failed\"",
+          shard,
+          machine.name());
+      machine.cordon();
+      machine.tasks().values().forEach(MachineTransfers::stopGracefully);
+      requestCycle.run();
     }
   }
+
+  /** Machines are not blamed any more for a job that fails everywhere. */
+  private void backOff(Job job) {
+    job.backOffUntil(
+        loop.nowMs() + (BACKOFF_MS << Math.min(job.backOffs(), MAX_BACKOFF_DOUBLINGS)));
+    fleet.machines().forEach(machine -> machine.forgetFailedJob(job.spec().uid()));
+    job.clearFailedMachines();
+  }
 }
--- /dev/null
+++ b/src/main/java/dev/windbend/shard/TaskOutcomes.java
@@ -0,0 +1,68 @@
+package dev.windbend.shard;
+
+import dev.windbend.job.Cancellations;
+import dev.windbend.job.Job;
+import dev.windbend.job.JobRegistry;
+import dev.windbend.job.Placement;
+import dev.windbend.machine.Machine;
+import dev.windbend.runtime.NameIndex;
+import dev.windbend.worker.TaskReconciler;
+
+/**
+ * Takes what heartbeats say of tasks to where it counts: records, estimates, blame for failures.
+ */
+final class TaskOutcomes implements TaskReconciler.TaskEvents {
+  private static final double MS_PER_SECOND = 1_000;
+
+  private final JobRegistry registry;
+  private final Cancellations cancellations;
+  private final NameIndex images;
+  private final JobDeadlines deadlines;
+  private final TaskFailures failures;
+
+  TaskOutcomes(
+      JobRegistry registry,
+      Cancellations cancellations,
+      NameIndex images,
+      JobDeadlines deadlines,
+      TaskFailures failures) {
+    this.registry = registry;
+    this.cancellations = cancellations;
+    this.images = images;
+    this.deadlines = deadlines;
+    this.failures = failures;
+  }
+
+  @Override
+  public Job findJob(String uid) {
+    return registry.find(uid);
+  }
+
+  @Override
+  public boolean isCancelled(String uid) {
+    Job job = registry.find(uid);
+    return (job != null && job.cancelled()) || cancellations.ahead(uid);
+  }
+
+  @Override
+  public void jobChanged(Job job) {
+    registry.touched(job);
+  }
+
+  @Override
+  public void taskCompleted(Placement placement, long nowMs) {
+    if (placement.runningMs() >= 0) {
+      deadlines.finished(placement.job(), (nowMs - placement.runningMs()) / MS_PER_SECOND);
+    }
+  }
+
+  @Override
+  public void taskFailed(Placement placement, Machine machine) {
+    failures.taskFailed(placement, machine);
+  }
+
+  @Override
+  public int imageIndex(String name) {
+    return images.index(name);
+  }
+}
