--- a/src/main/java/dev/windbend/shard/ControllerLease.java
+++ b/src/main/java/dev/windbend/shard/ControllerLease.java
@@ -26,14 +26,14 @@
   /** The id while there is no lease. */
   static final long NONE = -1;
 
-  private static final int OK = 200;
-  private static final int NOT_FOUND = 404;
+  private static final int STATUS_OK = 200;
+  private static final int STATUS_NOT_FOUND = 404;
 
   private final EventLoop loop;
   private final StoreClient store;
   private final long termMs;
   private final Runnable onExpiry;
-  private long id = NONE;
+  private long leaseId = NONE;
   private boolean acquiring;
   private long validUntilMs;
   private EventLoop.Timer nextRenewal;
@@ -67,14 +67,14 @@
       loop.after(ACQUIRE_RETRY_MS, this::acquire);
       return;
     }
-    id = granted;
+    leaseId = granted;
     validUntilMs = validUntil(sentMs);
     renewAfter(termMs / RENEWALS_PER_TERM);
   }
 
   /** The state service's id of the lease; {@link #NONE} while there is none. */
   long id() {
-    return id;
+    return leaseId;
   }
 
   /** The lease can't have expired, whatever the clocks do. */
@@ -95,25 +95,25 @@
   }
 
   private void renew() {
-    long renewed = id;
+    long renewed = leaseId;
     long sentMs = loop.nowMs();
     renewAfter(termMs / RENEWALS_PER_TERM);
     store.renewLease(
         renewed,
         status -> {
           // Answers may come out of order, and those for a former lease say nothing about this one.
-          if (renewed == id) {
+          if (renewed == leaseId) {
             settleRenewal(status, sentMs);
           }
         });
   }
 
   private void settleRenewal(int status, long sentMs) {
-    if (status == OK) {
+    if (status == STATUS_OK) {
       validUntilMs = Math.max(validUntilMs, validUntil(sentMs));
-    } else if (status == NOT_FOUND) {
-      LOG.warn("lease expired: lease={}", id);
-      id = NONE;
+    } else if (status == STATUS_NOT_FOUND) {
+      LOG.warn("lease expired: lease={}", leaseId);
+      leaseId = NONE;
       validUntilMs = 0;
       nextRenewal.cancel();
       onExpiry.run();
--- a/src/main/java/dev/windbend/shard/LeaderElection.java
+++ b/src/main/java/dev/windbend/shard/LeaderElection.java
@@ -145,7 +145,7 @@
    * service does, and may reach another. This one campaigns for no shard until a worker reaches it
    * again, or for the time of a worker's lease.
    */
-  public void yield(int shard) {
+  public void yieldLeadership(int shard) {
     long token = tokens[shard];
     if (token != NOT_LEADER && layout.nodes() > 1) {
       LOG.warn(
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -87,7 +87,7 @@
   private void yieldIfUnreached(long now) {
     long heardMs = Math.max(leaseValidSinceMs, leadership.lastWorkerContactMs());
     if (duties.health.lostWorkers(now, heardMs)) {
-      leadership.yield();
+      leadership.yieldToOthers();
     }
   }
 
--- a/src/main/java/dev/windbend/shard/ShardLeadership.java
+++ b/src/main/java/dev/windbend/shard/ShardLeadership.java
@@ -69,7 +69,7 @@
   }
 
   /** Leaves the shard to a controller that its workers may reach. */
-  void yield() {
-    election.yield(shard);
+  void yieldToOthers() {
+    election.yieldLeadership(shard);
   }
 }
