--- /dev/null
+++ b/src/main/java/dev/windbend/daemon/DeploymentSpecMapper.java
@@ -0,0 +1,87 @@
+package dev.windbend.daemon;
+
+import dev.windbend.shard.DeploymentSpec;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.DoubleStream;
+
+/** Maps the settings to what the leaders of shards need of them. */
+final class DeploymentSpecMapper {
+  private static final double MIN_LIST_LAG_SECONDS = 1;
+  private static final int BYTES_PER_KIB = 1024;
+
+  private DeploymentSpecMapper() {}
+
+  /**
+   * The deployment as the settings describe it.
+   *
+   * @param controllers how many controllers there are
+   */
+  static DeploymentSpec map(Settings.Deployment deployment, int controllers) {
+    return new DeploymentSpec(
+        teamQuotas(deployment.teams()),
+        controllers,
+        new DeploymentSpec.WorkerTiming(
+            deployment.workers().heartbeatSeconds(), deployment.workers().leaseSeconds()),
+        new DeploymentSpec.CloudLimits(
+            Math.max(MIN_LIST_LAG_SECONDS, deployment.cloud().listLagSeconds()),
+            deployment.cloud().requestsPerSecond()),
+        new DeploymentSpec.StoreLimits(
+            (int) (BYTES_PER_KIB * deployment.stateService().valueKib()),
+            deployment.stateService().writesPerSecond()),
+        serviceObjectives(deployment.objectives()));
+  }
+
+  private static List<DeploymentSpec.TeamQuota> teamQuotas(List<Settings.Team> teams) {
+    List<DeploymentSpec.TeamQuota> quotas = new ArrayList<>();
+    for (Settings.Team team : teams) {
+      quotas.add(
+          new DeploymentSpec.TeamQuota(
+              team.name(),
+              team.guaranteedCores(),
+              team.maxCores(),
+              team.guaranteedGpus(),
+              team.maxGpus()));
+    }
+    return quotas;
+  }
+
+  /** Objectives of an unknown kind, or without what their kind needs, are ignored. */
+  private static DeploymentSpec.ServiceObjectives serviceObjectives(
+      List<Settings.Objective> objectives) {
+    Map<String, double[]> deadlineFactors = new HashMap<>();
+    Map<String, double[]> finishSeconds = new HashMap<>();
+    Map<String, Double> waitSeconds = new HashMap<>();
+    double guaranteeSeconds = 0;
+    for (Settings.Objective objective : objectives) {
+      String kind = objective.kind();
+      String jobKind = objective.jobKind();
+      boolean hasLimit = objective.withinSeconds().isPresent();
+      if ("guarantee".equals(kind) && hasLimit) {
+        guaranteeSeconds = objective.withinSeconds().getAsDouble();
+      } else if (jobKind != null) {
+        if ("wait".equals(kind) && hasLimit) {
+          waitSeconds.merge(jobKind, objective.withinSeconds().getAsDouble(), Math::max);
+        } else if ("finished".equals(kind) && hasLimit) {
+          addSorted(finishSeconds, jobKind, objective.withinSeconds().getAsDouble());
+        } else if ("deadline".equals(kind) && objective.deadlineFactor().isPresent()) {
+          addSorted(deadlineFactors, jobKind, objective.deadlineFactor().getAsDouble());
+        }
+      }
+    }
+    return new DeploymentSpec.ServiceObjectives(
+        deadlineFactors, finishSeconds, waitSeconds, guaranteeSeconds);
+  }
+
+  private static void addSorted(Map<String, double[]> values, String jobKind, double value) {
+    values.merge(
+        jobKind,
+        new double[] {value},
+        (present, added) ->
+            DoubleStream.concat(DoubleStream.of(present), DoubleStream.of(added))
+                .sorted()
+                .toArray());
+  }
+}
--- a/src/main/java/dev/windbend/daemon/IniFile.java
+++ b/src/main/java/dev/windbend/daemon/IniFile.java
@@ -7,17 +7,17 @@
 import org.ini4j.Ini;
 import org.ini4j.Profile;
 
-/** A settings file in INI form. Wrong values are refused with section, key and range. */
+/** A settings file in INI form. Values out of range are refused with section, key and range. */
 final class IniFile {
-  private static final double MS = 1_000;
+  private static final double MS_PER_SECOND = 1_000;
 
   private final Ini ini = new Ini();
 
-  IniFile(String text) throws Settings.Invalid {
+  IniFile(String text) throws InvalidSettingsException {
     try {
       ini.load(new StringReader(text));
     } catch (IOException e) {
-      throw new Settings.Invalid("not INI: " + e.getMessage());
+      throw InvalidSettingsException.malformed("INI", e);
     }
   }
 
@@ -25,37 +25,31 @@
     return ini.containsKey(section);
   }
 
-  private String text(String section, String key) {
-    Profile.Section s = ini.get(section);
-    String value = s == null ? null : s.get(key);
-    return value == null ? null : value.trim();
-  }
-
-  /** A number of seconds, as milliseconds. */
-  long millis(String section, String key, long defaultMs, double leastS, double mostS)
-      throws Settings.Invalid {
-    return Math.round(MS * number(section, key, defaultMs / MS, leastS, mostS));
+  /** A duration, in the file a number of seconds; the default if the key is missing. */
+  long milliseconds(
+      String section, String key, long defaultMs, double minSeconds, double maxSeconds)
+      throws InvalidSettingsException {
+    double seconds = number(section, key, defaultMs / MS_PER_SECOND, minSeconds, maxSeconds);
+    return Math.round(MS_PER_SECOND * seconds);
   }
 
-  double number(String section, String key, double defaultValue, double least, double most)
-      throws Settings.Invalid {
+  /** A number from {@code min} to {@code max}; the default if the key is missing. */
+  double number(String section, String key, double defaultValue, double min, double max)
+      throws InvalidSettingsException {
     String text = text(section, key);
     if (text == null) {
       return defaultValue;
     }
-    try {
-      double value = Double.parseDouble(text);
-      if (value >= least && value <= most) {
-        return value;
-      }
-    } catch (NumberFormatException e) {
-      // said below
+    double value = parseNumber(text);
+    if (value >= min && value <= max) {
+      return value;
     }
-    throw new Settings.Invalid(
-        "[%s] %s must be a number from %s to %s: %s".formatted(section, key, least, most, text));
+    throw InvalidSettingsException.invalidValue(
+        section, key, "a number from " + min + " to " + max, text);
   }
 
-  boolean flag(String section, String key, boolean defaultValue) throws Settings.Invalid {
+  /** True or false; the default if the key is missing. */
+  boolean flag(String section, String key, boolean defaultValue) throws InvalidSettingsException {
     String text = text(section, key);
     if (text == null) {
       return defaultValue;
@@ -63,15 +57,29 @@
     return switch (text) {
       case "true" -> true;
       case "false" -> false;
-      default ->
-          throw new Settings.Invalid(
-              "[%s] %s must be true or false: %s".formatted(section, key, text));
+      default -> throw InvalidSettingsException.invalidValue(section, key, "true or false", text);
     };
   }
 
-  /** NameIndex parted by commas; none if the key is not there. */
+  /** Names separated by commas; none if the key is missing. */
   List<String> names(String section, String key) {
     String text = text(section, key);
     return text == null || text.isEmpty() ? List.of() : Arrays.asList(text.split("\\s*,\\s*"));
   }
+
+  /** NaN, which is in no range, if the text is not a number. */
+  private static double parseNumber(String text) {
+    try {
+      return Double.parseDouble(text);
+    } catch (NumberFormatException e) {
+      return Double.NaN;
+    }
+  }
+
+  /** Null if the key is missing. */
+  private String text(String section, String key) {
+    Profile.Section entries = ini.get(section);
+    String value = entries == null ? null : entries.get(key);
+    return value == null ? null : value.trim();
+  }
 }
--- /dev/null
+++ b/src/main/java/dev/windbend/daemon/JobAdmission.java
@@ -0,0 +1,77 @@
+package dev.windbend.daemon;
+
+import dev.windbend.job.Admission;
+import dev.windbend.job.AdmissionPolicy;
+import dev.windbend.job.JobSpec;
+import dev.windbend.machine.MachineType;
+import dev.windbend.machine.MachineTypeCatalog;
+import dev.windbend.shard.ShardLayout;
+import java.util.List;
+
+/**
+ * Admits the jobs that the deployment could ever run: those of a known team whose single task is
+ * within the team's limit and fits a machine type that the job allows.
+ */
+final class JobAdmission implements AdmissionPolicy {
+  private static final double ROUNDING_TOLERANCE = 1e-9;
+  private static final Admission UNKNOWN_TEAM = new Admission.Rejected("unknown team");
+  private static final Admission OVER_TEAM_LIMIT =
+      new Admission.Rejected("one task is over the team's limit");
+  private static final Admission FITS_NO_MACHINE_TYPE =
+      new Admission.Rejected("a task fits no allowed machine type");
+
+  private final ShardLayout layout;
+  private final List<Settings.Team> teams;
+  private final MachineTypeCatalog catalog;
+
+  /**
+   * An admission policy for a deployment.
+   *
+   * @param teams in the order of the layout
+   */
+  JobAdmission(ShardLayout layout, List<Settings.Team> teams, MachineTypeCatalog catalog) {
+    this.layout = layout;
+    this.teams = teams;
+    this.catalog = catalog;
+  }
+
+  /** Undecided until the machine types are known. */
+  @Override
+  public Admission decide(JobSpec spec) {
+    int team = layout.team(spec.team());
+    if (team < 0) {
+      return UNKNOWN_TEAM;
+    }
+    if (!catalog.known()) {
+      return Admission.UNDECIDED;
+    }
+    if (isOverLimit(spec, teams.get(team))) {
+      return OVER_TEAM_LIMIT;
+    }
+    for (MachineType type : catalog.all()) {
+      if (allows(spec, type) && type.fits(spec.cores(), spec.gpus(), spec.memoryGb())) {
+        return Admission.ADMITTED;
+      }
+    }
+    return FITS_NO_MACHINE_TYPE;
+  }
+
+  private static boolean isOverLimit(JobSpec spec, Settings.Team team) {
+    return spec.cores() > team.maxCores() + ROUNDING_TOLERANCE
+        || spec.gpus() > team.maxGpus() + ROUNDING_TOLERANCE;
+  }
+
+  /**
+   * Whether the job may run on the type, which must be offered in the job's zone, if it has one.
+   */
+  private boolean allows(JobSpec spec, MachineType type) {
+    if (spec.types() != null && !spec.types().contains(type.name())) {
+      return false;
+    }
+    if (spec.zone() == null) {
+      return true;
+    }
+    int zone = catalog.zones().find(spec.zone());
+    return zone >= 0 && type.in(zone);
+  }
+}
--- /dev/null
+++ b/src/main/java/dev/windbend/daemon/RequestRouter.java
@@ -0,0 +1,57 @@
+package dev.windbend.daemon;
+
+import dev.windbend.runtime.HttpStatus;
+import dev.windbend.runtime.RequestHandler;
+import dev.windbend.runtime.ServerRequest;
+import dev.windbend.runtime.ServerResponse;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+
+/**
+ * Routes requests by path and method to their handlers. A path that is not served is answered with
+ * 404, a method that is not with 405.
+ */
+final class RequestRouter implements RequestHandler {
+  private static final RequestHandler NOT_FOUND =
+      (request, done) -> done.accept(ServerResponse.ofStatus(HttpStatus.NOT_FOUND));
+
+  private final Map<String, Route> routes = new HashMap<>();
+  private Predicate<String> servesSubtree = path -> false;
+  private RequestHandler subtree = NOT_FOUND;
+
+  private record Route(String method, RequestHandler handler) {}
+
+  /** Adds a handler for GET requests on exactly this path. */
+  RequestRouter get(String path, RequestHandler handler) {
+    routes.put(path, new Route("GET", handler));
+    return this;
+  }
+
+  /** Adds a handler for POST requests on exactly this path. */
+  RequestRouter post(String path, RequestHandler handler) {
+    routes.put(path, new Route("POST", handler));
+    return this;
+  }
+
+  /** Sets the handler for the paths, beside the exact ones, that the predicate accepts. */
+  RequestRouter subtree(Predicate<String> paths, RequestHandler handler) {
+    servesSubtree = paths;
+    subtree = handler;
+    return this;
+  }
+
+  @Override
+  public void handle(ServerRequest request, Consumer<ServerResponse> done) {
+    Route route = routes.get(request.path());
+    if (route == null) {
+      RequestHandler handler = servesSubtree.test(request.path()) ? subtree : NOT_FOUND;
+      handler.handle(request, done);
+    } else if (route.method().equals(request.method())) {
+      route.handler().handle(request, done);
+    } else {
+      done.accept(ServerResponse.ofStatus(HttpStatus.METHOD_NOT_ALLOWED));
+    }
+  }
+}
--- a/src/main/java/dev/windbend/daemon/TomlTable.java
+++ b/src/main/java/dev/windbend/daemon/TomlTable.java
@@ -6,15 +6,16 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalDouble;
 
 /**
- * A table of a TOML file, read field by field. Binding it to records by reflection took a sixth of
- * the processor time of a controller's start.
+ * A table of a TOML file, read key by key: binding it to records by reflection costs a starting
+ * controller processor time.
  */
 final class TomlTable {
   private final JsonNode node;
 
-  /** Where the table stands in the file, for messages. */
+  /** The table's name with those of its parents, separated by dots; empty for the top level. */
   private final String path;
 
   private TomlTable(JsonNode node, String path) {
@@ -22,44 +23,45 @@
     this.path = path;
   }
 
-  static TomlTable parse(String toml) throws Settings.Invalid {
+  static TomlTable parse(String toml) throws InvalidSettingsException {
     try {
       return new TomlTable(Json.tree(new TomlFactory().createParser(toml)), "");
     } catch (IOException e) {
-      throw new Settings.Invalid("not TOML: " + e.getMessage());
+      throw InvalidSettingsException.malformed("TOML", e);
     }
   }
 
-  /** Null if there is none. */
-  TomlTable table(String key) throws Settings.Invalid {
+  /** The table under the key; null if there is none. */
+  TomlTable table(String key) throws InvalidSettingsException {
     JsonNode value = node.get(key);
     if (value == null) {
       return null;
     }
     check(value.isObject(), key, "a table");
-    return new TomlTable(value, name(key));
+    return new TomlTable(value, pathOf(key));
   }
 
-  /** None if the key is missing. */
-  List<TomlTable> tables(String key) throws Settings.Invalid {
-    List<TomlTable> all = new ArrayList<>();
+  /** The tables of an array; none if the key is missing. */
+  List<TomlTable> tables(String key) throws InvalidSettingsException {
+    List<TomlTable> values = new ArrayList<>();
     for (JsonNode value : array(key)) {
       check(value.isObject(), key, "an array of tables");
-      all.add(new TomlTable(value, name(key)));
+      values.add(new TomlTable(value, pathOf(key)));
     }
-    return all;
+    return values;
   }
 
-  List<String> texts(String key) throws Settings.Invalid {
-    List<String> all = new ArrayList<>();
+  /** The strings of an array; none if the key is missing. */
+  List<String> texts(String key) throws InvalidSettingsException {
+    List<String> values = new ArrayList<>();
     for (JsonNode value : array(key)) {
       check(value.isTextual(), key, "an array of strings");
-      all.add(value.textValue());
+      values.add(value.textValue());
     }
-    return all;
+    return values;
   }
 
-  private Iterable<JsonNode> array(String key) throws Settings.Invalid {
+  private Iterable<JsonNode> array(String key) throws InvalidSettingsException {
     JsonNode value = node.get(key);
     if (value == null) {
       return List.of();
@@ -68,8 +70,8 @@
     return value;
   }
 
-  /** Null if the key is missing. */
-  String text(String key) throws Settings.Invalid {
+  /** A string; null if the key is missing. */
+  String text(String key) throws InvalidSettingsException {
     JsonNode value = node.get(key);
     if (value == null) {
       return null;
@@ -78,23 +80,23 @@
     return value.textValue();
   }
 
-  /** 0 if the key is missing. */
-  double number(String key) throws Settings.Invalid {
-    Double value = numberOrNull(key);
-    return value == null ? 0 : value;
+  /** A number; 0 if the key is missing. */
+  double number(String key) throws InvalidSettingsException {
+    return optionalNumber(key).orElse(0);
   }
 
-  Double numberOrNull(String key) throws Settings.Invalid {
+  /** A number, if the key is there. */
+  OptionalDouble optionalNumber(String key) throws InvalidSettingsException {
     JsonNode value = node.get(key);
     if (value == null) {
-      return null;
+      return OptionalDouble.empty();
     }
     check(value.isNumber(), key, "a number");
-    return value.doubleValue();
+    return OptionalDouble.of(value.doubleValue());
   }
 
-  /** 0 if the key is missing. */
-  int integer(String key) throws Settings.Invalid {
+  /** An integer; 0 if the key is missing. */
+  int integer(String key) throws InvalidSettingsException {
     JsonNode value = node.get(key);
     if (value == null) {
       return 0;
@@ -103,13 +105,13 @@
     return value.intValue();
   }
 
-  private String name(String key) {
+  private String pathOf(String key) {
     return path.isEmpty() ? key : path + "." + key;
   }
 
-  private void check(boolean right, String key, String wanted) throws Settings.Invalid {
-    if (!right) {
-      throw new Settings.Invalid("wrong type at " + name(key) + ": it must be " + wanted);
+  private void check(boolean hasType, String key, String accepted) throws InvalidSettingsException {
+    if (!hasType) {
+      throw InvalidSettingsException.wrongType(path, key, accepted);
     }
   }
 }
--- a/src/main/java/dev/windbend/daemon/TrainingServices.java
+++ b/src/main/java/dev/windbend/daemon/TrainingServices.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.databind.JsonNode;
 import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.Json;
 import dev.windbend.runtime.ServerRequest;
 import dev.windbend.runtime.ServerResponse;
@@ -15,61 +16,65 @@
 import java.util.function.Consumer;
 
 /**
- * A state service and a cloud for the {@link Rehearsal}, in memory and for one controller: just
- * enough for it to run through its ordinary paths. Nothing is limited, no lease ends.
+ * A state service and a cloud for {@link ClassArchiveTraining}, in memory and for one user: just
+ * enough for a controller to take its ordinary paths. No rate is limited, no lease expires.
  */
 final class TrainingServices {
-  private static final long WATCH_MS = 50;
-  private static final int MACHINES = 4;
+  private static final String KEY_PATH = "/keys/";
+  private static final long WATCH_DELAY_MS = 50;
+  private static final int MAX_MACHINES = 4;
 
   private final EventLoop loop;
   private final TreeMap<String, Map<String, Object>> pairs = new TreeMap<>();
   private final List<Map<String, Object>> changes = new ArrayList<>();
   private final List<String> machines = new ArrayList<>();
-  private final Map<String, List<String>> rentals = new LinkedHashMap<>();
+  private final Map<String, List<String>> machinesByScaleOut = new LinkedHashMap<>();
   private long revision = 1;
 
   TrainingServices(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** NameIndex of all machines that were rented. */
+  /** The names of all machines that were added. */
   List<String> machines() {
     return List.copyOf(machines);
   }
 
-  void serve(ServerRequest request, Consumer<ServerResponse> done) {
+  /** Handles a request to either service. */
+  void handle(ServerRequest request, Consumer<ServerResponse> done) {
     String path = request.path();
     if (path.equals("/follow")) {
-      loop.after(WATCH_MS, () -> done.accept(follow(request)));
+      loop.after(WATCH_DELAY_MS, () -> done.accept(watch(request)));
     } else {
-      done.accept(answer(path, request));
+      done.accept(respond(path, request));
     }
   }
 
-  private ServerResponse answer(String path, ServerRequest request) {
-    if (path.startsWith("/keys/")) {
-      Map<String, Object> pair = pairs.get(path.substring("/keys/".length()));
+  private ServerResponse respond(String path, ServerRequest request) {
+    if (path.startsWith(KEY_PATH)) {
+      Map<String, Object> pair = pairs.get(path.substring(KEY_PATH.length()));
       return pair == null
-          ? ServerResponse.of(404, Map.of("ledger", revision))
-          : ServerResponse.of(200, pair);
+          ? ServerResponse.of(HttpStatus.NOT_FOUND, Map.of("ledger", revision))
+          : ServerResponse.of(HttpStatus.OK, pair);
     }
     return switch (path) {
       case "/keys" -> list(request.query().get("prefix"));
       case "/txn" -> commit(tree(request));
-      case "/hosts" -> request.method().equals("GET") ? listMachines() : rent(tree(request));
-      case "/machine_types" -> ServerResponse.of(200, Map.of("rigs", List.of(machineType())));
-      default -> ServerResponse.of(200, Map.of("permit", 1));
+      case "/hosts" -> request.method().equals("GET") ? listMachines() : scaleOut(tree(request));
+      case "/machine_types" ->
+          ServerResponse.of(HttpStatus.OK, Map.of("rigs", List.of(machineType())));
+      default -> ServerResponse.of(HttpStatus.OK, Map.of("permit", 1));
     };
   }
 
   private ServerResponse list(String prefix) {
     List<Object> found =
         new ArrayList<>(pairs.subMap(prefix, prefix + Character.MAX_VALUE).values());
-    return ServerResponse.of(200, Map.of("pairs", found, "has_next", false, "ledger", revision));
+    return ServerResponse.of(
+        HttpStatus.OK, Map.of("pairs", found, "has_next", false, "ledger", revision));
   }
 
-  private ServerResponse follow(ServerRequest request) {
+  private ServerResponse watch(ServerRequest request) {
     long from = Long.parseLong(request.query().get("from"));
     List<Object> newer = new ArrayList<>();
     for (Map<String, Object> change : changes) {
@@ -77,7 +82,7 @@
         newer.add(change);
       }
     }
-    return ServerResponse.of(200, Map.of("ledger", revision, "log", newer));
+    return ServerResponse.of(HttpStatus.OK, Map.of("ledger", revision, "log", newer));
   }
 
   private ServerResponse commit(JsonNode transaction) {
@@ -90,13 +95,13 @@
       }
     }
     if (!failed.isEmpty()) {
-      return ServerResponse.of(409, Map.of("failed", failed, "ledger", revision));
+      return ServerResponse.of(HttpStatus.CONFLICT, Map.of("failed", failed, "ledger", revision));
     }
     revision++;
     for (JsonNode change : transaction.path("then")) {
       apply(change);
     }
-    return ServerResponse.of(200, Map.of("ledger", revision));
+    return ServerResponse.of(HttpStatus.OK, Map.of("ledger", revision));
   }
 
   private void apply(JsonNode change) {
@@ -111,20 +116,20 @@
     changes.add(Map.of("set", key, "v", change.path("v"), "stamp", revision));
   }
 
-  private ServerResponse rent(JsonNode request) {
+  private ServerResponse scaleOut(JsonNode request) {
     String name = request.path("hire").asText();
-    if (!rentals.containsKey(name)) {
-      List<String> rented = new ArrayList<>();
-      for (int i = 0; i < request.path("how_many").asInt() && machines.size() < MACHINES; i++) {
-        rented.add("host-" + machines.size());
+    if (!machinesByScaleOut.containsKey(name)) {
+      List<String> added = new ArrayList<>();
+      for (int i = 0; i < request.path("how_many").asInt() && machines.size() < MAX_MACHINES; i++) {
+        added.add("host-" + machines.size());
         machines.add("host-" + machines.size());
       }
-      rentals.put(name, rented);
+      machinesByScaleOut.put(name, added);
     }
-    List<String> rented = rentals.get(name);
-    return rented.isEmpty()
-        ? ServerResponse.of(503, Map.of("error", "no capacity"))
-        : ServerResponse.of(200, Map.of("trucks", rented));
+    List<String> added = machinesByScaleOut.get(name);
+    return added.isEmpty()
+        ? ServerResponse.of(HttpStatus.SERVICE_UNAVAILABLE, Map.of("error", "no capacity"))
+        : ServerResponse.of(HttpStatus.OK, Map.of("trucks", added));
   }
 
   private ServerResponse listMachines() {
@@ -135,7 +140,7 @@
               "uid", machine, "rig", "t", "yard", "zone", "standby", true, "status", "running",
               "age_s", 9));
     }
-    return ServerResponse.of(200, Map.of("trucks", listed, "has_next", false));
+    return ServerResponse.of(HttpStatus.OK, Map.of("trucks", listed, "has_next", false));
   }
 
   private static Map<String, Object> machineType() {
--- a/src/main/java/dev/windbend/daemon/TrainingWorker.java
+++ b/src/main/java/dev/windbend/daemon/TrainingWorker.java
@@ -8,78 +8,81 @@
 import java.util.List;
 import java.util.Map;
 
-/** A worker for the {@link Rehearsal}: reports, starts tasks and ends each after some reports. */
+/**
+ * A worker for {@link ClassArchiveTraining}: sends heartbeats, starts tasks and ends each after
+ * some heartbeats.
+ */
 final class TrainingWorker {
-  private static final int REPORTS_A_TASK = 4;
-  private static final long LIMIT_MS = 1_000;
+  private static final int HEARTBEATS_PER_TASK = 4;
+  private static final long REQUEST_TIMEOUT_MS = 1_000;
 
-  private final HttpClient web;
+  private final HttpClient http;
   private final String machine;
   private final Map<String, RunningTask> tasks = new LinkedHashMap<>();
-  private long token;
-  private long reports;
-  private boolean waiting;
+  private long fencingToken;
+  private long heartbeats;
+  private boolean awaitingResponse;
 
   private static final class RunningTask {
     private final long attempt;
-    private int reports;
+    private int heartbeats;
 
     RunningTask(long attempt) {
       this.attempt = attempt;
     }
 
     boolean exited() {
-      return reports > REPORTS_A_TASK;
+      return heartbeats > HEARTBEATS_PER_TASK;
     }
   }
 
-  TrainingWorker(HttpClient web, String machine) {
-    this.web = web;
+  TrainingWorker(HttpClient http, String machine) {
+    this.http = http;
     this.machine = machine;
   }
 
-  /** Sends a report unless the answer to the last one is still awaited. */
-  void report(String controller) {
-    if (waiting) {
+  /** Sends a heartbeat unless the response to the last one is still awaited. */
+  void sendHeartbeat(String controllerAddress) {
+    if (awaitingResponse) {
       return;
     }
-    waiting = true;
-    web.call(
-        controller,
+    awaitingResponse = true;
+    http.call(
+        controllerAddress,
         "POST",
         "/hello",
-        Json.write(message()),
-        LIMIT_MS,
+        Json.write(heartbeat()),
+        REQUEST_TIMEOUT_MS,
         reply -> {
-          waiting = false;
-          JsonNode answer = reply.ok() ? Json.read(reply.body(), JsonNode.class) : null;
-          if (answer != null) {
-            token = Math.max(token, answer.path("baton").asLong());
-            answer.path("orders").forEach(this::execute);
+          awaitingResponse = false;
+          JsonNode response = reply.ok() ? Json.read(reply.body(), JsonNode.class) : null;
+          if (response != null) {
+            fencingToken = Math.max(fencingToken, response.path("baton").asLong());
+            response.path("orders").forEach(this::execute);
           }
         });
   }
 
-  private Map<String, Object> message() {
-    Map<String, Object> report = new LinkedHashMap<>();
-    report.put("truck", machine);
-    report.put("addr", "127.0.0.1:9");
-    report.put("rig", "t");
-    report.put("yard", "zone");
-    report.put("standby", true);
-    report.put("shift", 1);
-    report.put("tally", ++reports);
-    report.put("baton", token);
-    report.put("recall_s", null);
-    report.put("drops", states());
-    return report;
+  private Map<String, Object> heartbeat() {
+    Map<String, Object> heartbeat = new LinkedHashMap<>();
+    heartbeat.put("truck", machine);
+    heartbeat.put("addr", "127.0.0.1:9");
+    heartbeat.put("rig", "t");
+    heartbeat.put("yard", "zone");
+    heartbeat.put("standby", true);
+    heartbeat.put("shift", 1);
+    heartbeat.put("tally", ++heartbeats);
+    heartbeat.put("baton", fencingToken);
+    heartbeat.put("recall_s", null);
+    heartbeat.put("drops", taskStates());
+    return heartbeat;
   }
 
-  private List<Map<String, Object>> states() {
+  private List<Map<String, Object>> taskStates() {
     List<Map<String, Object>> states = new ArrayList<>();
     for (Map.Entry<String, RunningTask> entry : tasks.entrySet()) {
       RunningTask task = entry.getValue();
-      task.reports++;
+      task.heartbeats++;
       Map<String, Object> state = new LinkedHashMap<>();
       state.put("drop", entry.getKey());
       state.put("run", task.attempt);
--- a/src/main/java/dev/windbend/daemon/ZoneSettings.java
+++ b/src/main/java/dev/windbend/daemon/ZoneSettings.java
@@ -3,14 +3,18 @@
 import dev.windbend.zone.ZonePolicy;
 import java.util.List;
 
-/** The section of the operators' settings on zones. */
+/** Reads the operators' settings on the loss of zones. */
 final class ZoneSettings {
   private static final String SECTION = "zone";
-  private static final double MINUTE_S = 60;
-  private static final double HOUR_S = 3_600;
-  private static final double DAY_S = 86_400;
-  private static final double MOST_PER_SECOND = 1_000;
+  private static final double SECONDS_PER_MINUTE = 60;
+  private static final double SECONDS_PER_HOUR = 3_600;
+  private static final double SECONDS_PER_DAY = 86_400;
+  private static final double MS_PER_SECOND = 1_000;
+  private static final double MAX_DETECTION_SECONDS = 10 * SECONDS_PER_MINUTE;
+  private static final double MIN_RETURN_PER_SECOND = 0.01;
+  private static final double MAX_RETURN_PER_SECOND = 1_000;
 
+  /** What holds without the section. */
   static final ZonePolicy DEFAULTS =
       new ZonePolicy(false, List.of(), 3_000, 3_000, 10_000, 300_000, 600_000, 5, 5_000);
 
@@ -21,30 +25,49 @@
    *
    * @param zones the names of the zones that the deployment has
    */
-  static ZonePolicy read(IniFile ini, List<String> zones) throws Settings.Invalid {
-    List<String> watched = ini.names(SECTION, "zones");
-    for (String name : watched) {
-      if (!zones.contains(name)) {
-        throw new Settings.Invalid(
-            "[%s] zones must be zones of the deployment, which are %s: %s"
-                .formatted(SECTION, String.join(", ", zones), name));
-      }
-    }
-    long backoffMs = ini.millis(SECTION, "backoff_s", DEFAULTS.backoffMs(), 1, HOUR_S);
+  static ZonePolicy read(IniFile ini, List<String> zones) throws InvalidSettingsException {
+    List<String> watched = watchedZones(ini, zones);
+    long backoffMs = durationMs(ini, "backoff_s", DEFAULTS.backoffMs(), 1, SECONDS_PER_HOUR);
     return new ZonePolicy(
         ini.flag(SECTION, "enabled", DEFAULTS.enabled()),
         watched,
-        ini.millis(SECTION, "lost_after_s", DEFAULTS.lostAfterMs(), 0, 10 * MINUTE_S),
-        ini.millis(SECTION, "return_after_s", DEFAULTS.returnAfterMs(), 0, 10 * MINUTE_S),
+        durationMs(ini, "lost_after_s", DEFAULTS.lostAfterMs(), 0, MAX_DETECTION_SECONDS),
+        durationMs(ini, "return_after_s", DEFAULTS.returnAfterMs(), 0, MAX_DETECTION_SECONDS),
         backoffMs,
-        ini.millis(
-            SECTION,
+        durationMs(
+            ini,
             "longest_backoff_s",
             Math.max(backoffMs, DEFAULTS.longestBackoffMs()),
-            backoffMs / 1000.0,
-            DAY_S),
-        ini.millis(SECTION, "decay_s", DEFAULTS.decayMs(), 1, DAY_S),
-        ini.number(SECTION, "return_per_s", DEFAULTS.returnPerSecond(), 0.01, MOST_PER_SECOND),
-        ini.millis(SECTION, "widen_s", DEFAULTS.widenMs(), 1, HOUR_S));
+            backoffMs / MS_PER_SECOND,
+            SECONDS_PER_DAY),
+        durationMs(ini, "decay_s", DEFAULTS.decayMs(), 1, SECONDS_PER_DAY),
+        ini.number(
+            SECTION,
+            "return_per_s",
+            DEFAULTS.returnPerSecond(),
+            MIN_RETURN_PER_SECOND,
+            MAX_RETURN_PER_SECOND),
+        durationMs(ini, "widen_s", DEFAULTS.widenMs(), 1, SECONDS_PER_HOUR));
+  }
+
+  private static List<String> watchedZones(IniFile ini, List<String> zones)
+      throws InvalidSettingsException {
+    List<String> watched = ini.names(SECTION, "zones");
+    for (String name : watched) {
+      if (!zones.contains(name)) {
+        throw InvalidSettingsException.invalidValue(
+            SECTION,
+            "zones",
+            "zones of the deployment, which are " + String.join(", ", zones),
+            name);
+      }
+    }
+    return watched;
+  }
+
+  private static long durationMs(
+      IniFile ini, String key, long defaultMs, double minSeconds, double maxSeconds)
+      throws InvalidSettingsException {
+    return ini.milliseconds(SECTION, key, defaultMs, minSeconds, maxSeconds);
   }
 }
--- a/src/test/java/dev/windbend/daemon/ArgumentsTest.java
+++ b/src/test/java/dev/windbend/daemon/ArgumentsTest.java
@@ -18,14 +18,15 @@
     "-h --config a.toml,HELP,a.toml,",
     "-V,VERSION,,",
     "--help --version,HELP,,",
-    "--rehearse,REHEARSE,,",
+    "--train-class-archive,TRAIN_CLASS_ARCHIVE,,",
   })
   void reads(String words, Arguments.Action action, String config, String settings)
-      throws Arguments.Invalid {
+      throws Arguments.InvalidArgumentsException {
     Arguments arguments = Arguments.parse(words.split(" "));
     assertThat(arguments.action()).isEqualTo(action);
-    assertThat(String.valueOf(arguments.config())).isEqualTo(String.valueOf(config));
-    assertThat(String.valueOf(arguments.settings())).isEqualTo(String.valueOf(settings));
+    assertThat(String.valueOf(arguments.config().orElse(null))).isEqualTo(String.valueOf(config));
+    assertThat(String.valueOf(arguments.settings().orElse(null)))
+        .isEqualTo(String.valueOf(settings));
   }
 
   @ParameterizedTest(name = "{0}: {1}")
@@ -38,7 +39,7 @@
   })
   void namesWhatIsWrong(String words, String message) {
     assertThatThrownBy(() -> Arguments.parse(words.split(" ")))
-        .isInstanceOf(Arguments.Invalid.class)
+        .isInstanceOf(Arguments.InvalidArgumentsException.class)
         .hasMessageContaining(message);
   }
 }
--- a/src/test/java/dev/windbend/daemon/LoopbackCluster.java
+++ b/src/test/java/dev/windbend/daemon/LoopbackCluster.java
@@ -78,8 +78,8 @@
                     reply(done)));
     for (int i = 0; i < stand.size; i++) {
       ControllerProcess c = new ControllerProcess();
-      c.userAddress = listen((request, done) -> c.node.serve(request, done));
-      c.peerAddress = listen((request, done) -> c.node.servePeer(request, done));
+      c.userAddress = listen((request, done) -> c.node.clientEndpoints().handle(request, done));
+      c.peerAddress = listen((request, done) -> c.node.peerEndpoints().handle(request, done));
       controllers.add(c);
     }
     stand.delivery = this::deliver;
@@ -127,12 +127,12 @@
     try {
       c.node =
           new Controller(
-              Settings.parse(settings),
+              SettingsReader.parse(settings),
               stand.policy,
               loop,
               (address, method, path, body, limitMs, done) ->
                   call(name, address, method, path, body, limitMs, done));
-    } catch (Settings.Invalid e) {
+    } catch (InvalidSettingsException e) {
       throw new AssertionError(e);
     }
     c.node.start();
--- a/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
+++ b/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
@@ -53,7 +53,7 @@
   /** Requests that nodes send, by receiver, method and path. */
   private final TreeSet<String> requests = new TreeSet<>();
 
-  private SimulatedCluster cluster(String settings) throws Settings.Invalid {
+  private SimulatedCluster cluster(String settings) throws InvalidSettingsException {
     SimulatedCluster w = new SimulatedCluster(5);
     w.loss = 0;
     w.late = 0;
@@ -105,7 +105,7 @@
   }
 
   /** A day with all that makes nodes write keys and send requests. */
-  private void watchADay() throws Settings.Invalid {
+  private void watchADay() throws InvalidSettingsException {
     SimulatedCluster w = cluster(ZONES_LOOKED_AFTER);
     w.delivery =
         (from, address, method, path, body, done) -> {
@@ -123,7 +123,7 @@
 
   /** The keys below which the state service keeps each kind of record, and what they end in. */
   @Test
-  void writesTheseKeysAndSendsTheseRequests() throws Settings.Invalid {
+  void writesTheseKeysAndSendsTheseRequests() throws InvalidSettingsException {
     watchADay();
     assertThat(keys)
         .containsExactlyInAnyOrder(
@@ -183,7 +183,7 @@
         "80|POST|/peer/lend|{}|404",
       })
   void servesPaths(int port, String method, String path, String body, int status)
-      throws Settings.Invalid {
+      throws InvalidSettingsException {
     SimulatedCluster w = cluster("");
     w.begin(0, 1);
     w.time.runUntil(4_000);
@@ -193,7 +193,7 @@
 
   /** A user who asks for what does not exist or can't be answered gets an empty object. */
   @Test
-  void answersWithoutAMessageWithAnEmptyObject() throws Settings.Invalid {
+  void answersWithoutAMessageWithAnEmptyObject() throws InvalidSettingsException {
     SimulatedCluster w = cluster("");
     w.begin(0, 1);
     w.time.runUntil(4_000);
@@ -202,7 +202,7 @@
   }
 
   @Test
-  void showsTheseMetrics() throws Settings.Invalid {
+  void showsTheseMetrics() throws InvalidSettingsException {
     SimulatedCluster w = cluster("");
     w.begin(0, 1);
     w.time.runUntil(4_000);
@@ -220,7 +220,7 @@
   }
 
   @Test
-  void showsTheseMetricsWhereZonesAreLookedAfter() throws Settings.Invalid {
+  void showsTheseMetricsWhereZonesAreLookedAfter() throws InvalidSettingsException {
     SimulatedCluster w = cluster(ZONES_LOOKED_AFTER);
     w.begin(0, 1);
     w.time.runUntil(4_000);
@@ -265,7 +265,7 @@
         "{'uid'|['uid'|400|{\"error\":\"not a JSON object\"}",
       })
   void answersSubmissions(String from, String to, int status, String answer)
-      throws Settings.Invalid {
+      throws InvalidSettingsException {
     SimulatedCluster w = cluster("");
     w.begin(0, 1);
     w.time.runUntil(4_000);
@@ -284,18 +284,18 @@
     "POST,/v1/jobs/wk-000001/cancel",
   })
   void sendsUsersAwayForASecondIfItIsNotAnswered(String method, String path)
-      throws Settings.Invalid {
+      throws InvalidSettingsException {
     SimulatedCluster w = cluster("");
     Controller node =
         new Controller(
-            Settings.parse(w.settings(0)),
+            SettingsReader.parse(w.settings(0)),
             w.policy,
             w.time.new ProcessLoop(0, 0, () -> 0L),
             (address, callMethod, callPath, body, limitMs, done) ->
                 w.time.at(limitMs, () -> done.accept(ClientResponse.NO_RESPONSE)));
     List<ServerResponse> answers = new ArrayList<>();
     byte[] body = JOB.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-    node.serve(new ServerRequest(method, path, Map.of(), body), answers::add);
+    node.clientEndpoints().handle(new ServerRequest(method, path, Map.of(), body), answers::add);
     w.time.runUntil(30_000);
     assertThat(answers).hasSize(1);
     assertThat(answers.get(0).status()).isEqualTo(503);
--- a/src/test/java/dev/windbend/daemon/SettingsKeysTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsKeysTest.java
@@ -7,6 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
 /** Each key of the settings files goes to the setting that it is for. */
@@ -68,25 +69,27 @@
 
   /** Each key of the platform's file; what is not known is ignored everywhere. */
   @Test
-  void readsEachKeyOfThePlatformsFile() throws Settings.Invalid {
-    assertThat(Settings.parse(PLATFORM))
+  void readsEachKeyOfThePlatformsFile() throws InvalidSettingsException {
+    assertThat(SettingsReader.parse(PLATFORM))
         .isEqualTo(
             new Settings(
                 "mast-0",
                 "b",
                 "10.0.0.1:8080",
                 "10.0.0.1:8081",
-                List.of(new Settings.Seed("mast-1", "10.0.0.2:8081")),
+                List.of(new Settings.Peer("mast-1", "10.0.0.2:8081")),
                 new Settings.Services("10.2.0.2:8443", "10.2.0.1:2379"),
                 new Settings.Deployment(
                     3,
                     List.of("a", "b"),
                     List.of(new Settings.Team("vision", 1.5, 2.5, 3.5, 4.5)),
                     List.of(
-                        new Settings.Objective("deadline", "train", 5.5, 6.5),
-                        new Settings.Objective("guarantee", null, null, null)),
+                        new Settings.Objective(
+                            "deadline", "train", OptionalDouble.of(5.5), OptionalDouble.of(6.5)),
+                        new Settings.Objective(
+                            "guarantee", null, OptionalDouble.empty(), OptionalDouble.empty())),
                     new Settings.Workers(7.5, 8.5, 9.5),
-                    new Settings.State(10.5, 11.5, 12.5, 13),
+                    new Settings.StateService(10.5, 11.5, 12.5, 13),
                     new Settings.Cloud(14.5, 15.5))));
   }
 
@@ -103,7 +106,7 @@
 
   /** Each key of the operators' file; what is not known is ignored everywhere. */
   @Test
-  void readsEachKeyOfTheOperatorsFile() throws Settings.Invalid {
+  void readsEachKeyOfTheOperatorsFile() throws InvalidSettingsException {
     String ini =
         """
         [plan]
@@ -140,14 +143,14 @@
   }
 
   @Test
-  void hasTheseDefaults() throws Settings.Invalid {
+  void hasTheseDefaults() throws InvalidSettingsException {
     assertThat(OperatorSettings.parse("", ZONES)).isEqualTo(DEFAULTS);
     assertThat(OperatorSettings.defaults()).isEqualTo(DEFAULTS);
   }
 
   /** The file in the repository says so of itself: the defaults, but for enabled. */
   @Test
-  void shipsAFileOfTheDefaults() throws Settings.Invalid {
+  void shipsAFileOfTheDefaults() throws InvalidSettingsException {
     Path file = Path.of("deploy", "zones.ini");
     ZonePolicy zones =
         new ZonePolicy(true, List.of(), 3_000, 3_000, 10_000, 300_000, 600_000, 5, 5_000);
--- a/src/test/java/dev/windbend/daemon/SettingsTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsTest.java
@@ -5,8 +5,12 @@
 
 import dev.windbend.shard.Policy;
 import dev.windbend.zone.ZonePolicy;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -43,11 +47,11 @@
       """;
 
   @Test
-  void readsThePlatformsFileAndIgnoresWhatItDoesNotKnow() throws Settings.Invalid {
-    Settings s = Settings.parse(GOOD);
-    assertThat(s.node()).isEqualTo("mast-0");
-    assertThat(s.facts().teams().get(0).maxCores()).isEqualTo(2);
-    assertThat(s.peers()).isEmpty();
+  void readsThePlatformsFileAndIgnoresWhatItDoesNotKnow() throws InvalidSettingsException {
+    Settings settings = SettingsReader.parse(GOOD);
+    assertThat(settings.node()).isEqualTo("mast-0");
+    assertThat(settings.deployment().teams().get(0).maxCores()).isEqualTo(2);
+    assertThat(settings.peers()).isEmpty();
   }
 
   @ParameterizedTest(name = "{0} -> {1} names {2}")
@@ -66,28 +70,29 @@
       })
   void saysWhatIsWrong(String from, String to, String named) {
     assertThat(GOOD).contains(from);
-    assertThatThrownBy(() -> Settings.parse(GOOD.replace(from, to == null ? "" : to)))
-        .isInstanceOf(Settings.Invalid.class)
+    assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace(from, to == null ? "" : to)))
+        .isInstanceOf(InvalidSettingsException.class)
         .hasMessageContaining(named);
   }
 
   /** A guest team: taken for a limit of no cores at all, every job of it was refused with 422. */
   @Test
-  void aLimitOfZeroIsNone() throws Settings.Invalid {
-    Settings s =
-        Settings.parse(
+  void aLimitOfZeroIsNone() throws InvalidSettingsException {
+    Settings settings =
+        SettingsReader.parse(
             GOOD.replace("cpus = 1.0", "cpus = 0.0").replace("_max = 2.0", "_max = 0.0"));
-    assertThat(s.facts().teams().get(0).cores()).isZero();
-    assertThat(s.facts().teams().get(0).maxCores()).isInfinite();
-    assertThat(s.facts().teams().get(0).maxGpus()).isInfinite();
+    assertThat(settings.deployment().teams().get(0).guaranteedCores()).isZero();
+    assertThat(settings.deployment().teams().get(0).maxCores()).isInfinite();
+    assertThat(settings.deployment().teams().get(0).maxGpus()).isInfinite();
   }
 
   @Test
-  void operatorsMaySetTheDesignsNumbers() throws Settings.Invalid {
-    Policy p = OperatorSettings.parse("[plan]\nperiod_s = 5\nrounds_on_events = false\n", ZONES);
-    assertThat(p.cyclePeriodMs()).isEqualTo(5_000);
-    assertThat(p.cyclesOnEvents()).isFalse();
-    assertThat(p.billingBlockMs()).isEqualTo(OperatorSettings.defaults().billingBlockMs());
+  void operatorsMaySetTheDesignsNumbers() throws InvalidSettingsException {
+    Policy policy =
+        OperatorSettings.parse("[plan]\nperiod_s = 5\nrounds_on_events = false\n", ZONES);
+    assertThat(policy.cyclePeriodMs()).isEqualTo(5_000);
+    assertThat(policy.cyclesOnEvents()).isFalse();
+    assertThat(policy.billingBlockMs()).isEqualTo(OperatorSettings.defaults().billingBlockMs());
   }
 
   @ParameterizedTest
@@ -105,7 +110,7 @@
       })
   void operatorsMistakesAreNamed(String ini) {
     assertThatThrownBy(() -> OperatorSettings.parse(ini, ZONES))
-        .isInstanceOf(Settings.Invalid.class)
+        .isInstanceOf(InvalidSettingsException.class)
         .hasMessageContaining("must be");
   }
 
@@ -119,22 +124,93 @@
       })
   void mistakesOfZonesAreNamedInFull(String line, String message) {
     assertThatThrownBy(() -> OperatorSettings.parse("[zone]\n" + line, ZONES))
-        .isInstanceOf(Settings.Invalid.class)
+        .isInstanceOf(InvalidSettingsException.class)
         .hasMessage(message);
   }
 
   @Test
-  void zonesAreLookedAfterWhereTheFileSaysSo() throws Settings.Invalid {
-    ZonePolicy p = OperatorSettings.parse("[zone]\nenabled = true\nzones = b\n", ZONES).zones();
-    assertThat(p.enabled()).isTrue();
-    assertThat(p.watched()).containsExactly("b");
+  void zonesAreLookedAfterWhereTheFileSaysSo() throws InvalidSettingsException {
+    ZonePolicy zones = OperatorSettings.parse("[zone]\nenabled = true\nzones = b\n", ZONES).zones();
+    assertThat(zones.enabled()).isTrue();
+    assertThat(zones.watched()).containsExactly("b");
     assertThat(OperatorSettings.defaults().zones().enabled()).isFalse();
   }
 
   @Test
   void aFormerNameIsAnsweredWithTheNewOne() {
     assertThatThrownBy(() -> OperatorSettings.parse("[part]\nhold_s = 4", ZONES))
-        .isInstanceOf(Settings.Invalid.class)
+        .isInstanceOf(InvalidSettingsException.class)
         .hasMessageContaining("[shard]");
   }
+
+  /** Beside the message, the exception has section, key and accepted values. */
+  @ParameterizedTest(name = "{0}: section {1}, key {2}, accepted {3}")
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "[zone]#widen_s = 5000|zone|widen_s|a number from 1.0 to 3600.0",
+        "[plan]#rounds_on_events = 1|plan|rounds_on_events|true or false",
+        "[zone]#zones = nowhere|zone|zones|zones of the deployment, which are a, b",
+      })
+  void anOperatorsMistakeIsLocated(String ini, String section, String key, String accepted) {
+    assertThatThrownBy(() -> OperatorSettings.parse(ini.replace('#', '\n'), ZONES))
+        .isInstanceOfSatisfying(
+            InvalidSettingsException.class,
+            e -> {
+              assertThat(e.section()).contains(section);
+              assertThat(e.key()).contains(key);
+              assertThat(e.accepted()).contains(accepted);
+              assertThat(e.file()).isEmpty();
+            });
+  }
+
+  @ParameterizedTest(name = "{0} -> {1}: section {2}, key {3}: {4}")
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      value = {
+        "size = 3|size = \"three\"|facts|size|wrong type at facts.size: it must be an integer",
+        "\"10.2.0.1:2379\"|\"x\"|services|state|missing or invalid: services.state (host:port)",
+        "cpus_max = 2.0|cpus_max = 0.5|facts.teams|cpus|missing or invalid: facts.teams.cpus of t",
+        "lease_s = 30.0||facts.workers|lease_s|missing or invalid: facts.workers.lease_s",
+        "peer_bind = \"10.0.0.1:8081\"|||peer_bind|missing or invalid: peer_bind (host:port)",
+      })
+  void aMistakeOfThePlatformIsLocated(
+      String from, String to, String section, String key, String message) {
+    assertThat(GOOD).contains(from);
+    assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace(from, to == null ? "" : to)))
+        .isInstanceOfSatisfying(
+            InvalidSettingsException.class,
+            e -> {
+              assertThat(e.section()).contains(section == null ? "" : section);
+              assertThat(e.key()).contains(key);
+              assertThat(e).hasMessage(message);
+            });
+  }
+
+  @Test
+  void anOperatorsMistakeNamesTheFile(@TempDir Path directory) throws IOException {
+    Path file = Files.writeString(directory.resolve("own.ini"), "[plan]\nperiod_s = 0");
+    assertThatThrownBy(() -> OperatorSettings.read(file, ZONES))
+        .isInstanceOfSatisfying(
+            InvalidSettingsException.class,
+            e -> {
+              assertThat(e.file()).contains(file.toString());
+              assertThat(e.key()).contains("period_s");
+              assertThat(e)
+                  .hasMessage(file + ": [plan] period_s must be a number from 0.5 to 86400.0: 0");
+            });
+  }
+
+  @Test
+  void aMissingFileIsNamed(@TempDir Path directory) {
+    Path file = directory.resolve("none.toml");
+    assertThatThrownBy(() -> SettingsReader.read(file))
+        .isInstanceOfSatisfying(
+            InvalidSettingsException.class,
+            e -> {
+              assertThat(e.file()).contains(file.toString());
+              assertThat(e).hasMessage("cannot read " + file + ": NoSuchFileException");
+            });
+  }
 }
--- a/src/test/java/dev/windbend/daemon/SimulatedCluster.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedCluster.java
@@ -168,14 +168,14 @@
     try {
       nodes[i] =
           new Controller(
-              Settings.parse(settings(i)),
+              SettingsReader.parse(settings(i)),
               policy,
               loop,
               (address, method, path, body, limit, done) -> {
                 recorder.requested("n" + i, address, method, path, body, limit);
                 callFrom(loop, "n" + i, address, method, path, body, limit, done);
               });
-    } catch (Settings.Invalid e) {
+    } catch (InvalidSettingsException e) {
       throw new AssertionError(e);
     }
     loop.after(1_000, nodes[i]::start);
@@ -389,9 +389,9 @@
           0,
           () -> {
             if (address.endsWith(":81")) {
-              node.servePeer(request, answer);
+              node.peerEndpoints().handle(request, answer);
             } else {
-              node.serve(request, answer);
+              node.clientEndpoints().handle(request, answer);
             }
           });
     }
--- a/src/test/java/dev/windbend/daemon/StoredDataWriter.java
+++ b/src/test/java/dev/windbend/daemon/StoredDataWriter.java
@@ -47,7 +47,7 @@
     SimulatedCluster w = new SimulatedCluster(seed);
     try {
       w.policy = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
-    } catch (Settings.Invalid e) {
+    } catch (InvalidSettingsException e) {
       throw new AssertionError(e);
     }
     w.leastRunMs = LEAST_RUN_MS;
--- a/src/test/java/dev/windbend/daemon/ZoneLossMeasurement.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossMeasurement.java
@@ -33,7 +33,7 @@
 
   private ZoneLossMeasurement() {}
 
-  public static void main(String[] arguments) throws Settings.Invalid {
+  public static void main(String[] arguments) throws InvalidSettingsException {
     Policy on = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
     for (Day day : DAYS) {
       print(day, "off", OperatorSettings.defaults());
--- a/src/test/java/dev/windbend/daemon/ZoneLossTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossTest.java
@@ -194,7 +194,7 @@
   private static Policy policy(String settings) {
     try {
       return OperatorSettings.parse(settings, List.of("a", "b"));
-    } catch (Settings.Invalid e) {
+    } catch (InvalidSettingsException e) {
       throw new AssertionError(e);
     }
   }
