--- a/src/main/java/dev/windbend/shard/FailoverRampUp.java
+++ b/src/main/java/dev/windbend/shard/FailoverRampUp.java
@@ -8,55 +8,63 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Keeps the first rounds after a takeover from holding up what is more urgent. Workers' reports are
- * answered first, as their leases run out and the state of the tasks is rebuilt from them; rounds
- * then consider few jobs and twice as many each time. A controller that has just started runs code
- * that is not compiled yet: one round over everything took longer there than its lease lasts.
+ * Keeps the first scheduling cycles after a failover from holding up what is more urgent.
+ * Heartbeats are answered first, as workers' leases expire and the state of tasks is rebuilt from
+ * them; cycles then consider few jobs, and twice as many each time. A controller that has just
+ * started runs code that is not compiled yet, so a cycle over all jobs could outlast its lease.
  */
 final class FailoverRampUp {
-  /** Reports come a quarter early or late; a machine not heard by then may not come at all. */
-  private static final double REPORT_INTERVALS = 1.5;
+  /**
+   * How long machines are waited for, in heartbeat intervals. Heartbeats come up to a quarter early
+   * or late; a machine that has not sent one by then may be lost.
+   */
+  private static final double MAX_WAIT_INTERVALS = 1.5;
 
-  private static final int FIRST_JOBS = 8;
+  private static final int FIRST_CYCLE_JOBS = 8;
 
-  /** No limit any more. */
+  /** More jobs than there can be: the limit grows no further. */
   private static final int ALL_JOBS = 1 << 29;
 
-  private static final Comparator<Job> ORDER =
+  private static final Comparator<Job> MOST_URGENT_FIRST =
       Comparator.<Job>comparingInt(job -> job.spec().urgency().rank())
           .thenComparingLong(job -> job.submittedWallMs());
 
   private final EventLoop loop;
-  private final long longestWaitMs;
+  private final long maxWaitMs;
   private long takenOverMs;
-  private boolean planning;
-  private int jobs = FIRST_JOBS;
+  private boolean scheduling;
+  private int jobLimit = FIRST_CYCLE_JOBS;
 
-  FailoverRampUp(EventLoop loop, double reportS) {
+  FailoverRampUp(EventLoop loop, double heartbeatSeconds) {
     this.loop = loop;
-    this.longestWaitMs = (long) (1000 * REPORT_INTERVALS * reportS);
+    this.maxWaitMs = (long) (Units.MS_PER_SECOND * MAX_WAIT_INTERVALS * heartbeatSeconds);
   }
 
-  /** The records have been read: from now on machines are waited for. */
+  /** The shard's records have been read: from now on its machines' heartbeats are waited for. */
   void takenOver() {
     takenOverMs = loop.nowMs();
   }
 
-  /** Whether the machines taken over have all been heard, or waited for long enough. */
-  boolean mayPlan(BooleanSupplier allHeard) {
-    planning = planning || loop.nowMs() - takenOverMs >= longestWaitMs || allHeard.getAsBoolean();
-    return planning;
+  /**
+   * Whether cycles may run: once all machines taken over have sent a heartbeat, or have been waited
+   * for long enough, and from then on for good.
+   *
+   * @param allHeard asked only while that is open
+   */
+  boolean maySchedule(BooleanSupplier allHeard) {
+    scheduling = scheduling || loop.nowMs() - takenOverMs >= maxWaitMs || allHeard.getAsBoolean();
+    return scheduling;
   }
 
-  /** The jobs for the next round: all of them, once so many rounds have been. */
-  List<Job> next(List<Job> waiting) {
-    int most = jobs;
-    jobs = Math.min(ALL_JOBS, 2 * jobs);
-    if (waiting.size() <= most) {
+  /** The jobs that the next cycle considers: the most urgent, up to the limit, which doubles. */
+  List<Job> nextCycleJobs(List<Job> waiting) {
+    int limit = jobLimit;
+    jobLimit = Math.min(ALL_JOBS, 2 * jobLimit);
+    if (waiting.size() <= limit) {
       return waiting;
     }
     List<Job> first = new ArrayList<>(waiting);
-    first.sort(ORDER);
-    return first.subList(0, most);
+    first.sort(MOST_URGENT_FIRST);
+    return first.subList(0, limit);
   }
 }
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -10,47 +10,48 @@
 
 /** How long the tasks of jobs run, as estimated, and when the jobs are due. */
 final class JobDeadlines implements ZoneMonitor.JobTimes {
-  private static final double MS = 1_000;
-  private static final double SHORTEST_S = 1;
+  private static final double MIN_ESTIMATE_SECONDS = 1;
 
   private final EventLoop loop;
   private final MachineTypeCatalog catalog;
-  private final DeploymentSpec facts;
+  private final DeploymentSpec deployment;
   private final Policy policy;
   private final Estimates estimates;
 
   JobDeadlines(
       EventLoop loop,
       MachineTypeCatalog catalog,
-      DeploymentSpec facts,
+      DeploymentSpec deployment,
       Policy policy,
       Estimates estimates) {
     this.loop = loop;
     this.catalog = catalog;
-    this.facts = facts;
+    this.deployment = deployment;
     this.policy = policy;
     this.estimates = estimates;
   }
 
-  /** Whose recent times tell how long a task will run. */
-  private static String user(Job job) {
+  /** Jobs of the same team and kind share their recent run times. */
+  private static String estimateKey(Job job) {
     return job.spec().team() + "/" + job.spec().kind();
   }
 
-  /** A task of the job has completed after so long. */
-  void finished(Job job, double ranS) {
-    estimates.finished(user(job), ranS);
+  /** A task of the job has completed after running for so long. */
+  void taskCompleted(Job job, double ranSeconds) {
+    estimates.finished(estimateKey(job), ranSeconds);
   }
 
-  double estimateS(Job job) {
-    return Math.max(SHORTEST_S, estimates.of(user(job), job.spec().estimateS()));
+  /** How long a task of the job runs, as estimated. */
+  double estimateSeconds(Job job) {
+    return Math.max(MIN_ESTIMATE_SECONDS, estimates.of(estimateKey(job), job.spec().estimateS()));
   }
 
   @Override
   public long estimateMs(Job job) {
-    return (long) (MS * estimateS(job));
+    return Units.toMs(estimateSeconds(job));
   }
 
+  /** Time since the job's submission. */
   long ageMs(Job job) {
     return loop.wallMs() - job.submittedWallMs();
   }
@@ -58,24 +59,29 @@
   /** The next of its time limits that the job can still meet. */
   Deadlines next(Job job, long ageMs) {
     double[] limits =
-        facts
+        deployment
             .objectives()
             .timeLimitsSeconds(
                 job.spec().kind(),
                 job.spec().dueS(),
                 policy.impliedDeadlineFactor() * job.spec().estimateS(),
                 policy.deadlinesFromObjectives());
-    return Deadlines.next(limits, ageMs / MS, estimateS(job));
+    return Deadlines.next(limits, Units.toSeconds(ageMs), estimateSeconds(job));
   }
 
   @Override
   public long dueMs(Job job, long nowMs) {
     long ageMs = ageMs(job);
-    return nowMs - ageMs + (long) (MS * next(job, ageMs).dueS());
+    return nowMs - ageMs + Units.toMs(next(job, ageMs).dueS());
+  }
+
+  /** How long the slowest type of machine takes to boot; 0: no type is known. */
+  double maxBootSeconds() {
+    return catalog.all().stream().mapToDouble(MachineType::bootS).max().orElse(0);
   }
 
   @Override
   public long bootMs() {
-    return (long) (MS * catalog.all().stream().mapToDouble(MachineType::bootS).max().orElse(0));
+    return Units.toMs(maxBootSeconds());
   }
 }
--- /dev/null
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -0,0 +1,167 @@
+package dev.windbend.shard;
+
+import dev.windbend.job.Job;
+import dev.windbend.job.Placement;
+import dev.windbend.machine.Fleet;
+import dev.windbend.machine.Machine;
+import dev.windbend.machine.MachineType;
+import dev.windbend.plan.Estimates;
+import dev.windbend.plan.Snapshot;
+import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Describes machines to the planner: what is free, what will be, and when they may go. */
+final class MachineCapacityBuilder {
+  /** A machine beyond the reserve goes once it has been idle for so long. */
+  private static final long MIN_IDLE_MS = 10_000;
+
+  /** What should have happened by now is expected this soon. */
+  private static final long IMMINENT_MS = 1_000;
+
+  /** A machine that has taken so many times its boot time may not come at all. */
+  private static final double LATE_BOOT_FACTOR = 1.5;
+
+  /** Such a machine is expected after so many times its boot time from now. */
+  private static final double LATE_BOOT_WAIT_FACTOR = 2.5;
+
+  private static final double MIN_FETCH_GB_PER_SECOND = 0.01;
+
+  private static final long NOT_STOPPABLE = -1;
+
+  private final DeploymentSpec deployment;
+  private final Policy policy;
+  private final JobDeadlines deadlines;
+
+  MachineCapacityBuilder(DeploymentSpec deployment, Policy policy, JobDeadlines deadlines) {
+    this.deployment = deployment;
+    this.policy = policy;
+    this.deadlines = deadlines;
+  }
+
+  /**
+   * @param tasks those that still take capacity of the machine
+   */
+  Snapshot.MachineCapacity ofMachine(Machine machine, List<Placement> tasks, long nowMs) {
+    MachineType type = machine.type();
+    Snapshot.Size free = size(type);
+    List<Snapshot.Running> running = new ArrayList<>();
+    for (Placement task : tasks) {
+      Snapshot.Size size = size(task.job());
+      free = free.minus(size);
+      running.add(
+          new Snapshot.Running(
+              expectedEndMs(task, type, nowMs),
+              size,
+              task.job().spec().urgency().rank(),
+              lostMs(task, nowMs)));
+    }
+    boolean idle = machine.idleSinceMs() >= 0;
+    long idleSinceMs = idle ? machine.idleSinceMs() : nowMs;
+    long blockMs = policy.billingBlockMs();
+    return new Snapshot.MachineCapacity(
+        type.index(),
+        machine.zone(),
+        machine.spot(),
+        machine.usable(nowMs),
+        nextResponseMs(machine, nowMs),
+        free,
+        readyMs(machine, nowMs),
+        machine.tasks().isEmpty(),
+        paidUntilMs(machine, idleSinceMs),
+        Math.max(machine.requestedMs() + blockMs, idleSinceMs + MIN_IDLE_MS),
+        machine.spot() ? type.spotPrice() : type.price(),
+        type.fetchGbPerS(),
+        machine.images(),
+        running);
+  }
+
+  /** A machine that the cloud was asked for and has not named yet. */
+  Snapshot.MachineCapacity ofRequested(Fleet.Pending request, long nowMs) {
+    MachineType type = request.type();
+    long readyMs = bootedMs(request.sinceMs(), type, nowMs);
+    return new Snapshot.MachineCapacity(
+        type.index(),
+        request.zone(),
+        request.spot(),
+        false,
+        0,
+        size(type),
+        readyMs,
+        false,
+        readyMs,
+        readyMs,
+        request.spot() ? type.spotPrice() : type.price(),
+        type.fetchGbPerS(),
+        new IntOpenHashSet(),
+        List.of());
+  }
+
+  static Snapshot.Size size(Job job) {
+    return new Snapshot.Size(job.spec().cores(), job.spec().gpus(), job.spec().memoryGb());
+  }
+
+  private static Snapshot.Size size(MachineType type) {
+    return new Snapshot.Size(type.cores(), type.gpus(), type.memoryGb());
+  }
+
+  /** How long until the machine can be told to start a task. */
+  private long nextResponseMs(Machine machine, long nowMs) {
+    return machine.awaitingResponse()
+        ? 0
+        : Math.max(
+            0,
+            machine.lastHeartbeatMs()
+                + Units.toMs(deployment.workers().heartbeatSeconds())
+                - nowMs);
+  }
+
+  /** When a machine that is not up should be. */
+  private static long readyMs(Machine machine, long nowMs) {
+    if (machine.lastHeartbeatMs() >= 0) {
+      return nowMs + IMMINENT_MS;
+    }
+    MachineType type = machine.type();
+    long sinceSeconds = (nowMs - machine.requestedMs()) / 1_000;
+    return sinceSeconds > LATE_BOOT_FACTOR * type.bootS()
+        ? nowMs + (long) (Units.MS_PER_SECOND * LATE_BOOT_WAIT_FACTOR * type.bootS())
+        : bootedMs(machine.requestedMs(), type, nowMs);
+  }
+
+  private static long bootedMs(long requestedMs, MachineType type, long nowMs) {
+    return Math.max(requestedMs + Units.toMs(type.bootS()), nowMs + IMMINENT_MS);
+  }
+
+  /** The end of the billing block in which the machine went idle, or of the present one. */
+  private long paidUntilMs(Machine machine, long idleSinceMs) {
+    long blockMs = policy.billingBlockMs();
+    long usedMs = Math.max(0, idleSinceMs - machine.requestedMs());
+    long blocks = Math.max(1, (usedMs + blockMs - 1) / blockMs);
+    return machine.requestedMs() + blocks * blockMs;
+  }
+
+  /** The run time that stopping a task at once would lose; -1: it must not be stopped. */
+  private static long lostMs(Placement task, long nowMs) {
+    boolean stateUnknown = task.inherited() && !task.seen();
+    if (task.stopping() || stateUnknown) {
+      return NOT_STOPPABLE;
+    }
+    long ranMs = task.runningMs() < 0 ? 0 : nowMs - task.runningMs();
+    long checkpointMs = Units.toMs(task.job().spec().checkpointS());
+    return checkpointMs > 0 ? ranMs % checkpointMs : ranMs;
+  }
+
+  private long expectedEndMs(Placement task, MachineType type, long nowMs) {
+    if (task.stopping()) {
+      return nowMs + Units.toMs(task.stopGraceS()) + IMMINENT_MS;
+    }
+    double estimateSeconds = deadlines.estimateSeconds(task.job());
+    if (task.runningMs() < 0) {
+      double fetchSeconds =
+          task.job().spec().imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, type.fetchGbPerS());
+      return task.placedMs() + Units.toMs(estimateSeconds + fetchSeconds);
+    }
+    double ranSeconds = Units.toSeconds(nowMs - task.runningMs());
+    return task.runningMs() + Units.toMs(Estimates.corrected(estimateSeconds, ranSeconds));
+  }
+}
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -5,101 +5,112 @@
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.TaskRequirements;
-import dev.windbend.zone.ZoneGate;
+import java.util.Optional;
 
-/** Which job of a shard has waited longest for room, and what for: told to operators. */
-record OldestWaitingJob(String uid, long ageS, String reason) {
+/**
+ * The job of a shard that was submitted first of those with waiting tasks.
+ *
+ * @param uid the job's id
+ * @param ageSeconds time since its submission
+ * @param reason why it waits
+ */
+record OldestWaitingJob(String uid, long ageSeconds, WaitReason reason) {
+  private static final long MS_PER_SECOND = 1_000;
 
-  /** Null: none waits. */
-  static OldestWaitingJob find(
-      JobRegistry board,
-      Fleet fleet,
-      DeploymentSpec facts,
-      OverdueJobs overdueJobs,
-      ZoneGate zones,
-      long nowMs,
-      long wallMs) {
-    Job oldest = null;
-    for (Job j : board.all()) {
-      if (j.waitingCount() > 0
-          && (oldest == null || j.submittedWallMs() < oldest.submittedWallMs())) {
-        oldest = j;
-      }
-    }
+  /** Empty if no job waits. */
+  static Optional<OldestWaitingJob> find(
+      ShardState state, DeploymentSpec deployment, StarvedJobs jobs, long nowMs, long wallMs) {
+    Job oldest = oldest(state.jobs());
     if (oldest == null) {
-      return null;
+      return Optional.empty();
     }
-    long ageS = (wallMs - oldest.submittedWallMs()) / 1000;
-    if (oldest.spec().zone() != null && zones.unreachable(oldest.spec().zone())) {
-      String reason = "its zone " + oldest.spec().zone() + ", which is unreachable";
-      return new OldestWaitingJob(oldest.spec().uid(), ageS, reason);
-    }
-    int teams = facts.teams().size();
-    double used = TeamUsage.cores(board.all(), teams)[oldest.team()];
-    double usedGpus = TeamUsage.gpus(board.all(), teams)[oldest.team()];
-    TaskRequirements task = overdueJobs.requirements(oldest);
-    DeploymentSpec.TeamQuota team = facts.teams().get(oldest.team());
-    int booting = 0;
-    int unsure = 0;
-    boolean room = false;
-    for (Machine m : fleet.machines()) {
-      booting += m.lastHeartbeatMs() < 0 ? 1 : 0;
-      unsure += m.lastHeartbeatMs() >= 0 && !m.usable(nowMs) ? 1 : 0;
-      room |= m.usable(nowMs) && task.hasRoomOn(m);
-    }
-    int asked = fleet.pending().stream().mapToInt(Fleet.Pending::count).sum();
-    boolean atLimit =
-        used + oldest.spec().cores() > team.maxCores() + 1e-6
-            || usedGpus + oldest.spec().gpus() > team.maxGpus() + 1e-6;
-    return new OldestWaitingJob(
-        oldest.spec().uid(),
-        ageS,
+    long ageSeconds = (wallMs - oldest.submittedWallMs()) / MS_PER_SECOND;
+    WaitReason reason =
         reason(
+            unreachableZone(oldest, state),
             oldest.notBeforeMs() - nowMs,
-            atLimit ? used : -1,
-            team.maxCores(),
-            room,
-            booting,
-            asked,
-            unsure,
-            fleet.refusedSome()));
+            exhaustedQuota(oldest, state, deployment),
+            Capacity.of(state.fleet(), jobs.requirements(oldest), nowMs));
+    return Optional.of(new OldestWaitingJob(oldest.spec().uid(), ageSeconds, reason));
+  }
+
+  private static Job oldest(JobRegistry jobs) {
+    Job oldest = null;
+    for (Job job : jobs.all()) {
+      if (job.waitingCount() > 0
+          && (oldest == null || job.submittedWallMs() < oldest.submittedWallMs())) {
+        oldest = job;
+      }
+    }
+    return oldest;
+  }
+
+  private static Optional<WaitReason.ZoneUnreachable> unreachableZone(Job job, ShardState state) {
+    return Optional.ofNullable(job.spec().zone())
+        .filter(state.zones()::unreachable)
+        .map(WaitReason.ZoneUnreachable::new);
+  }
+
+  private static Optional<WaitReason.TeamQuota> exhaustedQuota(
+      Job job, ShardState state, DeploymentSpec deployment) {
+    int teams = deployment.teams().size();
+    double usedCores = TeamUsage.cores(state.jobs().all(), teams)[job.team()];
+    double usedGpus = TeamUsage.gpus(state.jobs().all(), teams)[job.team()];
+    DeploymentSpec.TeamQuota quota = deployment.teams().get(job.team());
+    boolean exhausted =
+        usedCores + job.spec().cores() > quota.maxCores() + Units.RESOURCE_TOLERANCE
+            || usedGpus + job.spec().gpus() > quota.maxGpus() + Units.RESOURCE_TOLERANCE;
+    return exhausted
+        ? Optional.of(new WaitReason.TeamQuota(usedCores, quota.maxCores()))
+        : Optional.empty();
   }
 
   /**
-   * @param backOffMs until it may be tried again, as its tasks fail everywhere; not above 0: now
-   * @param usedAtLimit what its team uses, if another task would be over the limit; else -1
+   * The first reason that applies.
+   *
+   * @param backoffMs until the job may be tried again, as its tasks fail everywhere; not above 0:
+   *     it may be now
+   * @param quota the quota that another task would exceed, if any
    */
-  static String reason(
-      long backOffMs,
-      double usedAtLimit,
-      double limit,
-      boolean room,
-      int booting,
-      int asked,
-      int unsure,
-      boolean refused) {
-    if (backOffMs > 0) {
-      return "its tasks fail on every machine, tried again in " + (backOffMs + 999) / 1000 + " s";
-    }
-    if (usedAtLimit >= 0) {
-      return "its team's limit, of which %.0f of %.0f cores are used".formatted(usedAtLimit, limit);
+  static WaitReason reason(
+      Optional<WaitReason.ZoneUnreachable> zone,
+      long backoffMs,
+      Optional<WaitReason.TeamQuota> quota,
+      Capacity capacity) {
+    if (zone.isPresent()) {
+      return zone.get();
     }
-    if (room) {
-      return "its turn: there is room, kept for work that is due first or by its zone and spread";
+    if (backoffMs > 0) {
+      return new WaitReason.Backoff(backoffMs);
     }
-    StringBuilder s = new StringBuilder("room");
-    if (booting > 0) {
-      s.append(", ").append(booting).append(" machines boot");
+    if (quota.isPresent()) {
+      return quota.get();
     }
-    if (asked > 0) {
-      s.append(", ").append(asked).append(" are asked of the cloud");
-    }
-    if (unsure > 0) {
-      s.append(", ").append(unsure).append(" do not report, leave or were just taken over");
-    }
-    if (refused) {
-      s.append(", the cloud has no more of some kind");
+    return capacity.free() ? new WaitReason.CapacityReserved() : capacity.lacking();
+  }
+
+  /**
+   * What the shard's machines have for a task.
+   *
+   * @param free whether some machine has capacity for it now
+   * @param lacking what stands in the way if none has
+   */
+  record Capacity(boolean free, WaitReason.NoCapacity lacking) {
+
+    private static Capacity of(Fleet fleet, TaskRequirements task, long nowMs) {
+      int booting = 0;
+      int unavailable = 0;
+      boolean free = false;
+      for (Machine machine : fleet.machines()) {
+        boolean usable = machine.usable(nowMs);
+        boolean reported = machine.lastHeartbeatMs() >= 0;
+        booting += reported ? 0 : 1;
+        unavailable += reported && !usable ? 1 : 0;
+        free |= usable && task.hasRoomOn(machine);
+      }
+      int requested = fleet.pending().stream().mapToInt(Fleet.Pending::count).sum();
+      return new Capacity(
+          free, new WaitReason.NoCapacity(booting, requested, unavailable, fleet.refusedSome()));
     }
-    return s.toString();
   }
 }
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -61,7 +61,7 @@
       reconcile(now);
     } else {
       leaseValidSinceMs = LEASE_UNSURE;
-      statusLog.unsure(now, store.failingForMs());
+      statusLog.tickSuspended(now, store.failingForMs());
     }
     loop.after(INTERVAL_MS, this::tick);
   }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -1,19 +1,13 @@
 package dev.windbend.shard;
 
 import dev.windbend.job.Job;
-import dev.windbend.job.JobRegistry;
 import dev.windbend.job.Placement;
-import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
-import dev.windbend.machine.MachineType;
-import dev.windbend.machine.MachineTypeCatalog;
-import dev.windbend.peer.MachineTransferMessages;
 import dev.windbend.plan.Planner;
 import dev.windbend.plan.SchedulingDecision;
 import dev.windbend.plan.Snapshot;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.worker.HeartbeatHandler;
-import dev.windbend.zone.ZoneGate;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -22,147 +16,135 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A shard's planning rounds: what is goes into a snapshot, and what it wants is carried out. */
+/**
+ * Runs a shard's scheduling cycles: takes a snapshot of its jobs and machines, has the planner
+ * decide, and carries the decision out.
+ */
 final class SchedulingLoop implements HeartbeatHandler.SchedulingTrigger {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
-  private static final long GAP_MS = 150;
-  private static final long LONGEST_GAP_MS = 2_000;
 
-  /** Rounds on events take no more of the processor than one part in so many. */
-  private static final int COST_PART = 15;
+  /** Least time between two cycles on events, and from an event to its cycle. */
+  private static final long EVENT_GAP_MS = 150;
 
-  /** One round in so many serves the long overdue first. */
-  private static final int OLDEST_FIRST = 4;
+  private static final long MAX_EVENT_GAP_MS = 2_000;
 
-  private static final long RENT_GAP_MS = 2_000;
+  /** Cycles on events take at most one part in so many of the processor's time. */
+  private static final int PROCESSOR_TIME_DIVISOR = 15;
 
-  private static final int MOST_PENDING = 8;
+  /** One cycle in so many serves the longest waiting jobs first. */
+  private static final int OLDEST_FIRST_EVERY = 4;
 
   private final EventLoop loop;
-  private final MachineTypeCatalog catalog;
   private final Policy policy;
+  private final ShardState state;
   private final SnapshotBuilder snapshots;
-  private final OverdueJobs overdueJobs;
-  private final JobRegistry board;
-  private final Fleet fleet;
-  private final MachineTransfers loans;
-  private final long token;
+  private final CapacityProvisioner capacity;
+  private final FailoverRampUp rampUp;
   private final BooleanSupplier mayAct;
-  private final FailoverRampUp start;
-  private final ZoneGate zones;
-  private long lastMs;
-  private long costMs;
-  private long lastRentMs = Long.MIN_VALUE / 2;
-  private long count;
-  private boolean due;
+  private long lastCycleMs;
+  private long lastCycleCostMs;
+  private long cycles;
+  private boolean requested;
 
-  /** The last round left jobs out. */
+  /** The last cycle left jobs out. */
   private boolean partial;
 
   SchedulingLoop(
       EventLoop loop,
-      MachineTypeCatalog catalog,
       Policy policy,
+      ShardState state,
       SnapshotBuilder snapshots,
-      OverdueJobs overdueJobs,
-      JobRegistry board,
-      Fleet fleet,
-      MachineTransfers loans,
-      long token,
-      FailoverRampUp start,
-      ZoneGate zones,
+      CapacityProvisioner capacity,
+      FailoverRampUp rampUp,
       BooleanSupplier mayAct) {
-    this.token = token;
-    this.start = start;
-    this.zones = zones;
     this.loop = loop;
-    this.catalog = catalog;
     this.policy = policy;
+    this.state = state;
     this.snapshots = snapshots;
-    this.overdueJobs = overdueJobs;
-    this.board = board;
-    this.fleet = fleet;
-    this.loans = loans;
+    this.capacity = capacity;
+    this.rampUp = rampUp;
     this.mayAct = mayAct;
-    this.lastMs = loop.nowMs();
+    this.lastCycleMs = loop.nowMs();
   }
 
   @Override
   public void requestCycle() {
-    if (!due) {
-      due = true;
+    if (!requested) {
+      requested = true;
       if (policy.cyclesOnEvents()) {
-        loop.after(GAP_MS, this::onEvent);
+        loop.after(EVENT_GAP_MS, this::runRequestedCycle);
       }
     }
   }
 
   @Override
   public void runCycleNow() {
-    if (!policy.cyclesOnEvents() || loop.nowMs() - lastMs < gapMs()) {
+    if (!policy.cyclesOnEvents() || loop.nowMs() - lastCycleMs < eventGapMs()) {
       requestCycle();
     } else {
-      round();
+      runCycle();
     }
   }
 
-  /** Events are joined when rounds cost much, unless the last round left jobs out. */
-  private long gapMs() {
-    long parts = partial ? 1 : COST_PART;
-    return Math.min(LONGEST_GAP_MS, Math.max(GAP_MS, parts * costMs));
+  /** Events are batched when cycles cost much, unless the last cycle left jobs out. */
+  private long eventGapMs() {
+    long divisor = partial ? 1 : PROCESSOR_TIME_DIVISOR;
+    return Math.min(MAX_EVENT_GAP_MS, Math.max(EVENT_GAP_MS, divisor * lastCycleCostMs));
   }
 
-  private void onEvent() {
-    long wait = gapMs() - (loop.nowMs() - lastMs);
-    if (due && wait > 0) {
-      loop.after(wait, this::onEvent);
-    } else if (due) {
-      round();
+  private void runRequestedCycle() {
+    long waitMs = eventGapMs() - (loop.nowMs() - lastCycleMs);
+    if (requested && waitMs > 0) {
+      loop.after(waitMs, this::runRequestedCycle);
+    } else if (requested) {
+      runCycle();
     }
   }
 
-  /** Called again and again: the period's round, if none has been. */
-  void tick(long everyMs) {
-    long now = loop.nowMs();
-    long most = policy.cyclesOnEvents() ? Math.max(everyMs, gapMs()) : policy.cyclePeriodMs();
-    if (now - lastMs >= most) {
-      round();
+  /**
+   * Called at a steady interval: runs the cycle that is due without any event.
+   *
+   * @param maxGapMs time between two cycles at most, where cycles run on events
+   */
+  void tick(long maxGapMs) {
+    long gapMs =
+        policy.cyclesOnEvents() ? Math.max(maxGapMs, eventGapMs()) : policy.cyclePeriodMs();
+    if (loop.nowMs() - lastCycleMs >= gapMs) {
+      runCycle();
     }
   }
 
-  long costMs() {
-    return costMs;
+  /** How long the last cycle took. */
+  long lastCycleCostMs() {
+    return lastCycleCostMs;
   }
 
-  private void round() {
-    due = false;
-    if (!mayAct.getAsBoolean() || !start.mayPlan(this::allHeard)) {
+  private void runCycle() {
+    requested = false;
+    if (!mayAct.getAsBoolean() || !rampUp.maySchedule(this::allMachinesHeard)) {
       return;
     }
-    long now = loop.nowMs();
-    lastMs = now;
-    count++;
+    long nowMs = loop.nowMs();
+    lastCycleMs = nowMs;
+    cycles++;
     List<Job> waiting = waitingJobs();
-    List<Job> works = start.next(waiting);
-    partial = works.size() < waiting.size();
-    List<Machine> rooms = machinesToPlanOn(now);
-    List<Snapshot.InstanceOffer> offers = offers();
+    List<Job> jobs = rampUp.nextCycleJobs(waiting);
+    partial = jobs.size() < waiting.size();
+    List<Machine> machines = schedulableMachines(nowMs);
+    List<Snapshot.InstanceOffer> offers = capacity.offers();
     List<List<Placement>> running = new ArrayList<>();
-    SchedulingDecision wanted =
-        Planner.plan(
-            snapshots.build(now, count % OLDEST_FIRST == 0, works, rooms, offers, running));
-    carryOut(wanted, now, works, rooms, running);
-    if (partial) {
-      // Machines that look idle may be needed by jobs that this round left out.
-      loans.setIdleMachines(List.of());
-    } else {
-      spare(wanted.spare(), rooms);
-    }
-    getMachines(wanted, offers, now);
+    boolean oldestFirst = cycles % OLDEST_FIRST_EVERY == 0;
+    SchedulingDecision decision =
+        Planner.plan(snapshots.build(nowMs, oldestFirst, jobs, machines, offers, running));
+    preempt(decision, running);
+    place(decision, nowMs, jobs, machines);
+    // Machines that look idle may be needed by jobs that this cycle left out.
+    capacity.offerForTransfer(partial ? List.of() : decision.spare(), machines);
+    capacity.acquire(decision, offers, nowMs);
     if (!partial) {
-      wanted.giveBack().forEach(i -> fleet.giveBack(rooms.get(i), "idle at the end of its block"));
+      capacity.scaleIn(decision, machines);
     }
-    costMs = loop.nowMs() - now;
+    lastCycleCostMs = loop.nowMs() - nowMs;
     if (partial) {
       requestCycle();
     }
@@ -170,133 +152,65 @@
 
   private List<Job> waitingJobs() {
     List<Job> waiting = new ArrayList<>();
-    for (Job j : board.all()) {
-      if (j.waitingCount() > 0) {
-        waiting.add(j);
+    for (Job job : state.jobs().all()) {
+      if (job.waitingCount() > 0) {
+        waiting.add(job);
       }
     }
     return waiting;
   }
 
-  private List<Machine> machinesToPlanOn(long now) {
-    List<Machine> rooms = new ArrayList<>();
-    for (Machine m : fleet.machines()) {
-      // One that boots in a zone that is taken back is waited for, and rented only once.
-      boolean open = !m.zoneClosed() || (m.lastHeartbeatMs() < 0 && !zones.evacuates(m.zone()));
-      if (open
-          && !m.returning()
-          && !m.cordoned()
-          && m.missedResponses() == 0
-          && now >= m.startsRefusedUntilMs()) {
-        rooms.add(m);
+  private List<Machine> schedulableMachines(long nowMs) {
+    List<Machine> machines = new ArrayList<>();
+    for (Machine machine : state.fleet().machines()) {
+      if (inOpenZone(machine)
+          && !machine.returning()
+          && !machine.cordoned()
+          && machine.missedResponses() == 0
+          && nowMs >= machine.startsRefusedUntilMs()) {
+        machines.add(machine);
       }
     }
-    return rooms;
+    return machines;
   }
 
-  /** Asks the other shards for machines that are lacking, and rents what they don't give. */
-  private void getMachines(
-      SchedulingDecision wanted, List<Snapshot.InstanceOffer> offers, long now) {
-    // Looking for overdue jobs goes over all jobs and machines: only when others may be asked.
-    boolean mayAsk = loans.mayRequest();
-    MachineTransferMessages.Overdue overdue =
-        mayAsk && loans.mayRequestForOverdue() ? overdueJobs.tasksWithoutRoom(now) : null;
-    if (mayAsk && (wanted.shortCores() > 0 || overdue != null)) {
-      loans.request(
-          wanted.shortCores(),
-          catalog.largestCores(),
-          !fleet.refusedSome(),
-          overdue,
-          given -> {
-            if (mayAct.getAsBoolean()) {
-              rent(wanted.rentals(), offers, given);
-            }
-          });
-    } else if (!loans.requestPending()) {
-      rent(wanted.rentals(), offers, 0);
-    }
+  /** One that boots in a zone that is opened again counts, so that it is not requested twice. */
+  private boolean inOpenZone(Machine machine) {
+    return !machine.zoneClosed()
+        || (machine.lastHeartbeatMs() < 0 && !state.zones().evacuates(machine.zone()));
   }
 
-  private boolean allHeard() {
-    for (Machine m : fleet.machines()) {
-      if (m.inherited() && !m.confirmedUnderToken()) {
+  private boolean allMachinesHeard() {
+    for (Machine machine : state.fleet().machines()) {
+      if (machine.inherited() && !machine.confirmedUnderToken()) {
         return false;
       }
     }
     return true;
   }
 
-  private void carryOut(
-      SchedulingDecision wanted,
-      long now,
-      List<Job> works,
-      List<Machine> rooms,
-      List<List<Placement>> running) {
-    for (SchedulingDecision.Stop stop : wanted.stops()) {
-      Placement p = running.get(stop.room()).get(stop.running());
-      LOG.info("stopping {} on {} to make room", p.taskName(), p.machineName());
-      p.stop(0);
-    }
-    Set<Job> changed = new LinkedHashSet<>();
-    for (SchedulingDecision.Place place : wanted.places()) {
-      Job job = works.get(place.work());
-      Machine m = rooms.get(place.room());
-      m.add(job.place(job.nextWaiting(), m.name(), now, token, count));
-      changed.add(job);
-    }
-    changed.forEach(board::touched);
-  }
-
-  private void spare(List<Integer> indices, List<Machine> rooms) {
-    List<Machine> spare = new ArrayList<>();
-    for (int i : indices) {
-      spare.add(rooms.get(i));
+  private void preempt(SchedulingDecision decision, List<List<Placement>> running) {
+    for (SchedulingDecision.Stop stop : decision.stops()) {
+      Placement placement = running.get(stop.room()).get(stop.running());
+      LOG.info(
+          "task preempted: shard={} machine={} task={} token={} cause=\"more urgent job\"",
+          state.shard(),
+          placement.machineName(),
+          placement.taskName(),
+          state.token());
+      placement.stop(0);
     }
-    loans.setIdleMachines(spare);
   }
 
-  private void rent(
-      List<SchedulingDecision.Rental> rentals, List<Snapshot.InstanceOffer> offers, int less) {
-    // Event rounds are many, and each batch takes changes and calls.
-    long now = loop.nowMs();
-    if (rentals.isEmpty()
-        || fleet.pending().size() > MOST_PENDING
-        || now - lastRentMs < RENT_GAP_MS) {
-      return;
-    }
-    lastRentMs = now;
-    int spared = less;
-    for (SchedulingDecision.Rental r : rentals) {
-      Snapshot.InstanceOffer o = offers.get(r.offer());
-      int n = Math.min(zones.rentable(o.zone()), Math.max(0, r.count() - spared));
-      spared = Math.max(0, spared - r.count());
-      if (n > 0) {
-        fleet.rent(catalog.type(o.type()), o.zone(), o.spot(), n);
-        zones.rented(o.zone(), n);
-      }
-    }
-  }
-
-  private List<Snapshot.InstanceOffer> offers() {
-    List<Snapshot.InstanceOffer> all = new ArrayList<>();
-    for (MachineType t : catalog.all()) {
-      Snapshot.Size size = new Snapshot.Size(t.cores(), t.gpus(), t.memoryGb());
-      for (int zone : t.zones()) {
-        for (boolean spot : new boolean[] {true, false}) {
-          if (!fleet.refused(t.index(), zone, spot) && zones.rentable(zone) > 0) {
-            all.add(
-                new Snapshot.InstanceOffer(
-                    t.index(),
-                    zone,
-                    spot,
-                    size,
-                    spot ? t.spotPrice() : t.price(),
-                    (long) (1000 * t.bootS()),
-                    t.fetchGbPerS()));
-          }
-        }
-      }
+  private void place(
+      SchedulingDecision decision, long nowMs, List<Job> jobs, List<Machine> machines) {
+    Set<Job> changed = new LinkedHashSet<>();
+    for (SchedulingDecision.Place place : decision.places()) {
+      Job job = jobs.get(place.work());
+      Machine machine = machines.get(place.room());
+      machine.add(job.place(job.nextWaiting(), machine.name(), nowMs, state.token(), cycles));
+      changed.add(job);
     }
-    return all;
+    changed.forEach(state.jobs()::touched);
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardLeader.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -69,12 +69,12 @@
     this.transfers = newTransfers();
     this.deadlines = newDeadlines();
     this.zones = ShardZones.create(context, shard, fleet, health, registry, deadlines, committer);
-    OverdueJobs overdueJobs =
-        new OverdueJobs(context.machines().catalog(), context.deployment(), registry, fleet);
+    ShardState state = newShardState();
+    StarvedJobs starvedJobs = new StarvedJobs(state, context.deployment());
     this.rampUp = new FailoverRampUp(loop, context.deployment().workers().heartbeatSeconds());
-    this.scheduling = newScheduling(overdueJobs);
+    this.scheduling = newScheduling(state, starvedJobs);
     this.heartbeats = newHeartbeatHandler();
-    this.statusLog = newStatusLog(overdueJobs);
+    this.statusLog = newStatusLog(state, starvedJobs);
     this.jobs =
         new ShardJobs(
             leadership,
@@ -143,32 +143,25 @@
         context.estimates());
   }
 
-  private SchedulingLoop newScheduling(OverdueJobs overdueJobs) {
+  private ShardState newShardState() {
+    return new ShardState(
+        leadership.shard(),
+        leadership.token(),
+        registry,
+        fleet,
+        context.machines().catalog(),
+        context.machines().images(),
+        zones.gate());
+  }
+
+  private SchedulingLoop newScheduling(ShardState state, StarvedJobs starvedJobs) {
     SnapshotBuilder snapshots =
         new SnapshotBuilder(
-            context.loop(),
-            context.machines().catalog(),
-            context.deployment(),
-            context.policy(),
-            deadlines,
-            context.machines().images(),
-            registry,
-            fleet,
-            overdueJobs,
-            zones.gate());
+            context.loop(), state, context.deployment(), context.policy(), deadlines, starvedJobs);
+    CapacityProvisioner capacity =
+        new CapacityProvisioner(context.loop(), state, starvedJobs, transfers, leadership::mayAct);
     return new SchedulingLoop(
-        context.loop(),
-        context.machines().catalog(),
-        context.policy(),
-        snapshots,
-        overdueJobs,
-        registry,
-        fleet,
-        transfers,
-        leadership.token(),
-        rampUp,
-        zones.gate(),
-        leadership::mayAct);
+        context.loop(), context.policy(), state, snapshots, capacity, rampUp, leadership::mayAct);
   }
 
   private HeartbeatHandler newHeartbeatHandler() {
@@ -195,15 +188,12 @@
         context.policy().idleHoldFraction());
   }
 
-  private ShardStatusLog newStatusLog(OverdueJobs overdueJobs) {
+  private ShardStatusLog newStatusLog(ShardState state, StarvedJobs starvedJobs) {
     return new ShardStatusLog(
-        leadership.shard(),
         context.loop(),
-        registry,
-        fleet,
+        state,
         context.deployment(),
-        overdueJobs,
-        zones.gate(),
+        starvedJobs,
         context.policy().cyclePeriodMs(),
         scheduling,
         pages);
@@ -285,7 +275,7 @@
 
   /** The age of the oldest job of which tasks wait, when it was last logged; 0: none waits. */
   public int oldestWaitSeconds() {
-    return statusLog.oldestWaitS();
+    return statusLog.oldestWaitSeconds();
   }
 
   /** How many machines the shard has, those that are booting or leaving included. */
--- a/src/main/java/dev/windbend/shard/ShardStatusLog.java
+++ b/src/main/java/dev/windbend/shard/ShardStatusLog.java
@@ -1,119 +1,123 @@
 package dev.windbend.shard;
 
 import dev.windbend.job.Job;
-import dev.windbend.job.JobRegistry;
-import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.store.PagedStore;
-import dev.windbend.zone.ZoneGate;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells operators once a period how a shard stands, and what its oldest waiting job waits for. */
+/** Logs once a period how a shard stands, and why its oldest waiting job waits. */
 final class ShardStatusLog {
   private static final Logger LOG = LoggerFactory.getLogger(ShardStatusLog.class);
+  private static final long MS_PER_SECOND = 1_000;
 
-  private final int shard;
   private final EventLoop loop;
-  private final JobRegistry board;
-  private final Fleet fleet;
-  private final DeploymentSpec facts;
-  private final OverdueJobs overdueJobs;
-  private final ZoneGate zones;
+  private final ShardState state;
+  private final DeploymentSpec deployment;
+  private final StarvedJobs starvedJobs;
   private final long periodMs;
-  private final SchedulingLoop rounds;
+  private final SchedulingLoop scheduling;
   private final PagedStore pages;
-  private long toldMs;
-  private int oldestWaitS;
+  private long loggedMs;
+  private int oldestWaitSeconds;
 
   ShardStatusLog(
-      int shard,
       EventLoop loop,
-      JobRegistry board,
-      Fleet fleet,
-      DeploymentSpec facts,
-      OverdueJobs overdueJobs,
-      ZoneGate zones,
+      ShardState state,
+      DeploymentSpec deployment,
+      StarvedJobs starvedJobs,
       long periodMs,
-      SchedulingLoop rounds,
+      SchedulingLoop scheduling,
       PagedStore pages) {
-    this.shard = shard;
     this.loop = loop;
-    this.board = board;
-    this.fleet = fleet;
-    this.facts = facts;
-    this.overdueJobs = overdueJobs;
-    this.zones = zones;
+    this.state = state;
+    this.deployment = deployment;
+    this.starvedJobs = starvedJobs;
     this.periodMs = periodMs;
-    this.rounds = rounds;
+    this.scheduling = scheduling;
     this.pages = pages;
-    this.toldMs = loop.nowMs();
+    this.loggedMs = loop.nowMs();
   }
 
-  int oldestWaitS() {
-    return oldestWaitS;
+  /** The age of the oldest waiting job when it was last logged; 0: none waited. */
+  int oldestWaitSeconds() {
+    return oldestWaitSeconds;
   }
 
-  private boolean due(long now) {
-    if (now - toldMs < periodMs) {
+  private boolean due(long nowMs) {
+    if (nowMs - loggedMs < periodMs) {
       return false;
     }
-    toldMs = now;
+    loggedMs = nowMs;
     return true;
   }
 
-  /** Called again and again while the owner may not act. */
-  void unsure(long now, long storeFailsMs) {
-    if (due(now)) {
+  /**
+   * Called at a steady interval while the leader may not act.
+   *
+   * @param storeFailingMs for how long the state service has not answered
+   */
+  void tickSuspended(long nowMs, long storeFailingMs) {
+    if (due(nowMs)) {
       LOG.info(
-          "shard {}: nothing is placed, the lease is not sure; no answer of the state service for {} s",
-          shard,
-          storeFailsMs / 1000);
+          "scheduling suspended: shard={} token={} store_failing_s={} cause=\"lease not confirmed\"",
+          state.shard(),
+          state.token(),
+          storeFailingMs / MS_PER_SECOND);
     }
   }
 
-  /** Called again and again while it may. */
-  void tick(long now) {
-    if (!due(now)) {
-      return;
+  /** Called at a steady interval while the leader may act. */
+  void tick(long nowMs) {
+    if (due(nowMs)) {
+      logStatus(nowMs);
+      logOldestWaitingJob(nowMs);
     }
-    double waiting = 0;
-    double placed = 0;
-    for (Job j : board.all()) {
-      waiting += j.waitingCount() * j.spec().cores();
-      placed += j.placements().size() * j.spec().cores();
+  }
+
+  private void logStatus(long nowMs) {
+    double waitingCores = 0;
+    double placedCores = 0;
+    for (Job job : state.jobs().all()) {
+      waitingCores += job.waitingCount() * job.spec().cores();
+      placedCores += job.placements().size() * job.spec().cores();
     }
     int up = 0;
     int booting = 0;
-    int unsure = 0;
-    for (Machine m : fleet.machines()) {
-      up += m.usable(now) ? 1 : 0;
-      booting += m.lastHeartbeatMs() < 0 ? 1 : 0;
-      unsure += m.lastHeartbeatMs() >= 0 && !m.usable(now) ? 1 : 0;
+    int unavailable = 0;
+    for (Machine machine : state.fleet().machines()) {
+      boolean reported = machine.lastHeartbeatMs() >= 0;
+      up += machine.usable(nowMs) ? 1 : 0;
+      booting += reported ? 0 : 1;
+      unavailable += reported && !machine.usable(nowMs) ? 1 : 0;
     }
     LOG.info(
-        "shard {}: {} jobs, cores waiting {} placed {}; machines up {} booting {} other {};"
-            + " round {} ms, pages {}",
-        shard,
-        board.all().size(),
-        Math.round(waiting),
-        Math.round(placed),
+        "shard status: shard={} jobs={} waiting_cores={} placed_cores={} machines_up={}"
+            + " machines_booting={} machines_unavailable={} cycle_ms={} pages={}",
+        state.shard(),
+        state.jobs().all().size(),
+        Math.round(waitingCores),
+        Math.round(placedCores),
         up,
         booting,
-        unsure,
-        rounds.costMs(),
+        unavailable,
+        scheduling.lastCycleCostMs(),
         pages.used());
-    OldestWaitingJob oldest =
-        OldestWaitingJob.find(board, fleet, facts, overdueJobs, zones, now, loop.wallMs());
-    oldestWaitS = oldest == null ? 0 : (int) oldest.ageS();
-    if (oldest != null) {
-      LOG.info(
-          "shard {}: {} waits, {} s old, for {}",
-          shard,
-          oldest.uid(),
-          oldestWaitS,
-          oldest.reason());
-    }
+  }
+
+  private void logOldestWaitingJob(long nowMs) {
+    Optional<OldestWaitingJob> oldest =
+        OldestWaitingJob.find(state, deployment, starvedJobs, nowMs, loop.wallMs());
+    oldestWaitSeconds = oldest.map(job -> (int) job.ageSeconds()).orElse(0);
+    oldest.ifPresent(
+        job ->
+            LOG.info(
+                "oldest waiting job: shard={} job={} age_s={} {}",
+                state.shard(),
+                job.uid(),
+                oldestWaitSeconds,
+                job.reason().toLog()));
   }
 }
--- a/src/main/java/dev/windbend/shard/TaskOutcomes.java
+++ b/src/main/java/dev/windbend/shard/TaskOutcomes.java
@@ -52,7 +52,7 @@
   @Override
   public void taskCompleted(Placement placement, long nowMs) {
     if (placement.runningMs() >= 0) {
-      deadlines.finished(placement.job(), (nowMs - placement.runningMs()) / MS_PER_SECOND);
+      deadlines.taskCompleted(placement.job(), (nowMs - placement.runningMs()) / MS_PER_SECOND);
     }
   }
 
--- a/src/main/java/dev/windbend/shard/TeamUsage.java
+++ b/src/main/java/dev/windbend/shard/TeamUsage.java
@@ -4,7 +4,10 @@
 import java.util.Collection;
 import java.util.function.ToDoubleFunction;
 
-/** What each team's tasks use. All that is not proved gone counts, wherever it is. */
+/**
+ * What each team's tasks use, by the team's index. Every task that is not proved gone counts, on
+ * whatever shard's machine it runs.
+ */
 final class TeamUsage {
   private TeamUsage() {}
 
--- a/src/test/java/dev/windbend/daemon/OverdueJobsTest.java
+++ b/src/test/java/dev/windbend/daemon/StarvedJobsTest.java
@@ -14,7 +14,7 @@
  * beside it, while jobs of other shards, under their teams' limits, find none. The judge of {@link
  * SimulatedCluster} says whether any of them waits for 90 s beside such room.
  */
-class OverdueJobsTest {
+class StarvedJobsTest {
   private static final long DAY_MS = 900_000;
   private static final long WAITING_FROM_MS = 60_000;
   private static final int FIRST_JOB = 0;
@@ -91,7 +91,7 @@
       w.loss = 0;
       w.late = 0;
       w.judge.calmFromMs = 0;
-      w.runs = OverdueJobsTest::oneLongTaskOnEachMachine;
+      w.runs = StarvedJobsTest::oneLongTaskOnEachMachine;
       w.begin(0, 1);
       SimulatedUser first = new SimulatedUser(w, FIRST_JOB, "red", 4 * machines, null, true, false);
       w.time.at(5_000, first::submit);
--- a/src/test/java/dev/windbend/shard/OldestWaitingJobTest.java
+++ b/src/test/java/dev/windbend/shard/OldestWaitingJobTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.util.Optional;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -10,27 +11,33 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "4200|-1|100|true |0|0 |0|false|its tasks fail on every machine, tried again in 5 s",
-        "0   |96|100|true |3|0 |0|true |its team's limit, of which 96 of 100 cores are used",
-        "-5  |-1|100|true |3|50|0|true |its turn: there is room, kept for work that is due first"
-            + " or by its zone and spread",
-        "0   |-1|100|false|0|0 |0|false|room",
-        "0   |-1|100|false|3|50|2|true |room, 3 machines boot, 50 are asked of the cloud, 2 do not"
-            + " report, leave or were just taken over, the cloud has no more of some kind",
+        "4200|-1|100|true |0|0 |0|false|cause=backoff retry_in_s=5",
+        "0   |96|100|true |3|0 |0|true |cause=team_quota used_cores=96 max_cores=100",
+        "-5  |-1|100|true |3|50|0|true |cause=capacity_reserved",
+        "0   |-1|100|false|0|0 |0|false|cause=no_capacity booting=0 requested=0 unavailable=0"
+            + " cloud_exhausted=false",
+        "0   |-1|100|false|3|50|2|true |cause=no_capacity booting=3 requested=50 unavailable=2"
+            + " cloud_exhausted=true",
       })
-  void saysWhatAJobWaitsFor(
-      long backOffMs,
-      double usedAtLimit,
-      double limit,
-      boolean room,
+  void logsTheFirstReasonThatApplies(
+      long backoffMs,
+      double usedAtQuota,
+      double maxCores,
+      boolean free,
       int booting,
-      int asked,
-      int unsure,
-      boolean refused,
-      String reason) {
-    assertThat(
-            OldestWaitingJob.reason(
-                backOffMs, usedAtLimit, limit, room, booting, asked, unsure, refused))
-        .isEqualTo(reason);
+      int requested,
+      int unavailable,
+      boolean cloudExhausted,
+      String logged) {
+    Optional<WaitReason.TeamQuota> quota =
+        usedAtQuota < 0
+            ? Optional.empty()
+            : Optional.of(new WaitReason.TeamQuota(usedAtQuota, maxCores));
+    WaitReason.NoCapacity lacking =
+        new WaitReason.NoCapacity(booting, requested, unavailable, cloudExhausted);
+    WaitReason reason =
+        OldestWaitingJob.reason(
+            Optional.empty(), backoffMs, quota, new OldestWaitingJob.Capacity(free, lacking));
+    assertThat(reason.toLog()).isEqualTo(logged);
   }
 }
