--- a/src/main/java/dev/windbend/shard/ShardJobs.java
+++ b/src/main/java/dev/windbend/shard/ShardJobs.java
@@ -120,7 +120,7 @@
 
   private void stopCancelled(Job job) {
     LOG.info("job cancelled: shard={} job={}", leadership.shard(), job.spec().uid());
-    heartbeats.cancelled(job);
+    heartbeats.stopTasks(job);
     registry.touched(job);
     scheduling.requestCycle();
   }
--- a/src/main/java/dev/windbend/shard/ShardLeader.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -14,6 +14,7 @@
 import dev.windbend.store.PendingWrite;
 import dev.windbend.store.VersionedValue;
 import dev.windbend.worker.HeartbeatHandler;
+import dev.windbend.worker.HeartbeatTiming;
 import dev.windbend.worker.TaskReconciler;
 import dev.windbend.worker.WorkerMessages;
 import dev.windbend.zone.ZoneStatus;
@@ -183,9 +184,10 @@
         leadership,
         scheduling,
         leadership.token(),
-        context.deployment().workers().heartbeatSeconds(),
-        context.deployment().workers().leaseSeconds(),
-        context.policy().idleHoldFraction());
+        HeartbeatTiming.of(
+            context.deployment().workers().heartbeatSeconds(),
+            context.deployment().workers().leaseSeconds(),
+            context.policy().idleHoldFraction()));
   }
 
   private ShardStatusLog newStatusLog(ShardState state, StarvedJobs starvedJobs) {
@@ -327,7 +329,7 @@
    * @param done called once with the answer, which may wait for work or for a write
    */
   public void handleHeartbeat(WorkerMessages.Heartbeat heartbeat, Consumer<ServerResponse> done) {
-    heartbeats.report(heartbeat, done);
+    heartbeats.handle(heartbeat, done);
   }
 
   /** Transfers machines to another shard, as many as can be spared. */
@@ -341,7 +343,7 @@
   private void afterWrite() {
     jobs.forgetEnded();
     fleet.afterWrite();
-    heartbeats.answerWaiting();
+    heartbeats.respondToHeld();
   }
 
   /** Takes the fleet's events to where they count. */
--- a/src/main/java/dev/windbend/worker/DirectStopClient.java
+++ b/src/main/java/dev/windbend/worker/DirectStopClient.java
@@ -8,63 +8,68 @@
 import java.util.List;
 
 /**
- * Tells machines at once to stop tasks of cancelled jobs, instead of with the answer to their next
- * report: that comes seconds later, and not at all from a machine that reaches no node. It needs no
- * lease and may land late: an attempt of a cancelled job is never wanted again, and the token
- * fences it. Nothing relies on it; what is lost or dropped here the next answer says again.
+ * Has workers stop the tasks of cancelled jobs at once, instead of with the response to their next
+ * heartbeat: that comes seconds later, and not at all to a worker that reaches no controller. It
+ * needs no lease and may land late: an attempt of a cancelled job is never wanted again, and the
+ * token fences it. Nothing relies on it; what is lost or discarded here the next response repeats.
  */
 public final class DirectStopClient {
   static final String PATH = "/commands";
-  private static final long LIMIT_MS = 2_000;
-  private static final int MOST_AT_ONCE = 12;
+  private static final long CALL_TIMEOUT_MS = 2_000;
+  private static final int MAX_CALLS_IN_PROGRESS = 12;
 
   /** One stop for each machine of a fleet twice as large as 4,000: a huge array is cancelled. */
-  private static final int MOST_WAITING = 8_000;
+  private static final int MAX_QUEUED = 8_000;
 
-  /** Older than that, the machine has reported and been answered. */
-  private final long staleMs;
+  /** What has waited for longer is discarded: the worker has had a response since. */
+  private final long queuedMaxMs;
 
   private final EventLoop loop;
   private final HttpClient web;
-  private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-  private int inProgress;
+  private final ArrayDeque<QueuedStops> queue = new ArrayDeque<>();
+  private int callsInProgress;
 
-  private record Waiting(String address, WorkerMessages.Commands commands, long untilMs) {}
+  private record QueuedStops(String address, WorkerMessages.Commands commands, long untilMs) {}
 
-  public DirectStopClient(EventLoop loop, HttpClient web, double reportS) {
+  /**
+   * A client with an empty queue.
+   *
+   * @param heartbeatSeconds interval of the workers' heartbeats
+   */
+  public DirectStopClient(EventLoop loop, HttpClient web, double heartbeatSeconds) {
     this.loop = loop;
     this.web = web;
-    this.staleMs = (long) (1000 * reportS);
+    this.queuedMaxMs = (long) (1000 * heartbeatSeconds);
   }
 
-  void send(Machine m, long token, List<WorkerMessages.Order> stops) {
-    if (m.address() != null && !stops.isEmpty()) {
-      send(m.address(), token, m.incarnation(), stops);
+  void send(Machine machine, long token, List<WorkerMessages.Order> stops) {
+    if (machine.address() != null && !stops.isEmpty()) {
+      send(machine.address(), token, machine.incarnation(), stops);
     }
   }
 
-  void send(String address, long token, long session, List<WorkerMessages.Order> stops) {
-    if (waiting.size() < MOST_WAITING) {
-      WorkerMessages.Commands commands = new WorkerMessages.Commands(token, session, stops);
-      waiting.add(new Waiting(address, commands, loop.nowMs() + staleMs));
-      next();
+  void send(String address, long token, long incarnation, List<WorkerMessages.Order> stops) {
+    if (queue.size() < MAX_QUEUED) {
+      WorkerMessages.Commands commands = new WorkerMessages.Commands(token, incarnation, stops);
+      queue.add(new QueuedStops(address, commands, loop.nowMs() + queuedMaxMs));
+      sendQueued();
     }
   }
 
-  private void next() {
-    while (inProgress < MOST_AT_ONCE && !waiting.isEmpty()) {
-      Waiting w = waiting.poll();
-      if (loop.nowMs() < w.untilMs()) {
-        inProgress++;
+  private void sendQueued() {
+    while (callsInProgress < MAX_CALLS_IN_PROGRESS && !queue.isEmpty()) {
+      QueuedStops next = queue.poll();
+      if (loop.nowMs() < next.untilMs()) {
+        callsInProgress++;
         web.call(
-            w.address(),
+            next.address(),
             "POST",
             PATH,
-            Json.write(w.commands()),
-            LIMIT_MS,
+            Json.write(next.commands()),
+            CALL_TIMEOUT_MS,
             reply -> {
-              inProgress--;
-              next();
+              callsInProgress--;
+              sendQueued();
             });
       }
     }
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -6,6 +6,10 @@
 import dev.windbend.machine.Machine;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.ServerResponse;
+import dev.windbend.worker.HeldHeartbeats.Awaited;
+import dev.windbend.worker.HeldHeartbeats.Held;
+import dev.windbend.worker.WorkerMessages.Heartbeat;
+import dev.windbend.worker.WorkerMessages.Order;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -14,13 +18,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes the reports of a shard's workers and answers each, at once or when there is news. */
+/**
+ * Takes the heartbeats of a shard's workers, and responds to each at once, or as soon as there is
+ * something to do for the worker.
+ */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-  /** A worker drops an answer after 4 s; this leaves time for the way and for a slow node. */
-  private static final long LONGEST_HOLD_MS = 2_600;
-
+  /** The cloud may take a machine away so much earlier than it said. */
   private static final long RECALL_SLACK_MS = 1_000;
 
   private final EventLoop loop;
@@ -30,10 +35,8 @@
   private final Leadership leadership;
   private final SchedulingTrigger scheduling;
   private final long token;
-  private final long reportMs;
-  private final long leaseMs;
-  private final long idleHoldMs;
-  private final Map<Machine, Waiting> waiting = new LinkedHashMap<>();
+  private final HeartbeatTiming timing;
+  private final HeldHeartbeats heldHeartbeats;
 
   /** Whether this controller leads the shard. */
   public interface Leadership {
@@ -53,14 +56,11 @@
     void runCycleNow();
   }
 
-  /** A report whose answer waits for a write, or for work. */
-  private record Waiting(
-      Machine machine,
-      WorkerMessages.Heartbeat report,
-      long untilMs,
-      boolean idle,
-      Consumer<ServerResponse> done) {}
-
+  /**
+   * A handler for the workers of one shard.
+   *
+   * @param token fencing token under which this controller leads the shard
+   */
   public HeartbeatHandler(
       EventLoop loop,
       Fleet fleet,
@@ -69,9 +69,7 @@
       Leadership leadership,
       SchedulingTrigger scheduling,
       long token,
-      double reportS,
-      double leaseS,
-      double idleHold) {
+      HeartbeatTiming timing) {
     this.loop = loop;
     this.fleet = fleet;
     this.reconciler = reconciler;
@@ -79,216 +77,273 @@
     this.leadership = leadership;
     this.scheduling = scheduling;
     this.token = token;
-    this.reportMs = (long) (1000 * reportS);
-    this.leaseMs = (long) (1000 * leaseS);
-    this.idleHoldMs = Math.min(LONGEST_HOLD_MS, (long) (1000 * reportS * idleHold));
+    this.timing = timing;
+    this.heldHeartbeats = new HeldHeartbeats(loop);
   }
 
+  /** Refuses the heartbeats whose responses wait. */
   public void close() {
-    waiting.values().forEach(w -> w.done().accept(ServerResponse.ofStatus(503)));
-    waiting.clear();
+    heldHeartbeats.close();
   }
 
-  public void report(WorkerMessages.Heartbeat r, Consumer<ServerResponse> done) {
-    Machine m = fleet.find(r.machine());
-    long fence = m == null ? 0 : m.token(token);
-    if (m == null || r.token() > fence) {
-      done.accept(ServerResponse.ofStatus(503));
+  /**
+   * Takes one heartbeat.
+   *
+   * @param responseTarget takes the response, at once or later
+   */
+  public void handle(Heartbeat heartbeat, Consumer<ServerResponse> responseTarget) {
+    Machine machine = fleet.find(heartbeat.machine());
+    if (!admits(machine, heartbeat)) {
+      responseTarget.accept(ServerResponse.ofStatus(503));
       return;
     }
-    long now = loop.nowMs();
-    if (!m.newer(r.shift(), r.tally())) {
+    long nowMs = loop.nowMs();
+    if (!machine.newer(heartbeat.incarnation(), heartbeat.sequence())) {
       // A late copy, or held back by the network: older than what we know, and nobody waits for the
-      // answer. It proves nothing and renews nothing.
-      done.accept(unsure(m, r));
+      // response. It proves nothing and renews nothing.
+      responseTarget.accept(respondUnsure(machine, heartbeat));
       return;
     }
-    release(m);
-    m.endAwaitingResponse();
-    listen(m, r, fence, now);
-    m.recordHeartbeat(r.shift(), r.tally(), r.address(), r.token() == fence, now);
-    if (r.recallS() != null && m.recallMs() < 0) {
-      m.recordRecall(now + (long) (r.recallS() * 1000));
-      LOG.info("{} is recalled in {} s", m.name(), r.recallS());
-      scheduling.requestCycle();
-    }
-    if (!m.confirmedUnderToken() || !leadership.mayAct()) {
+    discardHeld(machine);
+    recordLiveness(machine, heartbeat, nowMs);
+    if (!machine.confirmedUnderToken() || !leadership.mayAct()) {
       if (leadership.mayAct()) {
-        m.recordResponseUnderToken();
+        machine.recordResponseUnderToken();
       }
-      done.accept(unsure(m, r));
+      responseTarget.accept(respondUnsure(machine, heartbeat));
       return;
     }
-    if (m.cordoned()) {
-      // What has not started there never will: without this it would stay placed for ever.
-      m.tasks().values().stream().filter(p -> !p.seen() && !p.inherited()).forEach(p -> p.stop(0));
-    }
-    boolean free = m.tasks().isEmpty();
-    int before = m.tasks().size();
-    m.beginAwaitingResponse();
-    reconciler.absorb(m, r, now);
-    if (m.recallMs() >= 0) {
-      drain(m, now);
-    }
-    if (m.tasks().size() < before || free) {
-      scheduling.runCycleNow();
+    reconcile(machine, heartbeat, nowMs);
+    respondOrHold(machine, heartbeat, responseTarget);
+  }
+
+  /** Whether the machine is ours, and its worker has seen no token above the one we use for it. */
+  private boolean admits(Machine machine, Heartbeat heartbeat) {
+    return machine != null && heartbeat.token() <= machine.token(token);
+  }
+
+  /** The worker has given up on the response that waits: a newer heartbeat has come. */
+  private void discardHeld(Machine machine) {
+    Held held = heldHeartbeats.release(machine);
+    if (held != null) {
+      held.responseTarget().accept(respondUnsure(machine, held.heartbeat()));
     }
-    if (writePending(m)) {
-      await(new Waiting(m, r, now + LONGEST_HOLD_MS, false, done));
-    } else if (hasRoom(m) && reconciler.orders(m, r, false).isEmpty() && !startPending(m)) {
-      // With room and nothing to do, it hears of new work at once instead of at its next report.
-      await(new Waiting(m, r, now + idleHoldMs, true, done));
-    } else {
-      answerNow(new Waiting(m, r, now, false, done));
+    machine.endAwaitingResponse();
+  }
+
+  private void recordLiveness(Machine machine, Heartbeat heartbeat, long nowMs) {
+    long machineToken = machine.token(token);
+    recordEffectOfResponses(machine, heartbeat, machineToken, nowMs);
+    machine.recordHeartbeat(
+        heartbeat.incarnation(),
+        heartbeat.sequence(),
+        heartbeat.address(),
+        heartbeat.token() == machineToken,
+        nowMs);
+    if (heartbeat.recallS() != null && machine.recallMs() < 0) {
+      machine.recordRecall(nowMs + (long) (heartbeat.recallS() * 1000));
+      LOG.info(
+          "machine recalled by the cloud: machine={} recall_s={}",
+          machine.name(),
+          heartbeat.recallS());
+      scheduling.requestCycle();
     }
   }
 
   /**
-   * Whether it hears us: an answer gives it our token, and a start shows in the next report. A
-   * machine that keeps reporting but does neither gets no more work and is given back. Its session
-   * ends too, as no answer renews its lease.
+   * Whether our responses reach it: one gives it our token, and a start shows in the next
+   * heartbeat. A machine that keeps sending heartbeats but shows neither gets no more work and is
+   * returned. Its incarnation ends too, as no response renews its lease.
    */
-  private void listen(Machine m, WorkerMessages.Heartbeat r, long fence, long now) {
-    if (m.incarnation() < 0) {
+  private void recordEffectOfResponses(
+      Machine machine, Heartbeat heartbeat, long machineToken, long nowMs) {
+    if (machine.incarnation() < 0) {
       return;
     }
-    boolean missed = m.answeredUnderToken() && r.token() < fence;
-    if (r.shift() > m.incarnation()) {
-      missed |= m.confirmedUnderToken() && now - m.lastHeartbeatMs() < leaseMs / 2;
+    boolean missed = machine.answeredUnderToken() && heartbeat.token() < machineToken;
+    if (heartbeat.incarnation() > machine.incarnation()) {
+      missed |=
+          machine.confirmedUnderToken() && nowMs - machine.lastHeartbeatMs() < timing.leaseMs() / 2;
     } else {
-      missed |= reconciler.startMissing(m, r);
+      missed |= reconciler.startMissing(machine, heartbeat);
     }
     if (missed) {
-      m.recordMissedResponse();
+      machine.recordMissedResponse();
+    } else {
+      machine.clearMissedResponses();
+    }
+  }
+
+  private void reconcile(Machine machine, Heartbeat heartbeat, long nowMs) {
+    if (machine.cordoned()) {
+      abandonUnstarted(machine);
+    }
+    int tasksBefore = machine.tasks().size();
+    machine.beginAwaitingResponse();
+    reconciler.reconcile(machine, heartbeat, nowMs);
+    if (machine.recallMs() >= 0) {
+      stopTasksThatCheckpoint(machine, nowMs);
+    }
+    if (machine.tasks().size() < tasksBefore || tasksBefore == 0) {
+      scheduling.runCycleNow();
+    }
+  }
+
+  /** What has not started there never will: without this it would stay placed for ever. */
+  private static void abandonUnstarted(Machine machine) {
+    for (Placement placement : machine.tasks().values()) {
+      if (!placement.seen() && !placement.inherited()) {
+        placement.stop(0);
+      }
+    }
+  }
+
+  /** Tasks that can save a checkpoint do so in time; others may still end before the recall. */
+  private void stopTasksThatCheckpoint(Machine machine, long nowMs) {
+    for (Placement placement : machine.tasks().values()) {
+      double saveS = placement.job().spec().saveS();
+      if (placement.job().spec().checkpointS() > 0
+          && nowMs + RECALL_SLACK_MS + saveS * 1000 + 2 * timing.heartbeatMs()
+              >= machine.recallMs()) {
+        placement.stop(saveS + 1);
+      }
+    }
+  }
+
+  private void respondOrHold(
+      Machine machine, Heartbeat heartbeat, Consumer<ServerResponse> responseTarget) {
+    if (writePending(machine)) {
+      Held held = new Held(machine, heartbeat, Awaited.WRITE, responseTarget);
+      heldHeartbeats.hold(held, HeartbeatTiming.MAX_HOLD_MS, this::respond);
+    } else if (hasRoom(machine)
+        && reconciler.ordersWithoutStarts(machine, heartbeat).isEmpty()
+        && !startPending(machine)) {
+      // With room and nothing to do, it gets new work at once instead of at its next heartbeat.
+      Held held = new Held(machine, heartbeat, Awaited.WORK, responseTarget);
+      heldHeartbeats.hold(held, timing.idleHoldMs(), this::respond);
     } else {
-      m.clearMissedResponses();
+      respond(machine, heartbeat, responseTarget);
     }
   }
 
-  private void await(Waiting w) {
-    waiting.put(w.machine(), w);
-    loop.after(
-        w.untilMs() - loop.nowMs(),
-        () -> {
-          if (waiting.remove(w.machine(), w)) {
-            answerNow(w);
-          }
-        });
+  private void respond(Held held) {
+    respond(held.machine(), held.heartbeat(), held.responseTarget());
   }
 
-  /** The worker has given up on the answer that waits: a newer report has come. */
-  private void release(Machine m) {
-    Waiting w = waiting.remove(m);
-    if (w != null) {
-      w.done().accept(unsure(m, w.report()));
+  private void respond(
+      Machine machine, Heartbeat heartbeat, Consumer<ServerResponse> responseTarget) {
+    machine.endAwaitingResponse();
+    boolean newest =
+        machine.incarnation() == heartbeat.incarnation()
+            && machine.heartbeatSequence() == heartbeat.sequence();
+    boolean mayAct = leadership.mayAct();
+    if (mayAct) {
+      machine.recordResponseUnderToken();
     }
+    responseTarget.accept(
+        newest && mayAct
+            ? response(sureKind(machine), machine, heartbeat)
+            : respondUnsure(machine, heartbeat));
+  }
+
+  private static ResponseKind sureKind(Machine machine) {
+    boolean mayStart = !machine.returning() && !machine.cordoned() && machine.recorded();
+    return mayStart ? ResponseKind.STOP_AND_START : ResponseKind.STOP_UNWANTED;
   }
 
   /**
-   * Unsure of our lease, or of what is on the machine, we only keep leases alive, and stop tasks of
-   * cancelled jobs: nobody takes a lease's end for proof, and a successor's token is higher. Not if
-   * others are served, so that workers find them, and not for longer than is said in {@link
-   * dev.windbend.peer.Peers#mayKeepWorkers}. Asked when the answer goes out, as it may have waited.
+   * Unsure of our lease, or of what is on the machine, we only keep workers' leases alive, and stop
+   * tasks of cancelled jobs: nobody takes a lease's expiry for proof, and a successor's token is
+   * higher. Not if others are served, so that workers find them, and not for longer than {@link
+   * Leadership#mayKeepWorkers} allows. To be asked when the response goes out, as it may have
+   * waited.
    */
-  private ServerResponse unsure(Machine m, WorkerMessages.Heartbeat r) {
-    return leadership.mayAct() || leadership.mayKeepWorkers()
-        ? answer(m, reconciler.cancelledStops(r))
-        : ServerResponse.ofStatus(503);
+  private ServerResponse respondUnsure(Machine machine, Heartbeat heartbeat) {
+    ResponseKind kind =
+        leadership.mayAct() || leadership.mayKeepWorkers()
+            ? ResponseKind.STOP_CANCELLED
+            : ResponseKind.RENEW_NOTHING;
+    return response(kind, machine, heartbeat);
   }
 
-  private static boolean hasRoom(Machine m) {
-    return !m.cordoned() && !m.returning() && m.recorded() && m.freeCores() >= 1;
+  private ServerResponse response(ResponseKind kind, Machine machine, Heartbeat heartbeat) {
+    return switch (kind) {
+      case RENEW_NOTHING -> ServerResponse.ofStatus(503);
+      case STOP_CANCELLED -> renewal(machine, reconciler.stopsOfCancelledTasks(heartbeat));
+      case STOP_UNWANTED -> renewal(machine, reconciler.ordersWithoutStarts(machine, heartbeat));
+      case STOP_AND_START -> renewal(machine, reconciler.ordersWithStarts(machine, heartbeat));
+    };
   }
 
-  private static boolean startPending(Machine m) {
-    for (Placement p : m.tasks().values()) {
-      if (!p.seen() && p.job().startable(p)) {
-        return true;
-      }
-    }
-    return false;
+  private ServerResponse renewal(Machine machine, List<Order> orders) {
+    return ServerResponse.of(200, new WorkerMessages.Orders(machine.token(token), orders));
+  }
+
+  private static boolean hasRoom(Machine machine) {
+    return !machine.cordoned()
+        && !machine.returning()
+        && machine.recorded()
+        && machine.freeCores() >= 1;
   }
 
-  /** Tasks that can save do so in time; the others may still finish before the machine goes. */
-  private void drain(Machine m, long now) {
-    for (Placement p : m.tasks().values()) {
-      double saveS = p.job().spec().saveS();
-      if (p.job().spec().checkpointS() > 0
-          && now + RECALL_SLACK_MS + saveS * 1000 + 2 * reportMs >= m.recallMs()) {
-        p.stop(saveS + 1);
+  /** A start may go out to it. */
+  private static boolean startPending(Machine machine) {
+    for (Placement placement : machine.tasks().values()) {
+      if (!placement.seen() && placement.job().startable(placement)) {
+        return true;
       }
     }
+    return false;
   }
 
-  private static boolean writePending(Machine m) {
-    for (Placement p : m.tasks().values()) {
-      if (!p.inherited() && !p.seen() && !p.stopping() && !p.job().startable(p)) {
+  /** A start may go out to it as soon as its placement is written. */
+  private static boolean writePending(Machine machine) {
+    for (Placement placement : machine.tasks().values()) {
+      if (!placement.inherited()
+          && !placement.seen()
+          && !placement.stopping()
+          && !placement.job().startable(placement)) {
         return true;
       }
     }
     return false;
   }
 
-  private void answerNow(Waiting w) {
-    Machine m = w.machine();
-    m.endAwaitingResponse();
-    boolean newest =
-        m.incarnation() == w.report().shift() && m.heartbeatSequence() == w.report().tally();
-    boolean act = leadership.mayAct();
-    boolean mayStart = act && !m.returning() && !m.cordoned() && m.recorded();
-    if (act) {
-      m.recordResponseUnderToken();
+  /** A job was cancelled: stops go to its workers at once, in responses that wait or directly. */
+  public void stopTasks(Job cancelledJob) {
+    Map<Machine, List<Order>> stops = new LinkedHashMap<>();
+    for (Placement placement : cancelledJob.placements()) {
+      Machine machine = fleet.find(placement.machineName());
+      if (machine != null && mayBeThere(placement)) {
+        stops
+            .computeIfAbsent(machine, key -> new ArrayList<>())
+            .add(Order.stop(placement.taskName(), placement.attempt(), 0));
+      }
     }
-    w.done()
-        .accept(
-            newest && act
-                ? answer(m, reconciler.orders(m, w.report(), mayStart))
-                : unsure(m, w.report()));
+    stops.forEach(this::sendStops);
   }
 
-  private ServerResponse answer(Machine m, List<WorkerMessages.Order> orders) {
-    return ServerResponse.of(200, new WorkerMessages.Orders(m.token(token), orders));
+  private static boolean mayBeThere(Placement placement) {
+    return placement.seen() || placement.inherited() || placement.sentSequence() >= 0;
   }
 
-  /** A job was cancelled: its machines are told at once, by answers that wait or directly. */
-  public void cancelled(Job job) {
-    Map<Machine, List<WorkerMessages.Order>> stops = new LinkedHashMap<>();
-    for (Placement p : job.placements()) {
-      Machine m = fleet.find(p.machineName());
-      if (m != null && (p.seen() || p.inherited() || p.sentSequence() >= 0)) {
-        stops
-            .computeIfAbsent(m, k -> new ArrayList<>())
-            .add(WorkerMessages.Order.stop(p.taskName(), p.attempt(), 0));
-      }
+  private void sendStops(Machine machine, List<Order> orders) {
+    Held held = heldHeartbeats.release(machine);
+    if (held != null) {
+      respond(held);
+    } else {
+      directStops.send(machine, machine.token(token), orders);
     }
-    stops.forEach(
-        (m, orders) -> {
-          Waiting w = waiting.remove(m);
-          if (w != null) {
-            answerNow(w);
-          } else {
-            directStops.send(m, m.token(token), orders);
-          }
-        });
   }
 
-  /** Something was written or planned: answers that waited for it go out. */
-  public void answerWaiting() {
-    if (waiting.isEmpty()) {
-      return;
-    }
-    List<Waiting> ready = new ArrayList<>();
-    for (Waiting w : waiting.values()) {
-      Machine m = w.machine();
-      boolean news = !w.idle() || startPending(m) || (!hasRoom(m) && !writePending(m));
-      if (news && !writePending(m)) {
-        ready.add(w);
-      }
-    }
-    for (Waiting w : ready) {
-      if (waiting.remove(w.machine(), w)) {
-        answerNow(w);
-      }
-    }
+  /** Something was written or placed: responses that waited for it go out. */
+  public void respondToHeld() {
+    heldHeartbeats.releaseIf(HeartbeatHandler::readyToRespond, this::respond);
+  }
+
+  private static boolean readyToRespond(Held held) {
+    Machine machine = held.machine();
+    return !writePending(machine)
+        && (held.awaited() == Awaited.WRITE || startPending(machine) || !hasRoom(machine));
   }
 }
--- a/src/main/java/dev/windbend/worker/HeartbeatReader.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatReader.java
@@ -11,48 +11,50 @@
 import java.util.List;
 
 /**
- * Reads workers' reports token by token. Reports are most of what a controller receives, and right
- * after its start they all come at once, while the code that maps JSON to records by reflection is
- * not compiled yet. Unknown fields are ignored, and a missing field is the same as null.
+ * Reads workers' heartbeats token by token. Heartbeats are most of what a controller receives, and
+ * right after its start they all come at once, while the code that maps JSON to records by
+ * reflection is not compiled yet. Unknown fields are ignored, and a missing field is the same as
+ * null.
  */
 public final class HeartbeatReader {
   private static final JsonFactory FACTORY = new JsonFactory();
 
   private HeartbeatReader() {}
 
-  /** Null if the bytes do not hold a valid report. */
+  /** The heartbeat in these bytes; null if they do not hold a valid one. */
   public static Heartbeat read(byte[] bytes) {
     try (JsonParser parser = FACTORY.createParser(bytes)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         return null;
       }
-      Heartbeat report = new Fields().readReport(parser);
-      return parser.nextToken() == null && report.valid() ? report : null;
+      Heartbeat heartbeat = new Fields().readHeartbeat(parser);
+      return parser.nextToken() == null && heartbeat.valid() ? heartbeat : null;
     } catch (IOException e) {
       return null;
     }
   }
 
-  /** The fields of one report, as far as they have been read. */
+  /** The fields of one heartbeat, as far as they have been read. */
   private static final class Fields {
     private String machine;
     private String address;
     private String type;
     private String zone;
     private boolean spot;
-    private long shift;
-    private long tally;
+    private long incarnation;
+    private long sequence;
     private long token;
     private Double recallS;
     private List<TaskState> tasks;
 
-    Heartbeat readReport(JsonParser parser) throws IOException {
+    Heartbeat readHeartbeat(JsonParser parser) throws IOException {
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         String name = parser.currentName();
         parser.nextToken();
         readField(name, parser);
       }
-      return new Heartbeat(machine, address, type, zone, spot, shift, tally, token, recallS, tasks);
+      return new Heartbeat(
+          machine, address, type, zone, spot, incarnation, sequence, token, recallS, tasks);
     }
 
     private void readField(String name, JsonParser parser) throws IOException {
@@ -62,8 +64,8 @@
         case "rig" -> type = text(parser);
         case "yard" -> zone = text(parser);
         case "standby" -> spot = flag(parser);
-        case "shift" -> shift = integer(parser);
-        case "tally" -> tally = integer(parser);
+        case "shift" -> incarnation = integer(parser);
+        case "tally" -> sequence = integer(parser);
         case "baton" -> token = integer(parser);
         case "recall_s" -> recallS = isNull(parser) ? null : parser.getDoubleValue();
         case "drops" -> tasks = isNull(parser) ? null : readTasks(parser);
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -13,11 +13,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Learns from reports, and answers each with the difference between wanted and reported tasks. */
+/**
+ * Reconciles the tasks that a heartbeat lists with those placed on the machine: takes in what
+ * became of them, and makes the orders that turn the listed tasks into the wanted ones.
+ */
 public final class TaskReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
-  private static final long FULL_MS = 3_000;
-  private static final long UNKNOWN_MS = 3_000;
+
+  /** How long a machine gets no starts after it refused one because it is in use. */
+  private static final long START_REFUSED_BACKOFF_MS = 3_000;
+
+  /** How long a job is deferred after a worker refused its start as unknown. */
+  private static final long JOB_UNKNOWN_BACKOFF_MS = 3_000;
 
   private final TaskEvents events;
 
@@ -26,7 +33,7 @@
     /** Null if it is not a live job of this shard. */
     Job findJob(String uid);
 
-    /** Finally cancelled, as far as this node knows; whoever owns the shard now. */
+    /** Finally cancelled, as far as this controller knows; whoever leads the shard now. */
     boolean isCancelled(String uid);
 
     /** The job differs from what is stored of it, and is to be written. */
@@ -42,99 +49,87 @@
     int imageIndex(String name);
   }
 
+  /** A reconciler that tells this listener what became of tasks. */
   public TaskReconciler(TaskEvents events) {
     this.events = events;
   }
 
-  /** Takes in a report that is newer than all before and came under our token. */
-  public void absorb(Machine m, Heartbeat r, long nowMs) {
-    Set<Placement> present = new HashSet<>();
-    for (TaskState t : r.tasks()) {
-      Placement p = m.tasks().get(t.task());
-      if (p != null && p.attempt() == t.attempt()) {
-        present.add(p);
-        p.recordSeen();
-        if (t.exited()) {
-          exited(m, p, t, nowMs);
-        } else if (t.running() && p.runningMs() < 0) {
-          p.recordRunning(nowMs);
-          m.recordImage(events.imageIndex(p.job().spec().image()));
-        }
-      } else if (t.exited() && "done".equals(t.cause())) {
-        foundDone(t, nowMs);
+  /**
+   * Takes in a heartbeat that is newer than all before and came under our token.
+   *
+   * @param nowMs steady clock
+   */
+  public void reconcile(Machine machine, Heartbeat heartbeat, long nowMs) {
+    Set<Placement> listed = new HashSet<>();
+    for (TaskState reported : heartbeat.tasks()) {
+      Placement placement = machine.tasks().get(reported.task());
+      if (placement != null && placement.attempt() == reported.attempt()) {
+        listed.add(placement);
+        recordListed(machine, placement, reported, nowMs);
+      } else if (reported.exited() && reported.exitCause() == ExitCause.COMPLETED) {
+        completeAbandonedAttempt(reported, nowMs);
       }
     }
-    for (Placement p : List.copyOf(m.tasks().values())) {
-      if (!present.contains(p) && provedGone(p, r)) {
-        LOG.info("{} attempt {} is gone from {}", p.taskName(), p.attempt(), m.name());
-        leave(m, p, nowMs);
+    for (Placement placement : List.copyOf(machine.tasks().values())) {
+      if (!listed.contains(placement) && provedGone(placement, heartbeat)) {
+        LOG.info(
+            "task missing from heartbeat: machine={} task={} attempt={}",
+            machine.name(),
+            placement.taskName(),
+            placement.attempt());
+        remove(machine, placement, nowMs);
       }
     }
   }
 
-  /**
-   * The report lacks the attempt. It is gone if it was there before, or if it came from a former
-   * owner: no start of theirs can be executed any more, as the worker has seen our token. A start
-   * of ours may only be written off when it is not wanted any more and the report was sent after
-   * the answer that carried it was used or dropped.
-   */
-  private static boolean provedGone(Placement p, Heartbeat r) {
-    return p.seen()
-        || p.inherited()
-        || (p.stopping()
-            && (p.sentIncarnation() < r.shift()
-                || (p.sentIncarnation() == r.shift() && p.sentSequence() < r.tally())));
-  }
-
-  /** A start went out in the answer to an earlier report, and this one does not show it. */
-  boolean startMissing(Machine m, Heartbeat r) {
-    for (Placement p : m.tasks().values()) {
-      if (!p.seen()
-          && !p.stopping()
-          && p.sentIncarnation() == r.shift()
-          && p.sentSequence() < r.tally()) {
-        boolean shown = false;
-        for (TaskState t : r.tasks()) {
-          shown |= t.attempt() == p.attempt() && t.task().equals(p.taskName());
-        }
-        if (!shown) {
-          return true;
-        }
-      }
+  private void recordListed(Machine machine, Placement placement, TaskState reported, long nowMs) {
+    placement.recordSeen();
+    if (reported.exited()) {
+      recordExit(machine, placement, reported, nowMs);
+    } else if (reported.running() && placement.runningMs() < 0) {
+      placement.recordRunning(nowMs);
+      machine.recordImage(events.imageIndex(placement.job().spec().image()));
     }
-    return false;
   }
 
-  private void leave(Machine m, Placement p, long nowMs) {
-    m.remove(p, nowMs);
-    p.job().gone(p);
-    events.jobChanged(p.job());
-  }
-
-  private void exited(Machine m, Placement p, TaskState t, long nowMs) {
-    String cause = t.cause() == null ? "" : t.cause();
-    LOG.debug("{} attempt {} exited on {}: {}", p.taskName(), p.attempt(), m.name(), cause);
-    switch (cause) {
-      case "done" -> {
-        p.job().complete(p.task(), nowMs);
-        events.taskCompleted(p, nowMs);
-        m.clearFailedJobs();
+  private void recordExit(Machine machine, Placement placement, TaskState reported, long nowMs) {
+    LOG.debug(
+        "task exited: machine={} task={} attempt={} cause={}",
+        machine.name(),
+        placement.taskName(),
+        placement.attempt(),
+        reported.cause());
+    switch (reported.exitCause()) {
+      case COMPLETED -> {
+        placement.job().complete(placement.task(), nowMs);
+        events.taskCompleted(placement, nowMs);
+        machine.clearFailedJobs();
       }
-      case "error" -> events.taskFailed(p, m);
-      case "no_room", "in_use" -> m.refuseStartsUntil(nowMs + FULL_MS);
-      case "unknown" -> p.job().deferUntil(nowMs + UNKNOWN_MS);
-      default -> {
-        // stopped as asked: it goes back to wait
+      case FAILED -> events.taskFailed(placement, machine);
+      case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT ->
+          machine.refuseStartsUntil(nowMs + START_REFUSED_BACKOFF_MS);
+      case UNKNOWN_JOB -> placement.job().deferUntil(nowMs + JOB_UNKNOWN_BACKOFF_MS);
+      case STOPPED -> {
+        // The task is pending again.
       }
     }
-    leave(m, p, nowMs);
+    remove(machine, placement, nowMs);
   }
 
-  /** A result nobody waited for, of an attempt that was given up: it counts all the same. */
-  private void foundDone(TaskState t, long nowMs) {
-    Job job = job(t.task());
-    int task = index(t.task());
-    if (job == null || task < 0 || task >= job.spec().tasks() || job.isDone(task)) {
+  private void remove(Machine machine, Placement placement, long nowMs) {
+    machine.remove(placement, nowMs);
+    placement.job().gone(placement);
+    events.jobChanged(placement.job());
+  }
+
+  /**
+   * An attempt that had been given up has completed: that counts all the same, and another attempt
+   * is needed no more.
+   */
+  private void completeAbandonedAttempt(TaskState reported, long nowMs) {
+    Job job = findJob(reported.task());
+    int task = taskIndex(reported.task());
+    if (job == null || !hasTask(job, task) || job.isDone(task)) {
       return;
     }
     job.complete(task, nowMs);
@@ -145,71 +140,129 @@
     events.jobChanged(job);
   }
 
-  /** The orders that make the reported tasks the wanted ones. Starts only if they may go out. */
-  public List<Order> orders(Machine m, Heartbeat r, boolean mayStart) {
-    List<Order> stops = new ArrayList<>();
-    List<Order> rest = new ArrayList<>();
-    Set<String> reported = new HashSet<>();
-    for (TaskState t : r.tasks()) {
-      Placement p = m.tasks().get(t.task());
-      boolean wanted = p != null && p.attempt() == t.attempt();
-      if (wanted) {
-        reported.add(t.task());
+  /**
+   * The heartbeat lacks the attempt. It is gone if it was there before, or if it came from a former
+   * leader: no start of theirs can be executed any more, as the worker has seen our token. A start
+   * of ours may only be written off when it is not wanted any more and the heartbeat was sent after
+   * the response that carried it was used or discarded.
+   */
+  private static boolean provedGone(Placement placement, Heartbeat heartbeat) {
+    return placement.seen()
+        || placement.inherited()
+        || (placement.stopping() && sentBefore(placement, heartbeat));
+  }
+
+  /** The start answered an earlier heartbeat of this or an earlier incarnation. */
+  private static boolean sentBefore(Placement placement, Heartbeat heartbeat) {
+    return placement.sentIncarnation() < heartbeat.incarnation()
+        || sentBeforeInIncarnation(placement, heartbeat);
+  }
+
+  private static boolean sentBeforeInIncarnation(Placement placement, Heartbeat heartbeat) {
+    return placement.sentIncarnation() == heartbeat.incarnation()
+        && placement.sentSequence() < heartbeat.sequence();
+  }
+
+  /** A start went out in the response to an earlier heartbeat, and this one does not list it. */
+  boolean startMissing(Machine machine, Heartbeat heartbeat) {
+    for (Placement placement : machine.tasks().values()) {
+      if (!placement.seen()
+          && !placement.stopping()
+          && sentBeforeInIncarnation(placement, heartbeat)
+          && !heartbeat.lists(placement.taskName(), placement.attempt())) {
+        return true;
       }
-      if (t.exited()) {
-        if (mayForget(t)) {
-          rest.add(Order.forget(t.task(), t.attempt()));
+    }
+    return false;
+  }
+
+  /**
+   * Orders that take away what is not wanted: stops first, then acknowledgements of exits, each in
+   * the order in which the heartbeat lists the tasks.
+   */
+  List<Order> ordersWithoutStarts(Machine machine, Heartbeat heartbeat) {
+    List<Order> orders = new ArrayList<>();
+    List<Order> acknowledgements = new ArrayList<>();
+    for (TaskState reported : heartbeat.tasks()) {
+      if (reported.exited()) {
+        if (mayAcknowledge(reported)) {
+          acknowledgements.add(Order.acknowledgeExit(reported.task(), reported.attempt()));
         }
-      } else if (!wanted) {
-        stops.add(Order.stop(t.task(), t.attempt(), 0));
-      } else if (p.stopping() && (!t.flushing() || p.stopGraceS() == 0)) {
-        stops.add(Order.stop(t.task(), t.attempt(), p.stopGraceS()));
+      } else {
+        addStop(machine, reported, orders);
       }
     }
-    if (mayStart) {
-      for (Placement p : m.tasks().values()) {
-        if (!reported.contains(p.taskName()) && !p.seen() && p.job().startable(p)) {
-          p.recordStartSent(r.shift(), r.tally());
-          rest.add(Order.start(p.taskName(), p.attempt()));
+    orders.addAll(acknowledgements);
+    return orders;
+  }
+
+  private static void addStop(Machine machine, TaskState reported, List<Order> orders) {
+    Placement placement = machine.tasks().get(reported.task());
+    if (placement == null || placement.attempt() != reported.attempt()) {
+      orders.add(Order.stop(reported.task(), reported.attempt(), 0));
+    } else if (placement.stopping()
+        && (!reported.savingCheckpoint() || placement.stopGraceS() == 0)) {
+      orders.add(Order.stop(reported.task(), reported.attempt(), placement.stopGraceS()));
+    }
+  }
+
+  /**
+   * Orders that make the listed tasks the wanted ones. The starts come last, and are recorded as
+   * sent in the response to this heartbeat.
+   */
+  List<Order> ordersWithStarts(Machine machine, Heartbeat heartbeat) {
+    List<Order> orders = ordersWithoutStarts(machine, heartbeat);
+    for (Placement placement : machine.tasks().values()) {
+      if (!placement.seen() && placement.job().startable(placement)) {
+        String taskName = placement.taskName();
+        if (!heartbeat.lists(taskName, placement.attempt())) {
+          placement.recordStartSent(heartbeat.incarnation(), heartbeat.sequence());
+          orders.add(Order.start(taskName, placement.attempt()));
         }
       }
     }
-    stops.addAll(rest);
-    return stops;
+    return orders;
   }
 
   /**
-   * Stops for all reported tasks of cancelled jobs. They need no lease: they are right whoever owns
-   * the shard, and without them an owner that is unsure through an outage would keep such a task
+   * Stops for all listed tasks of cancelled jobs. They need no lease: they are right whoever leads
+   * the shard, and without them a leader that is unsure through an outage would keep such a task
    * alive, by renewing its machine's lease, for longer than {@code cancel_s}.
    */
-  public List<Order> cancelledStops(Heartbeat r) {
+  List<Order> stopsOfCancelledTasks(Heartbeat heartbeat) {
     List<Order> stops = new ArrayList<>();
-    for (TaskState t : r.tasks()) {
-      int slash = t.task().lastIndexOf('/');
-      if (!t.exited() && slash > 0 && events.isCancelled(t.task().substring(0, slash))) {
-        stops.add(Order.stop(t.task(), t.attempt(), 0));
+    for (TaskState reported : heartbeat.tasks()) {
+      int slash = reported.task().lastIndexOf('/');
+      if (!reported.exited()
+          && slash > 0
+          && events.isCancelled(reported.task().substring(0, slash))) {
+        stops.add(Order.stop(reported.task(), reported.attempt(), 0));
       }
     }
     return stops;
   }
 
-  /** A completed task's exit is kept on the machine until the record says it is done. */
-  private boolean mayForget(TaskState t) {
-    if (!"done".equals(t.cause())) {
+  /** The worker keeps a completed task's exit until the record says that it is completed. */
+  private boolean mayAcknowledge(TaskState reported) {
+    if (reported.exitCause() != ExitCause.COMPLETED) {
       return true;
     }
-    Job job = job(t.task());
-    int task = index(t.task());
-    return job == null || task < 0 || task >= job.spec().tasks() || job.doneRecorded(task);
+    Job job = findJob(reported.task());
+    int task = taskIndex(reported.task());
+    return job == null || !hasTask(job, task) || job.doneRecorded(task);
+  }
+
+  private static boolean hasTask(Job job, int task) {
+    return task >= 0 && task < job.spec().tasks();
   }
 
-  private Job job(String taskName) {
+  private Job findJob(String taskName) {
     int slash = taskName.lastIndexOf('/');
     return slash < 0 ? null : events.findJob(taskName.substring(0, slash));
   }
 
-  private static int index(String taskName) {
+  /** Index of the task in its job; -1: the name has none. */
+  private static int taskIndex(String taskName) {
     try {
       return Integer.parseInt(taskName.substring(taskName.lastIndexOf('/') + 1));
     } catch (NumberFormatException e) {
--- a/src/test/java/dev/windbend/worker/DirectStopClientTest.java
+++ b/src/test/java/dev/windbend/worker/DirectStopClientTest.java
@@ -10,7 +10,7 @@
 
 class DirectStopClientTest {
   private static final int FLEET = 4_000;
-  private static final int MOST_AT_ONCE = 12;
+  private static final int MAX_CALLS_IN_PROGRESS = 12;
 
   private final ManualEventLoop loop = new ManualEventLoop(1_000);
   private final ManualHttpClient web = new ManualHttpClient();
@@ -32,18 +32,18 @@
 
   /** The tasks of one job may be on every machine of the largest fleet. */
   @Test
-  void everyMachineOfALargeFleetIsTold() {
+  void everyMachineOfALargeFleetGetsItsStop() {
     cancelHugeArray();
-    assertThat(web.addresses).as("few at once").hasSize(MOST_AT_ONCE);
+    assertThat(web.addresses).as("few at once").hasSize(MAX_CALLS_IN_PROGRESS);
     answerAll(new ClientResponse(200, new byte[0]));
     assertThat(web.addresses).doesNotHaveDuplicates().hasSize(FLEET);
   }
 
   @Test
-  void whatHasWaitedForAReportIntervalIsLeftToTheNextAnswer() {
+  void stopsThatWaitedForAHeartbeatIntervalAreLeftToTheNextResponse() {
     cancelHugeArray();
     loop.nowMs += 3_000;
     answerAll(ClientResponse.NO_RESPONSE);
-    assertThat(web.addresses).hasSize(MOST_AT_ONCE);
+    assertThat(web.addresses).hasSize(MAX_CALLS_IN_PROGRESS);
   }
 }
--- a/src/test/java/dev/windbend/worker/HeartbeatReaderTest.java
+++ b/src/test/java/dev/windbend/worker/HeartbeatReaderTest.java
@@ -66,7 +66,7 @@
         "{HEAD\"shift\":1,\"recall_s\":\"soon\",\"drops\":[]}",
         "{\"rig\":\"g8\",\"yard\":\"a\",\"shift\":1,\"drops\":[]}",
       })
-  void refusesWhatIsNoReport(String json) {
+  void refusesWhatIsNoHeartbeat(String json) {
     assertThat(HeartbeatReader.read(bytes(json))).isNull();
   }
 
--- a/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
+++ b/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
@@ -16,7 +16,7 @@
   static Stream<Arguments> messages() {
     return Stream.of(
         arguments(
-            "report",
+            "heartbeat",
             new WorkerMessages.Heartbeat(
                 "host-000231",
                 "10.1.0.232:9000",
@@ -36,27 +36,27 @@
             "drops":[{"drop":"wk-000412/3","run":2,"status":"running"},
             {"drop":"wk-000398/0","run":5,"status":"exited","cause":"halted","saved":true}]}"""),
         arguments(
-            "report without what may be missing",
+            "heartbeat without what may be missing",
             new WorkerMessages.Heartbeat(
                 "host-000231", null, "g8", "a", false, 3, 0, 0, null, List.of()),
             """
             {"truck":"host-000231","rig":"g8","yard":"a","standby":false,
             "shift":3,"tally":0,"baton":0,"drops":[]}"""),
         arguments(
-            "answer to a report",
+            "response to a report",
             new WorkerMessages.Orders(
                 41,
                 List.of(
                     WorkerMessages.Order.start("wk-000412/4", 2),
                     WorkerMessages.Order.stop("wk-000377/1", 1, 10),
-                    WorkerMessages.Order.forget("wk-000398/0", 3))),
+                    WorkerMessages.Order.acknowledgeExit("wk-000398/0", 3))),
             """
             {"baton":41,"orders":[
             {"order":"start","drop":"wk-000412/4","run":2},
             {"order":"kill","drop":"wk-000377/1","run":1,"wind_down_s":10.0},
             {"order":"reap","drop":"wk-000398/0","run":3}]}"""),
         arguments(
-            "answer to a report, no orders",
+            "response to a report, no orders",
             new WorkerMessages.Orders(9_007_199_254_740_993L, List.of()),
             """
             {"baton":9007199254740993,"orders":[]}"""),
@@ -68,11 +68,11 @@
             {"baton":41,"shift":7,
             "orders":[{"order":"kill","drop":"wk-000377/1","run":1,"wind_down_s":0.0}]}"""),
         arguments(
-            "answer that names another node",
+            "response that names another node",
             new WorkerMessages.Elsewhere("mast-2"),
             """
             {"dispatcher":"mast-2"}"""),
-        arguments("answer that names no node", new WorkerMessages.Elsewhere(null), "{}"));
+        arguments("response that names no node", new WorkerMessages.Elsewhere(null), "{}"));
   }
 
   @ParameterizedTest(name = "{0}")
