--- a/src/main/java/dev/windbend/machine/CloudClient.java
+++ b/src/main/java/dev/windbend/machine/CloudClient.java
@@ -5,15 +5,28 @@
 import dev.windbend.runtime.HttpClient;
 import dev.windbend.runtime.Json;
 import dev.windbend.store.Rate;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Calls the cloud, each with a time-out, under this node's part of its rate limit. */
+/** Calls the cloud, each time with a time-out, under this controller's part of its rate limit. */
 public final class CloudClient {
-  private static final long LIMIT_MS = 4_000;
+  private static final long CALL_TIMEOUT_MS = 4_000;
+  private static final int PAGE_SIZE = 500;
+
+  /** What the parts of all controllers add up to, as a multiple of the rate limit. */
+  private static final double RATE_OVERCOMMIT = 1.6;
+
+  /** Part of the text by which the cloud says that it lacks machines. */
+  private static final String NO_CAPACITY = "no capacity";
+
+  private static final int BAD_REQUEST = 400;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int UNAVAILABLE = 503;
 
   private final EventLoop loop;
   private final HttpClient web;
@@ -21,100 +34,134 @@
   private final Rate rate;
   private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
 
-  /** How a rental request ended. */
-  enum Rented {
-    GOT,
+  /** How a request for instances ended. */
+  enum CreateResult {
+    /** Instances were created, perhaps fewer than requested. */
+    GRANTED,
+    /** The cloud lacks them; nothing was created. */
     REFUSED,
+    /** The cloud does not take the request as it is; nothing was created. */
     MALFORMED,
+    /** No clear answer: it may have been carried out, and is to be sent again under its name. */
+    UNKNOWN
+  }
+
+  /** How a return of instances ended. */
+  enum ReturnResult {
+    /** They and all that was on them are gone. */
+    CONFIRMED,
+    /** No clear answer, or not sent: it may have been carried out, and is to be sent again. */
     UNKNOWN
   }
 
-  interface RentalDone {
-    void done(Rented how, List<String> machines);
+  /** Takes the result of a request for instances. */
+  interface CreateCallback {
+    /** {@code machines}: names of the instances granted. */
+    void done(CreateResult result, List<String> machines);
   }
 
-  public CloudClient(EventLoop loop, HttpClient web, String address, double rps, int nodes) {
+  /**
+   * A client without calls.
+   *
+   * @param callsPerSecond rate limit of the cloud, which all controllers share
+   */
+  public CloudClient(
+      EventLoop loop, HttpClient web, String address, double callsPerSecond, int controllers) {
     this.loop = loop;
     this.web = web;
     this.address = address;
-    this.rate = new Rate(loop, rps * Math.min(1.0, 1.6 / nodes));
+    this.rate = new Rate(loop, callsPerSecond * Math.min(1.0, RATE_OVERCOMMIT / controllers));
   }
 
-  void types(Consumer<List<CloudMessages.Type>> done) {
+  /** The machine types on offer, at least one; empty: they could not be had. */
+  void listTypes(Consumer<Optional<List<CloudMessages.Type>>> done) {
     call(
         "GET",
         "/machine_types",
         null,
-        reply -> {
-          CloudMessages.Types t =
-              reply.ok() ? Json.read(reply.body(), CloudMessages.Types.class) : null;
-          done.accept(t == null || t.types() == null || t.types().isEmpty() ? null : t.types());
-        });
+        reply ->
+            done.accept(
+                read(reply, CloudMessages.Types.class)
+                    .map(CloudMessages.Types::types)
+                    .filter(types -> !types.isEmpty())));
   }
 
-  void rent(CloudMessages.CreateInstances rental, RentalDone done) {
+  /** Requests instances; repeated under the same name, the request is idempotent. */
+  void createInstances(CloudMessages.CreateInstances request, CreateCallback done) {
     call(
         "POST",
         "/hosts",
-        Json.write(rental),
+        Json.write(request),
         reply -> {
-          CloudMessages.Machines m =
-              reply.ok() ? Json.read(reply.body(), CloudMessages.Machines.class) : null;
-          if (m != null && m.names() != null) {
-            done.done(Rented.GOT, m.names());
-          } else if (reply.status() == 400) {
-            done.done(Rented.MALFORMED, List.of());
-          } else if (reply.status() == 503
-              && new String(reply.body(), java.nio.charset.StandardCharsets.UTF_8)
-                  .contains("no capacity")) {
-            done.done(Rented.REFUSED, List.of());
+          Optional<List<String>> names =
+              read(reply, CloudMessages.Machines.class).map(CloudMessages.Machines::names);
+          if (names.isPresent()) {
+            done.done(CreateResult.GRANTED, names.get());
           } else {
-            done.done(Rented.UNKNOWN, List.of());
+            done.done(failure(reply), List.of());
           }
         });
   }
 
+  private static CreateResult failure(ClientResponse reply) {
+    if (reply.status() == BAD_REQUEST) {
+      return CreateResult.MALFORMED;
+    }
+    boolean lacks =
+        reply.status() == UNAVAILABLE
+            && new String(reply.body(), StandardCharsets.UTF_8).contains(NO_CAPACITY);
+    return lacks ? CreateResult.REFUSED : CreateResult.UNKNOWN;
+  }
+
   /**
-   * At most 100 names. True: they and all that was on them are gone. The cloud knows no fence, so
-   * whether they may still be given back is asked again at the moment of sending: this process may
-   * have stood still meanwhile, and another may use them.
+   * Returns instances, at most 100. The cloud knows no fencing token, so whether they may still be
+   * returned is asked again at the moment of sending: this process may have stood still meanwhile,
+   * and another may use them.
    */
-  void giveBack(List<String> machines, BooleanSupplier still, Consumer<Boolean> done) {
+  void returnInstances(
+      List<String> machines, BooleanSupplier stillAllowed, Consumer<ReturnResult> done) {
     call(
         "POST",
         "/hosts/return",
         Json.write(new CloudMessages.Machines(machines)),
-        still,
-        reply -> done.accept(reply.ok()));
+        stillAllowed,
+        reply -> done.accept(reply.ok() ? ReturnResult.CONFIRMED : ReturnResult.UNKNOWN));
   }
 
-  /** All pages; null if any could not be had. */
-  void list(Consumer<List<CloudMessages.Listed>> done) {
-    page(null, new ArrayList<>(), done);
+  /** All instances, by pages; empty: some page could not be had. */
+  void listInstances(Consumer<Optional<List<CloudMessages.Listed>>> done) {
+    listPage(null, new ArrayList<>(), done);
   }
 
-  private void page(
-      String from, List<CloudMessages.Listed> sofar, Consumer<List<CloudMessages.Listed>> done) {
+  private void listPage(
+      String afterName,
+      List<CloudMessages.Listed> listed,
+      Consumer<Optional<List<CloudMessages.Listed>>> done) {
     call(
         "GET",
-        "/hosts?limit=500" + (from == null ? "" : "&from=" + from),
+        "/hosts?limit=" + PAGE_SIZE + (afterName == null ? "" : "&from=" + afterName),
         null,
         reply -> {
-          CloudMessages.Listing l =
-              reply.ok() ? Json.read(reply.body(), CloudMessages.Listing.class) : null;
-          if (l == null || l.machines() == null) {
-            done.accept(null);
+          Optional<CloudMessages.Listing> listing =
+              read(reply, CloudMessages.Listing.class).filter(page -> page.machines() != null);
+          if (listing.isEmpty()) {
+            done.accept(Optional.empty());
             return;
           }
-          sofar.addAll(l.machines());
-          if (l.more() && !l.machines().isEmpty()) {
-            page(l.machines().get(l.machines().size() - 1).name(), sofar, done);
+          List<CloudMessages.Listed> page = listing.get().machines();
+          listed.addAll(page);
+          if (listing.get().more() && !page.isEmpty()) {
+            listPage(page.get(page.size() - 1).name(), listed, done);
           } else {
-            done.accept(sofar);
+            done.accept(Optional.of(listed));
           }
         });
   }
 
+  private static <T> Optional<T> read(ClientResponse reply, Class<T> type) {
+    return reply.ok() ? Optional.ofNullable(Json.read(reply.body(), type)) : Optional.empty();
+  }
+
   private void call(String method, String path, byte[] body, Consumer<ClientResponse> done) {
     call(method, path, body, () -> true, done);
   }
@@ -123,35 +170,39 @@
       String method,
       String path,
       byte[] body,
-      BooleanSupplier still,
+      BooleanSupplier stillAllowed,
       Consumer<ClientResponse> done) {
     queue.add(
         () -> {
-          if (!still.getAsBoolean()) {
+          if (stillAllowed.getAsBoolean()) {
+            send(method, path, body, done);
+          } else {
             done.accept(ClientResponse.NO_RESPONSE);
-            return;
           }
-          web.call(
-              address,
-              method,
-              path,
-              body,
-              LIMIT_MS,
-              reply -> {
-                if (reply.status() == 429) {
-                  rate.slowDown();
-                }
-                done.accept(reply);
-              });
         });
-    pump();
+    sendQueued();
+  }
+
+  private void send(String method, String path, byte[] body, Consumer<ClientResponse> done) {
+    web.call(
+        address,
+        method,
+        path,
+        body,
+        CALL_TIMEOUT_MS,
+        reply -> {
+          if (reply.status() == TOO_MANY_REQUESTS) {
+            rate.slowDown();
+          }
+          done.accept(reply);
+        });
   }
 
-  private void pump() {
+  private void sendQueued() {
     while (!queue.isEmpty()) {
-      long wait = rate.waitMs(1);
-      if (wait > 0) {
-        loop.after(wait, this::pump);
+      long waitMs = rate.waitMs(1);
+      if (waitMs > 0) {
+        loop.after(waitMs, this::sendQueued);
         return;
       }
       rate.take(1);
--- a/src/main/java/dev/windbend/machine/CloudMessages.java
+++ b/src/main/java/dev/windbend/machine/CloudMessages.java
@@ -39,5 +39,13 @@
       @JsonProperty("yard") String zone,
       @JsonProperty("standby") boolean spot,
       @JsonProperty("status") String status,
-      @JsonProperty("age_s") double ageS) {}
+      @JsonProperty("age_s") double ageS) {
+    boolean failed() {
+      return "failed".equals(status);
+    }
+
+    OrphanedMachine orphaned() {
+      return new OrphanedMachine(type, zone, spot);
+    }
+  }
 }
--- /dev/null
+++ b/src/main/java/dev/windbend/machine/CloudReconciliation.java
@@ -0,0 +1,88 @@
+package dev.windbend.machine;
+
+import dev.windbend.runtime.EventLoop;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.BiConsumer;
+import java.util.function.Predicate;
+
+/** Reconciles the machines of a shard with those that the cloud lists. */
+final class CloudReconciliation {
+  private final EventLoop loop;
+  private final CloudClient cloud;
+  private final FleetRecords records;
+  private final ScaleIn scaleIn;
+  private final Map<String, Long> unknownSinceMs = new HashMap<>();
+  private boolean closed;
+
+  CloudReconciliation(EventLoop loop, CloudClient cloud, FleetRecords records, ScaleIn scaleIn) {
+    this.loop = loop;
+    this.cloud = cloud;
+    this.records = records;
+    this.scaleIn = scaleIn;
+  }
+
+  void close() {
+    closed = true;
+  }
+
+  /** See {@link Fleet#returnUnlistedInherited}. */
+  void returnUnlistedInherited() {
+    cloud.listInstances(
+        listed -> {
+          if (!closed) {
+            listed.ifPresent(this::returnUnlistedInherited);
+          }
+        });
+  }
+
+  private void returnUnlistedInherited(List<CloudMessages.Listed> listed) {
+    Set<String> listedNames = new HashSet<>();
+    listed.forEach(instance -> listedNames.add(instance.name()));
+    for (Machine machine : List.copyOf(records.machines())) {
+      if (machine.inherited()
+          && machine.lastHeartbeatMs() < 0
+          && !listedNames.contains(machine.name())) {
+        scaleIn.request(List.of(machine), "gone since before the failover");
+      }
+    }
+  }
+
+  /** See {@link Fleet#reconcileWithCloud}. */
+  void reconcile(
+      long orphanedAfterMs, Predicate<String> known, BiConsumer<String, OrphanedMachine> found) {
+    cloud.listInstances(
+        listed -> {
+          if (!closed) {
+            listed.ifPresent(instances -> reconcile(instances, orphanedAfterMs, known, found));
+          }
+        });
+  }
+
+  private void reconcile(
+      List<CloudMessages.Listed> listed,
+      long orphanedAfterMs,
+      Predicate<String> known,
+      BiConsumer<String, OrphanedMachine> found) {
+    Set<String> unknownNow = new HashSet<>();
+    for (CloudMessages.Listed instance : listed) {
+      String name = instance.name();
+      Machine machine = records.find(name);
+      if (machine != null) {
+        if (instance.failed()) {
+          scaleIn.request(List.of(machine), "failed");
+        }
+      } else if (!known.test(name)) {
+        unknownNow.add(name);
+        long sinceMs = unknownSinceMs.computeIfAbsent(name, key -> loop.nowMs());
+        if (loop.nowMs() - sinceMs >= orphanedAfterMs) {
+          found.accept(name, instance.orphaned());
+        }
+      }
+    }
+    unknownSinceMs.keySet().retainAll(unknownNow);
+  }
+}
--- /dev/null
+++ b/src/main/java/dev/windbend/machine/FleetRecords.java
@@ -0,0 +1,137 @@
+package dev.windbend.machine;
+
+import dev.windbend.runtime.EventLoop;
+import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The machines of one shard and the records that name them, in the order in which they came. */
+final class FleetRecords {
+  private static final Logger LOG = LoggerFactory.getLogger(FleetRecords.class);
+
+  private final EventLoop loop;
+  private final MachineTypeCatalog catalog;
+  private final int shard;
+  private final Fleet.Listener listener;
+  private final Map<String, ScaleOutRequest> requests = new LinkedHashMap<>();
+  private final Map<String, Machine> machines = new LinkedHashMap<>();
+
+  /** Fences of machines that left, so that an outdated record does not bring them back. */
+  private final Object2LongOpenHashMap<String> fencesOfFormer = new Object2LongOpenHashMap<>();
+
+  FleetRecords(EventLoop loop, MachineTypeCatalog catalog, int shard, Fleet.Listener listener) {
+    this.loop = loop;
+    this.catalog = catalog;
+    this.shard = shard;
+    this.listener = listener;
+  }
+
+  Collection<Machine> machines() {
+    return machines.values();
+  }
+
+  /** Null if it is not of this shard. */
+  Machine find(String name) {
+    return machines.get(name);
+  }
+
+  Collection<ScaleOutRequest> requests() {
+    return requests.values();
+  }
+
+  /** See {@link Fleet#restore}. */
+  void restore(
+      String name, ScaleOutRecord record, long version, MachineIndex index, boolean inherited) {
+    if (requests.containsKey(name)) {
+      return;
+    }
+    ScaleOutRequest request = add(name, record, version);
+    if (request == null || record.open()) {
+      return;
+    }
+    for (String machineName : record.machines()) {
+      if (index.names(request.key, machineName) && !leftSince(machineName, request.fence)) {
+        restoreMachine(machineName, request, inherited);
+      }
+    }
+    if (request.machines.size() < record.machines().size()) {
+      request.changed(loop.nowMs(), false);
+      listener.recordChanged(request);
+      finishEmptied();
+    }
+  }
+
+  /** Whether it left this shard under this fence or a later one. */
+  private boolean leftSince(String machineName, long fence) {
+    return fencesOfFormer.containsKey(machineName) && fencesOfFormer.getLong(machineName) >= fence;
+  }
+
+  private void restoreMachine(String machineName, ScaleOutRequest request, boolean inherited) {
+    Machine former = machines.get(machineName);
+    if (former != null) {
+      remove(former);
+    }
+    Machine machine = addMachine(machineName, request, loop.nowMs());
+    machine.recordWritten();
+    machine.recordInherited(inherited);
+  }
+
+  /** A request as it is on record, or is to be (version 0); null: its type is not known. */
+  ScaleOutRequest add(String name, ScaleOutRecord record, long version) {
+    MachineType type = catalog.find(record.type());
+    if (type == null) {
+      LOG.error("scale-out record of unknown machine type: name={} type={}", name, record.type());
+      return null;
+    }
+    int zone = catalog.zones().index(record.zone());
+    ScaleOutRequest request =
+        new ScaleOutRequest(name, shard, record, type, zone, version, loop.nowMs());
+    requests.put(name, request);
+    return request;
+  }
+
+  /** Takes in the machines that the cloud granted, without those that are or were known. */
+  void addGranted(ScaleOutRequest request, List<String> names) {
+    for (String name : names) {
+      if (!machines.containsKey(name) && !fencesOfFormer.containsKey(name)) {
+        addMachine(name, request, request.requestedMs);
+      }
+    }
+  }
+
+  private Machine addMachine(String name, ScaleOutRequest request, long requestedMs) {
+    Machine machine = new Machine(name, request, requestedMs, loop.nowMs());
+    machines.put(name, machine);
+    request.machines.add(machine);
+    return machine;
+  }
+
+  /** The machine is no longer this shard's. */
+  void remove(Machine machine) {
+    if (machines.remove(machine.name(), machine)) {
+      fencesOfFormer.put(machine.name(), machine.request.fence);
+    }
+    machine.request.remove(machine, loop.nowMs());
+    listener.recordChanged(machine.request);
+  }
+
+  /** Finishes requests that were answered and have no machines left. */
+  void finishEmptied() {
+    for (ScaleOutRequest request : List.copyOf(requests.values())) {
+      if (request.answered && request.machines.isEmpty()) {
+        finish(request);
+      }
+    }
+  }
+
+  /** Nothing depends on the request any more: its record goes. */
+  void finish(ScaleOutRequest request) {
+    requests.remove(request.name);
+    request.finish(loop.nowMs());
+    listener.recordChanged(request);
+  }
+}
--- a/src/main/java/dev/windbend/machine/Machine.java
+++ b/src/main/java/dev/windbend/machine/Machine.java
@@ -67,14 +67,14 @@
   private long evictByMs = -1;
 
   /** The record that names it. */
-  final ScaleOutRequest hire;
+  final ScaleOutRequest request;
 
-  private boolean listing;
+  private boolean recordWriting;
 
-  private boolean listed;
+  private boolean recordWritten;
 
   /** On its way to another shard. */
-  private boolean lent;
+  private boolean transferred;
 
   private boolean used;
 
@@ -83,12 +83,12 @@
 
   private double leastFreeCoresBefore;
 
-  Machine(String name, ScaleOutRequest hire, long requestedMs, long nowMs) {
+  Machine(String name, ScaleOutRequest request, long requestedMs, long nowMs) {
     this.name = name;
-    this.hire = hire;
-    this.type = hire.type;
-    this.zone = hire.zone;
-    this.spot = hire.asked.spot();
+    this.request = request;
+    this.type = request.type;
+    this.zone = request.zone;
+    this.spot = request.record.spot();
     this.requestedMs = requestedMs;
     this.idleSinceMs = nowMs;
     this.leastFreeCores = type.cores();
@@ -341,12 +341,12 @@
   }
 
   public String zoneName() {
-    return hire.asked.zone();
+    return request.record.zone();
   }
 
   /** Came from another shard. */
   public boolean received() {
-    return hire.fence > 0;
+    return request.fence > 0;
   }
 
   public double freeCores() {
@@ -385,31 +385,33 @@
    * below the claim's.
    */
   public long token(long claim) {
-    return Math.max(claim, hire.fence);
+    return Math.max(claim, request.fence);
   }
 
   /** A write of the record that names it is under way. */
-  boolean listing() {
-    return listing;
+  boolean recordWriting() {
+    return recordWriting;
   }
 
   /** A write of the record that names it begins. */
-  void beginListing() {
-    listing = true;
+  void beginRecordWrite() {
+    recordWriting = true;
   }
 
   /** The write of the record that names it failed. */
-  void abandonListing() {
-    listing = false;
+  void abandonRecordWrite() {
+    recordWriting = false;
   }
 
-  void listed() {
-    listing = false;
-    listed = true;
+  /** The record that names it is stored. */
+  void recordWritten() {
+    recordWriting = false;
+    recordWritten = true;
   }
 
-  void lent() {
-    lent = true;
+  /** It goes to another shard, and is used no more from now on. */
+  void beginTransfer() {
+    transferred = true;
   }
 
   /**
@@ -417,7 +419,7 @@
    * it, take its tasks for gone and start them twice.
    */
   public boolean recorded() {
-    return listed && !lent;
+    return recordWritten && !transferred;
   }
 
   public boolean newer(long s, long t) {
@@ -435,12 +437,12 @@
   }
 
   /**
-   * May be given on while idle. Not if this shard was given it and had no use for it: shards that
-   * all lack machines of another kind would pass it round for ever, and the cloud could not rent it
-   * to them as what they need.
+   * Whether it may be transferred while idle. Not if it was transferred to this shard, which had no
+   * use for it: shards that all lack machines of another kind would pass it round for ever, and the
+   * cloud could not grant it to them as what they need.
    */
-  public boolean mayBeLent() {
-    return used || hire.fence == 0;
+  public boolean mayBeTransferred() {
+    return used || request.fence == 0;
   }
 
   public void add(Placement p) {
--- a/src/main/java/dev/windbend/machine/MachineHealth.java
+++ b/src/main/java/dev/windbend/machine/MachineHealth.java
@@ -117,14 +117,14 @@
       boolean empty = m.cordoned() && m.tasks().isEmpty();
       if ((m.recallMs() >= 0 && now > m.recallMs() + RECALL_SLACK_MS)
           || (empty && m.promisedTo() < 0)) {
-        fleet.giveBack(m, "drained");
+        fleet.scaleIn(m, "drained");
       } else if (empty && m.confirmedUnderToken() && m.recorded()) {
         promised.computeIfAbsent(m.promisedTo(), k -> new ArrayList<>()).add(m);
       }
     }
     if (!promised.isEmpty() && now - lentMs >= LEND_GAP_MS) {
       lentMs = now;
-      promised.forEach((to, machines) -> fleet.lend(machines, to));
+      promised.forEach((to, machines) -> fleet.transfer(machines, to));
     }
     for (int z = 0; z < zones; z++) {
       // Nearly all of a zone at once is a cut; a wave of machines taken back is less.
@@ -137,12 +137,12 @@
       long quiet = now - Math.max(m.lastHeartbeatMs(), sureSinceMs);
       boolean cut = cutMs[m.zone()] == now;
       if (cut ? quiet > leaseMs + 2 * reportMs : now - cutMs[m.zone()] > silentMs) {
-        fleet.giveBack(m, "silent");
+        fleet.scaleIn(m, "silent");
       }
     }
     // Many at once: the fault is ours, as when this process is slow.
     if (deaf.size() == 1 || 3 * deaf.size() < talking) {
-      deaf.forEach(m -> fleet.giveBack(m, "does not hear us"));
+      deaf.forEach(m -> fleet.scaleIn(m, "does not hear us"));
     }
   }
 
@@ -161,11 +161,11 @@
     // Inherited ones count from the takeover, so they get their time to find us.
     long patience = (long) Math.max(SHORTEST_CHARGE_MS, 1000 * BOOT_PATIENCE * m.type().bootS());
     if (now - m.requestedMs() > patience) {
-      fleet.giveBack(m, "never came up");
+      fleet.scaleIn(m, "never came up");
     } else if (ownRule
         && !m.tasks().isEmpty()
         && now - Math.max(sureSinceMs, m.requestedMs()) > 2 * silentMs) {
-      fleet.giveBack(m, "silent since the takeover");
+      fleet.scaleIn(m, "silent since the takeover");
     }
   }
 }
--- a/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
+++ b/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
@@ -7,7 +7,7 @@
 
 /** The machine types on offer at present prices, by dense index. */
 public final class MachineTypeCatalog {
-  private static final long FRESH_MS = 30_000;
+  private static final long REFRESH_MS = 30_000;
   private static final long RETRY_MS = 1_000;
 
   private final NameIndex zones = new NameIndex();
@@ -28,16 +28,14 @@
   }
 
   public void start() {
-    cloud.types(
-        got -> {
-          if (got != null) {
-            got.forEach(this::learn);
-          }
-          loop.after(got == null ? RETRY_MS : FRESH_MS, this::start);
+    cloud.listTypes(
+        types -> {
+          types.ifPresent(listed -> listed.forEach(this::update));
+          loop.after(types.isPresent() ? REFRESH_MS : RETRY_MS, this::start);
         });
   }
 
-  void learn(CloudMessages.Type t) {
+  void update(CloudMessages.Type t) {
     int i = typeNames.index(t.name());
     int[] at = t.zones() == null ? new int[0] : t.zones().stream().mapToInt(zones::index).toArray();
     MachineType type =
--- a/src/main/java/dev/windbend/machine/OrphanedMachine.java
+++ b/src/main/java/dev/windbend/machine/OrphanedMachine.java
@@ -1,12 +1,12 @@
 package dev.windbend.machine;
 
-/** What is known of a machine that no shard has on record. */
+/** What is known of a machine that no shard has on record, by names. */
 public record OrphanedMachine(String type, String zone, boolean spot) {
-  /** It could be one that this rental brings. */
-  boolean mayBelongTo(ScaleOutRecord hire) {
-    return hire.open()
-        && hire.spot() == spot
-        && hire.type().equals(type)
-        && hire.zone().equals(zone);
+  /** Whether the request, which has no answer yet, may have brought it. */
+  boolean mayBelongTo(ScaleOutRecord request) {
+    return request.open()
+        && request.spot() == spot
+        && request.type().equals(type)
+        && request.zone().equals(zone);
   }
 }
--- a/src/main/java/dev/windbend/machine/OrphanedMachines.java
+++ b/src/main/java/dev/windbend/machine/OrphanedMachines.java
@@ -11,28 +11,32 @@
 import java.util.Set;
 
 /**
- * Machines that report or are listed, but are on nobody's record: taken in and dealt out among the
- * shards. The mirror may lag, so the rentals are read from the state service itself first: a
- * machine that exists was preceded by its rental's record, so one that no record names, while none
- * of its kind is without an answer, is nobody's.
+ * Machines that send heartbeats or are listed by the cloud, but are on no shard's record: adopted
+ * and distributed among the shards. The replica may lag, so the records are read from the state
+ * service itself first: a machine that exists was preceded by its request's record, so one that no
+ * record names, while no request of its kind is without an answer, is orphaned.
  */
 public final class OrphanedMachines {
-  private static final long PAUSE_MS = 1_000;
-  private static final int MOST = 150;
+  private static final long SEARCH_DELAY_MS = 1_000;
+  private static final int MAX_CANDIDATES = 150;
 
   private final EventLoop loop;
   private final StoreClient store;
   private final Fleet fleet;
   private final int shards;
-  private final Map<String, OrphanedMachine> noted = new LinkedHashMap<>();
+  private final Map<String, OrphanedMachine> candidates = new LinkedHashMap<>();
 
-  /** Dealt out; the record that says so may take a while under load, and must stay the only one. */
-  private final Set<String> dealt = new HashSet<>();
+  /**
+   * Names of those adopted; the record that says so may take a while under load, and must stay the
+   * only one.
+   */
+  private final Set<String> adopted = new HashSet<>();
 
-  private boolean looking;
+  private boolean searching;
   private boolean closed;
-  private int next;
+  private int nextShard;
 
+  /** Adopts through this fleet, for all shards in turn. */
   public OrphanedMachines(EventLoop loop, StoreClient store, Fleet fleet, int shards) {
     this.loop = loop;
     this.store = store;
@@ -40,27 +44,35 @@
     this.shards = shards;
   }
 
+  /** Adopts no more. */
   public void close() {
     closed = true;
   }
 
-  public void note(String machine, OrphanedMachine stray) {
-    if (noted.size() < MOST && !dealt.contains(machine)) {
-      noted.put(machine, stray);
+  /** A machine that seems to be on no record; a search of the records follows. */
+  public void addCandidate(String machine, OrphanedMachine orphaned) {
+    if (candidates.size() < MAX_CANDIDATES && !adopted.contains(machine)) {
+      candidates.put(machine, orphaned);
     }
-    if (!looking && !closed && !noted.isEmpty()) {
-      looking = true;
+    if (!searching && !closed && !candidates.isEmpty()) {
+      searching = true;
       loop.after(
-          PAUSE_MS,
+          SEARCH_DELAY_MS,
           () -> {
-            Map<String, OrphanedMachine> open = new LinkedHashMap<>(noted);
-            noted.clear();
-            look(null, open, new HashSet<>());
+            Map<String, OrphanedMachine> searched = new LinkedHashMap<>(candidates);
+            candidates.clear();
+            searchPage(null, searched, new HashSet<>());
           });
     }
   }
 
-  private void look(String from, Map<String, OrphanedMachine> open, Set<String> taken) {
+  /**
+   * Reads the records from this key on.
+   *
+   * @param open candidates that no request without an answer may have brought
+   * @param recorded names on the records read so far
+   */
+  private void searchPage(String from, Map<String, OrphanedMachine> open, Set<String> recorded) {
     store.list(
         ScaleOutRecord.KEYS,
         from,
@@ -69,40 +81,49 @@
             return;
           }
           if (!page.ok()) {
-            looking = false;
+            searching = false;
             return;
           }
-          for (StoreClient.Item i : page.items()) {
-            ScaleOutRecord h = Json.read(i.value(), ScaleOutRecord.class);
-            if (h != null && h.open()) {
-              open.values().removeIf(s -> s.mayBelongTo(h));
-            } else if (h != null) {
-              taken.addAll(h.machines());
-            }
-          }
+          page.items().forEach(item -> exclude(item, open, recorded));
           if (page.more() && !page.items().isEmpty()) {
-            look(page.items().get(page.items().size() - 1).key(), open, taken);
+            searchPage(page.items().get(page.items().size() - 1).key(), open, recorded);
             return;
           }
-          looking = false;
-          open.keySet().removeAll(taken);
-          open.keySet().removeAll(dealt);
-          dealt.addAll(open.keySet());
-          deal(open);
+          searching = false;
+          open.keySet().removeAll(recorded);
+          open.keySet().removeAll(adopted);
+          adopted.addAll(open.keySet());
+          distribute(open);
         });
   }
 
-  private void deal(Map<String, OrphanedMachine> found) {
-    List<Map<OrphanedMachine, List<String>>> hands = new ArrayList<>();
-    for (int p = 0; p < shards; p++) {
-      hands.add(new LinkedHashMap<>());
+  private static void exclude(
+      StoreClient.Item item, Map<String, OrphanedMachine> open, Set<String> recorded) {
+    ScaleOutRecord record = Json.read(item.value(), ScaleOutRecord.class);
+    if (record == null) {
+      return;
+    }
+    if (record.open()) {
+      open.values().removeIf(orphaned -> orphaned.mayBelongTo(record));
+    } else {
+      recorded.addAll(record.machines());
+    }
+  }
+
+  private void distribute(Map<String, OrphanedMachine> orphaned) {
+    List<Map<OrphanedMachine, List<String>>> byShard = new ArrayList<>();
+    for (int shard = 0; shard < shards; shard++) {
+      byShard.add(new LinkedHashMap<>());
     }
-    found.forEach(
+    orphaned.forEach(
         (name, kind) ->
-            hands.get(next++ % shards).computeIfAbsent(kind, k -> new ArrayList<>()).add(name));
-    for (int p = 0; p < shards; p++) {
-      int to = p;
-      hands.get(p).forEach((kind, names) -> fleet.adopt(kind, names, to));
+            byShard
+                .get(nextShard++ % shards)
+                .computeIfAbsent(kind, key -> new ArrayList<>())
+                .add(name));
+    for (int shard = 0; shard < shards; shard++) {
+      int toShard = shard;
+      byShard.get(shard).forEach((kind, names) -> fleet.adopt(kind, names, toShard));
     }
   }
 }
--- a/src/main/java/dev/windbend/machine/ScaleOutRequest.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRequest.java
@@ -7,106 +7,120 @@
 import java.util.List;
 
 /**
- * One rental, or machines given together, kept in one record: before the cloud is asked, with its
- * machines once it has answered, and until none of them is left with this shard. A record for each
- * machine would take most of the changes that the state service allows.
+ * One request for machines, or machines transferred together, kept in one record: before the
+ * request is sent to the cloud, with its machines once it has answered, and until none of them is
+ * left with this shard. A record for each machine would take most of the changes that the state
+ * service allows.
  */
 final class ScaleOutRequest implements PendingWrite {
-  /** A name too many does no harm: a successor looks for it in the cloud's list. */
-  private static final long LAZY_MS = 60_000;
+  /** A machine too many does no harm: a successor looks for it in the cloud's list. */
+  private static final long MAX_WRITE_DELAY_MS = 60_000;
 
   final String name;
   final String key;
   final MachineType type;
   final int zone;
-  final ScaleOutRecord asked;
-  final long madeMs;
+  final ScaleOutRecord record;
+  final long requestedMs;
 
-  /** From this token on only this shard may command its machines; 0: rented by this shard. */
+  /** From this token on only this shard may command its machines; 0: requested by this shard. */
   final long fence;
 
   /** Those still with this shard. */
   final List<Machine> machines = new ArrayList<>();
 
-  boolean asking;
+  boolean callInProgress;
 
   /** The cloud may have heard of it; so of one found in the records. */
   boolean sent;
 
   boolean answered;
-  private boolean over;
+  private boolean finished;
   private long version;
-  private long changes;
-  private long written;
-  private long writing = -1;
-  private long sinceMs;
-  private boolean hurry;
-  private boolean removed;
+
+  /** How many changes there were. */
+  private long changeCount;
+
+  /** How many of the changes are stored. */
+  private long writtenCount;
+
+  /** How many of the changes are in the write under way; -1: there is none. */
+  private long writingCount = -1;
+
+  /** When the oldest change that is not written was made (steady clock). */
+  private long unwrittenSinceMs;
+
+  private boolean urgent;
+
+  /** The record is deleted. */
+  private boolean deleted;
 
   /** {@code version} 0: not stored yet. */
   ScaleOutRequest(
       String name,
       int shard,
-      ScaleOutRecord asked,
+      ScaleOutRecord record,
       MachineType type,
       int zone,
       long version,
       long nowMs) {
     this.name = name;
     this.key = ScaleOutRecord.prefix(shard) + name;
-    this.asked = asked;
+    this.record = record;
     this.type = type;
     this.zone = zone;
     this.version = version;
-    this.fence = asked.fence(version);
-    this.madeMs = nowMs;
-    this.answered = !asked.open();
+    this.fence = record.fence(version);
+    this.requestedMs = nowMs;
+    this.answered = !record.open();
     this.sent = version > 0;
     if (version == 0) {
       changed(nowMs, true);
     }
   }
 
+  /** The record differs from what is stored. */
   void changed(long nowMs, boolean soon) {
-    if (changes == written) {
-      sinceMs = nowMs;
+    if (changeCount == writtenCount) {
+      unwrittenSinceMs = nowMs;
     }
-    changes++;
-    hurry |= soon;
+    changeCount++;
+    urgent |= soon;
   }
 
+  /** Some version of it is stored. */
   boolean recorded() {
     return version > 0;
   }
 
   /** The cloud has answered; the machines may be used once this is written. */
-  void answered(long nowMs) {
+  void recordAnswer(long nowMs) {
     answered = true;
     changed(nowMs, true);
   }
 
   /** Returned, or another shard's: the record may name it a while longer. */
-  void without(Machine m, long nowMs) {
-    if (machines.remove(m)) {
+  void remove(Machine machine, long nowMs) {
+    if (machines.remove(machine)) {
       changed(nowMs, false);
     }
   }
 
   /** Nothing depends on the record any more. */
   void finish(long nowMs) {
-    over = true;
+    finished = true;
     // While it stands without an answer, nobody may adopt a machine of its kind.
     changed(nowMs, !answered);
   }
 
   @Override
   public boolean dirty() {
-    return writing < 0 && !removed && changes > written;
+    return writingCount < 0 && !deleted && changeCount > writtenCount;
   }
 
   @Override
   public boolean urgent(long nowMs) {
-    return hurry || nowMs - sinceMs >= LAZY_MS;
+    return urgent || nowMs - unwrittenSinceMs >= MAX_WRITE_DELAY_MS;
   }
 
   @Override
@@ -116,54 +130,54 @@
 
   @Override
   public void fill(TransactionBuilder draft) {
-    writing = changes;
-    hurry = false;
+    writingCount = changeCount;
+    urgent = false;
     draft.when(key, version);
-    if (over) {
+    if (finished) {
       draft.delete(key);
     } else {
-      List<String> names = answered ? machines.stream().map(m -> m.name()).toList() : null;
+      List<String> names = answered ? machines.stream().map(Machine::name).toList() : null;
       draft.put(
           key,
           new ScaleOutRecord(
-              asked.type(),
-              asked.zone(),
-              asked.spot(),
-              asked.count(),
+              record.type(),
+              record.zone(),
+              record.spot(),
+              record.count(),
               names,
               fence > 0 ? fence : null));
-      machines.forEach(m -> m.beginListing());
+      machines.forEach(machine -> machine.beginRecordWrite());
     }
   }
 
   @Override
   public void written(long revision) {
     version = revision;
-    written = writing;
-    writing = -1;
-    removed = over;
-    for (Machine m : machines) {
-      if (m.listing()) {
-        m.listed();
+    writtenCount = writingCount;
+    writingCount = -1;
+    deleted = finished;
+    for (Machine machine : machines) {
+      if (machine.recordWriting()) {
+        machine.recordWritten();
       }
     }
   }
 
   @Override
   public void unwritten() {
-    writing = -1;
-    hurry = true;
-    machines.forEach(m -> m.abandonListing());
+    writingCount = -1;
+    urgent = true;
+    machines.forEach(machine -> machine.abandonRecordWrite());
   }
 
   @Override
-  public void reread(String k, VersionedValue now) {
+  public void reread(String changedKey, VersionedValue now) {
     version = now == null ? 0 : now.version();
-    removed = over && now == null;
+    deleted = finished && now == null;
   }
 
   @Override
-  public boolean owns(String k) {
-    return k.equals(key);
+  public boolean owns(String changedKey) {
+    return changedKey.equals(key);
   }
 }
--- a/src/main/java/dev/windbend/shard/CapacityProvisioner.java
+++ b/src/main/java/dev/windbend/shard/CapacityProvisioner.java
@@ -60,7 +60,7 @@
       Snapshot.Size size,
       int zone,
       boolean spot) {
-    if (state.fleet().refused(type.index(), zone, spot) || state.zones().rentable(zone) <= 0) {
+    if (state.fleet().isRefused(type.index(), zone, spot) || state.zones().rentable(zone) <= 0) {
       return;
     }
     offers.add(
@@ -95,7 +95,7 @@
       transfers.request(
           decision.shortCores(),
           state.catalog().largestCores(),
-          !state.fleet().refusedSome(),
+          !state.fleet().anyRefused(),
           starved,
           coming -> {
             if (mayAct.getAsBoolean()) {
@@ -114,7 +114,7 @@
       List<SchedulingDecision.Rental> requests, List<Snapshot.InstanceOffer> offers, int coming) {
     long nowMs = loop.nowMs();
     if (requests.isEmpty()
-        || state.fleet().pending().size() > MAX_PENDING_SCALE_OUTS
+        || state.fleet().pendingScaleOuts().size() > MAX_PENDING_SCALE_OUTS
         || nowMs - lastScaleOutMs < SCALE_OUT_GAP_MS) {
       return;
     }
@@ -128,7 +128,7 @@
       if (machines > 0) {
         state
             .fleet()
-            .rent(state.catalog().type(offer.type()), offer.zone(), offer.spot(), machines);
+            .scaleOut(state.catalog().type(offer.type()), offer.zone(), offer.spot(), machines);
         state.zones().rented(offer.zone(), machines);
       }
     }
@@ -138,7 +138,7 @@
   void scaleIn(SchedulingDecision decision, List<Machine> machines) {
     Fleet fleet = state.fleet();
     for (int index : decision.giveBack()) {
-      fleet.giveBack(machines.get(index), "idle at the end of its block");
+      fleet.scaleIn(machines.get(index), "idle at the end of its block");
     }
   }
 }
--- a/src/main/java/dev/windbend/shard/CloudListCheck.java
+++ b/src/main/java/dev/windbend/shard/CloudListCheck.java
@@ -52,14 +52,15 @@
   void checkInherited(long nowMs) {
     if (!inheritedChecked && nowMs - startedMs >= INHERITED_CHECK_LAGS * listLagMs) {
       inheritedChecked = true;
-      fleet.checkInherited();
+      fleet.returnUnlistedInherited();
     }
   }
 
   void checkFailedAndOrphaned(long nowMs) {
     if (shard == FIRST_SHARD && nowMs - lastCheckMs >= CHECK_INTERVAL_LAGS * listLagMs) {
       lastCheckMs = nowMs;
-      fleet.check((long) (ORPHANED_AFTER_LAGS * listLagMs), index::knows, orphanedMachines::note);
+      fleet.reconcileWithCloud(
+          (long) (ORPHANED_AFTER_LAGS * listLagMs), index::knows, orphanedMachines::addCandidate);
     }
   }
 }
--- a/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -77,7 +77,7 @@
   }
 
   /** A machine that the cloud was asked for and has not named yet. */
-  Snapshot.MachineCapacity ofRequested(Fleet.Pending request, long nowMs) {
+  Snapshot.MachineCapacity ofRequested(Fleet.PendingScaleOut request, long nowMs) {
     MachineType type = request.type();
     long readyMs = bootedMs(request.sinceMs(), type, nowMs);
     return new Snapshot.MachineCapacity(
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -163,13 +163,13 @@
       }
     }
     idleMachines.removeAll(transferred);
-    fleet.lend(transferred, toShard);
+    fleet.transfer(transferred, toShard);
     return transferred;
   }
 
   /** What was idle in the last cycle may have changed since. */
   private boolean transferableNow(Machine machine) {
-    return machine.mayBeLent()
+    return machine.mayBeTransferred()
         && machine.usable(loop.nowMs())
         && machine.tasks().isEmpty()
         && fleet.find(machine.name()) == machine;
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -108,9 +108,10 @@
         unavailable += reported && !usable ? 1 : 0;
         free |= usable && task.hasRoomOn(machine);
       }
-      int requested = fleet.pending().stream().mapToInt(Fleet.Pending::count).sum();
+      int requested =
+          fleet.pendingScaleOuts().stream().mapToInt(Fleet.PendingScaleOut::count).sum();
       return new Capacity(
-          free, new WaitReason.NoCapacity(booting, requested, unavailable, fleet.refusedSome()));
+          free, new WaitReason.NoCapacity(booting, requested, unavailable, fleet.anyRefused()));
     }
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardMachines.java
+++ b/src/main/java/dev/windbend/shard/ShardMachines.java
@@ -74,7 +74,7 @@
   /** A heartbeat came from a machine that no shard has on record. */
   void noteOrphan(WorkerMessages.Heartbeat heartbeat) {
     if (leadership.ready() && leadership.mayAct()) {
-      orphanedMachines.note(
+      orphanedMachines.addCandidate(
           heartbeat.machine(),
           new OrphanedMachine(heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
     }
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -110,7 +110,7 @@
   }
 
   private void addRequestedMachines(List<Snapshot.MachineCapacity> capacities, long nowMs) {
-    for (Fleet.Pending request : state.fleet().pending()) {
+    for (Fleet.PendingScaleOut request : state.fleet().pendingScaleOuts()) {
       // A machine in a zone under evacuation can't be counted on.
       if (!state.zones().evacuates(request.zone())) {
         for (int i = 0; i < request.count(); i++) {
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -263,7 +263,7 @@
   // ---- evacuation
 
   private void evacuate(Zone zone, List<Machine> machines, long now, long sureSinceMs) {
-    int room = MOST_LEAVING - fleet.leavingCount();
+    int room = MOST_LEAVING - fleet.returningCount();
     if (room <= 0) {
       return;
     }
@@ -287,7 +287,7 @@
             .toList();
     if (!leaving.isEmpty()) {
       metrics.evacuated(leaving.size());
-      fleet.giveBack(leaving, "its zone " + zone.name + " is unreachable");
+      fleet.scaleIn(leaving, "its zone " + zone.name + " is unreachable");
     }
   }
 
--- a/src/test/java/dev/windbend/machine/FleetTest.java
+++ b/src/test/java/dev/windbend/machine/FleetTest.java
@@ -94,8 +94,8 @@
 
   /** As a shard does that lacks machines all day: what is on offer is wanted again every round. */
   private void want(int count) {
-    if (!fleet.refused(0, 0, true)) {
-      fleet.rent(catalog.type(0), 0, true, count);
+    if (!fleet.isRefused(0, 0, true)) {
+      fleet.scaleOut(catalog.type(0), 0, true, count);
     }
   }
 
@@ -121,12 +121,12 @@
   @ValueSource(booleans = {true, false})
   void givesBackOnlyWhatIsStillItsOwn(boolean owner) {
     stock = 1;
-    fleet.rent(catalog.type(0), 0, true, 1);
+    fleet.scaleOut(catalog.type(0), 0, true, 1);
     fleet.pursue();
     for (int i = 0; i < 8; i++) {
-      cloud.list(listed -> {}); // uses the rate up
+      cloud.listInstances(listed -> {}); // uses the rate up
     }
-    fleet.giveBack(fleet.machines().iterator().next(), "test");
+    fleet.scaleIn(fleet.machines().iterator().next(), "test");
     assertThat(returned).as("has to wait").isEmpty();
     mayAct = owner;
     for (int i = 0; i < 10; i++) {
