--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -7,8 +7,9 @@
 import dev.windbend.machine.MachineIndex;
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.overload.ConcurrencyLimiter;
+import dev.windbend.peer.CancellationBroadcaster;
 import dev.windbend.peer.MachineTransferClient;
-import dev.windbend.peer.Peers;
+import dev.windbend.peer.StoreOutageDetector;
 import dev.windbend.plan.Estimates;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.HttpClient;
@@ -45,7 +46,8 @@
   private final ShardLayout layout;
   private final LeaderElection election;
   private final Cancellations cancellations;
-  private final Peers peers;
+  private final StoreOutageDetector outageDetector;
+  private final CancellationBroadcaster cancellationBroadcaster;
   private final MachineTransferClient transfers;
   private final MachineIndex machines = new MachineIndex();
   private final ZoneMetrics zoneMetrics = new ZoneMetrics();
@@ -79,7 +81,9 @@
     this.layout = new ShardLayout(teamNames(deployment), members.nodes());
     this.election = newElection();
     this.cancellations = new Cancellations(replica, leaders::cancel);
-    this.peers = newPeers(members);
+    this.outageDetector = newOutageDetector(members);
+    this.cancellationBroadcaster =
+        new CancellationBroadcaster(loop, http, members.peerAddresses(), cancellations);
     this.transfers =
         new MachineTransferClient(
             http,
@@ -88,9 +92,9 @@
             members.peerAddressByNode(),
             leaders::transfer);
     JobProgress progress = new JobProgress();
-    replica.listen(machines::changed);
-    replica.listen(progress::changed);
-    replica.listen(leaders::keyChanged);
+    replica.addListener(machines::changed);
+    replica.addListener(progress::changed);
+    replica.addListener(leaders::keyChanged);
     this.shardContext = newContext(cloud, members.count());
     MetricsEndpoint metrics =
         new MetricsEndpoint(leaders, store, zoneMetrics, policy.zones().enabled());
@@ -103,7 +107,7 @@
     catalog.start();
     replica.start();
     election.start();
-    peers.start();
+    outageDetector.start();
   }
 
   /** Handles what users, workers and health checks send. */
@@ -149,10 +153,12 @@
         leaders);
   }
 
-  private Peers newPeers(Members members) {
+  private StoreOutageDetector newOutageDetector(Members members) {
     Settings.Workers workers = settings.deployment().workers();
-    long keepMs = Peers.keepMs(workers.leaseSeconds(), workers.cancelSeconds());
-    return new Peers(loop, http, store, members.peerAddresses(), keepMs, cancellations);
+    long workerRetentionMs =
+        StoreOutageDetector.workerRetentionMs(workers.leaseSeconds(), workers.cancelSeconds());
+    return new StoreOutageDetector(
+        loop, http, store, members.peerAddresses(), workerRetentionMs, cancellations);
   }
 
   private ShardContext newContext(CloudClient cloud, int controllers) {
@@ -163,7 +169,8 @@
         layout,
         DeploymentSpecMapper.map(settings.deployment(), controllers),
         policy,
-        new ShardContext.Coordination(store, replica, election, peers, cancellations, transfers),
+        new ShardContext.Coordination(
+            store, replica, election, outageDetector, cancellations, transfers),
         new ShardContext.MachineServices(cloud, catalog, machines, directStops, new NameIndex()),
         new Estimates(),
         new ShardContext.ZoneServices(settings.zone(), zoneMetrics));
@@ -182,20 +189,24 @@
             replica,
             progress,
             cancellations,
-            peers::tell,
+            cancellationBroadcaster::broadcast,
             new JobAdmission(layout, settings.deployment().teams(), catalog),
             spec -> pendingReason.of(spec).orElse(null));
     ConcurrencyLimiter limiter = new ConcurrencyLimiter(loop, JobHandler::submits, jobs::handle);
     return new RequestRouter()
         .post("/hello", new HeartbeatRouter(settings.node(), replica, machines, election, leaders))
-        .get("/up", new HealthCheck(replica, catalog, store, peers))
+        .get("/up", new HealthCheck(replica, catalog, store, outageDetector))
         .subtree(JobHandler::serves, limiter::handle);
   }
 
   private RequestRouter newPeerEndpoints(MetricsEndpoint metrics) {
     return new RequestRouter()
-        .post(Peers.PATH, (request, done) -> done.accept(peers.view(request)))
-        .post(Peers.CANCELLED, (request, done) -> done.accept(peers.told(request)))
+        .post(
+            StoreOutageDetector.PATH,
+            (request, done) -> done.accept(outageDetector.handle(request)))
+        .post(
+            CancellationBroadcaster.PATH,
+            (request, done) -> done.accept(cancellationBroadcaster.handle(request)))
         .post(MachineTransferClient.PATH, transfers::serve)
         .get("/metrics", metrics)
         .get(
--- a/src/main/java/dev/windbend/daemon/HealthCheck.java
+++ b/src/main/java/dev/windbend/daemon/HealthCheck.java
@@ -1,7 +1,7 @@
 package dev.windbend.daemon;
 
 import dev.windbend.machine.MachineTypeCatalog;
-import dev.windbend.peer.Peers;
+import dev.windbend.peer.StoreOutageDetector;
 import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.RequestHandler;
 import dev.windbend.runtime.ServerRequest;
@@ -17,13 +17,17 @@
   private final Replica replica;
   private final MachineTypeCatalog catalog;
   private final StoreClient store;
-  private final Peers peers;
+  private final StoreOutageDetector outageDetector;
 
-  HealthCheck(Replica replica, MachineTypeCatalog catalog, StoreClient store, Peers peers) {
+  HealthCheck(
+      Replica replica,
+      MachineTypeCatalog catalog,
+      StoreClient store,
+      StoreOutageDetector outageDetector) {
     this.replica = replica;
     this.catalog = catalog;
     this.store = store;
-    this.peers = peers;
+    this.outageDetector = outageDetector;
   }
 
   @Override
@@ -41,6 +45,7 @@
    * controller is better than another, and requests are answered with when to retry.
    */
   private boolean isCutOffFromStore() {
-    return store.failingForMs() > MAX_STORE_FAILURE_MS && (peers.othersServed() || peers.alone());
+    return store.failingForMs() > MAX_STORE_FAILURE_MS
+        && (outageDetector.othersServed() || outageDetector.isolated());
   }
 }
--- a/src/main/java/dev/windbend/job/Cancellations.java
+++ b/src/main/java/dev/windbend/job/Cancellations.java
@@ -72,7 +72,7 @@
     List<Cancelled> all = new ArrayList<>();
     confirmed.forEach((uid, at) -> all.add(new Cancelled(uid, at)));
     replica
-        .below(JobRecord.LIVE)
+        .withPrefix(JobRecord.LIVE)
         .forEach(
             (key, stored) -> {
               if (stored.version() > revision) {
@@ -92,7 +92,7 @@
 
   /** This node knows of all that were confirmed before then (steady clock). */
   public long knownUntilMs() {
-    return replica.completeMs();
+    return replica.completeUntilMs();
   }
 
   private void prune() {
--- a/src/main/java/dev/windbend/job/Job.java
+++ b/src/main/java/dev/windbend/job/Job.java
@@ -386,7 +386,7 @@
     }
 
     @Override
-    public boolean over() {
+    public boolean obsolete() {
       return archived;
     }
 
@@ -398,13 +398,13 @@
     }
 
     @Override
-    public void begin(TransactionBuilder draft) {
+    public void beginWrite(TransactionBuilder draft) {
       inFlight = changes;
       hurry = false;
     }
 
     @Override
-    public void written() {
+    public void onApplied() {
       written = inFlight;
       inFlight = -1;
       doneAt
@@ -424,7 +424,7 @@
     }
 
     @Override
-    public void unwritten() {
+    public void onNotApplied() {
       inFlight = -1;
       hurry = true;
     }
@@ -435,7 +435,7 @@
     }
 
     @Override
-    public void reread(VersionedValue now) {
+    public void onConflict(VersionedValue now) {
       // depends on nothing
     }
   }
@@ -466,14 +466,14 @@
     }
 
     @Override
-    public int cost() {
+    public int writeCount() {
       return 2;
     }
 
     @Override
-    public void fill(TransactionBuilder draft) {
+    public void addTo(TransactionBuilder draft) {
       inFlight = true;
-      draft.when(key, version);
+      draft.ifVersion(key, version);
       draft.delete(key);
       draft.put(
           JobRecord.ENDED + spec.uid(),
@@ -481,23 +481,23 @@
     }
 
     @Override
-    public void written(long revision) {
+    public void onApplied(long revision) {
       inFlight = false;
       archived = true;
     }
 
     @Override
-    public void unwritten() {
+    public void onNotApplied() {
       inFlight = false;
     }
 
     @Override
-    public boolean owns(String k) {
+    public boolean ownsKey(String k) {
       return k.equals(key);
     }
 
     @Override
-    public void reread(String k, VersionedValue now) {
+    public void onConflict(String k, VersionedValue now) {
       Job.this.reread(now);
     }
   }
--- a/src/main/java/dev/windbend/job/JobHandler.java
+++ b/src/main/java/dev/windbend/job/JobHandler.java
@@ -3,10 +3,10 @@
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.ServerRequest;
 import dev.windbend.runtime.ServerResponse;
-import dev.windbend.store.Outcome;
 import dev.windbend.store.Replica;
 import dev.windbend.store.StoreClient;
 import dev.windbend.store.TransactionBuilder;
+import dev.windbend.store.TransactionOutcome;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -140,23 +140,23 @@
     List<Accepting> group = new ArrayList<>();
     TransactionBuilder draft = new TransactionBuilder();
     Map<String, Boolean> uids = new LinkedHashMap<>();
-    while (!accepting.isEmpty() && group.size() < store.opsLimit()) {
+    while (!accepting.isEmpty() && group.size() < store.maxWritesPerTransaction()) {
       String uid = accepting.peek().record().spec().uid();
       if (uids.putIfAbsent(uid, true) != null) {
         break; // the same job twice: the second goes later and finds the first
       }
       Accepting a = accepting.poll();
-      draft.when(JobRecord.LIVE + uid, 0).when(JobRecord.ENDED + uid, 0);
+      draft.ifAbsent(JobRecord.LIVE + uid).ifAbsent(JobRecord.ENDED + uid);
       draft.put(JobRecord.LIVE + uid, a.record());
       group.add(a);
     }
     writing = true;
-    store.commitFirst(
+    store.commitForUser(
         draft,
         outcome -> {
           writing = false;
           switch (outcome.kind()) {
-            case DONE ->
+            case APPLIED ->
                 group.forEach(
                     a -> {
                       LOG.debug("accepted {}", a.record().spec().uid());
@@ -167,12 +167,12 @@
                                   UserMessages.Status.of(
                                       a.record().spec().uid(), Statuses.PENDING, null, null)));
                     });
-            case CONFLICT ->
+            case CONDITION_FAILED ->
                 group.forEach(
                     a -> {
                       String uid = a.record().spec().uid();
-                      if (outcome.failed().contains(JobRecord.LIVE + uid)
-                          || outcome.failed().contains(JobRecord.ENDED + uid)) {
+                      if (outcome.failedKeys().contains(JobRecord.LIVE + uid)
+                          || outcome.failedKeys().contains(JobRecord.ENDED + uid)) {
                         poll(uid, a.done());
                       } else {
                         accepting.add(a);
@@ -206,18 +206,20 @@
             return;
           }
           String key = JobRecord.LIVE + uid;
-          TransactionBuilder draft = new TransactionBuilder().when(key, found.live().version());
+          TransactionBuilder draft =
+              new TransactionBuilder().ifVersion(key, found.live().version());
           draft.put(key, new JobRecord.Live(live.spec(), live.submittedWallMs(), true));
-          store.commitFirst(
+          store.commitForUser(
               draft,
               outcome -> {
-                if (outcome.done()) {
+                if (outcome.applied()) {
                   LOG.info("cancelled {}", uid);
                   confirm(uid, outcome.revision());
                   done.accept(
                       ServerResponse.of(
                           200, UserMessages.Status.of(uid, Statuses.CANCELLED, null, null)));
-                } else if (outcome.kind() == Outcome.Kind.CONFLICT && tries > 1) {
+                } else if (outcome.kind() == TransactionOutcome.Kind.CONDITION_FAILED
+                    && tries > 1) {
                   cancel(uid, tries - 1, done);
                 } else {
                   done.accept(ServerResponse.retryAfter(1));
--- a/src/main/java/dev/windbend/job/JobLookup.java
+++ b/src/main/java/dev/windbend/job/JobLookup.java
@@ -2,10 +2,11 @@
 
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.Json;
-import dev.windbend.store.Outcome;
+import dev.windbend.store.ReadResult;
 import dev.windbend.store.Replica;
 import dev.windbend.store.StoreClient;
 import dev.windbend.store.TransactionBuilder;
+import dev.windbend.store.TransactionOutcome;
 import dev.windbend.store.VersionedValue;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -59,7 +60,7 @@
     this.loop = loop;
     this.store = store;
     this.replica = replica;
-    this.most = Math.max(1, CONDITIONS * store.opsLimit() - 1);
+    this.most = Math.max(1, CONDITIONS * store.maxWritesPerTransaction() - 1);
   }
 
   void find(String uid, Consumer<Found> done) {
@@ -92,9 +93,9 @@
   private void ask() {
     List<Question> batch = new ArrayList<>();
     TransactionBuilder draft = new TransactionBuilder();
-    while (!questions.isEmpty() && draft.conditions() < most) {
+    while (!questions.isEmpty() && draft.conditionCount() < most) {
       Question q = questions.poll();
-      draft.when(JobRecord.LIVE + q.uid, q.copy.version());
+      draft.ifVersion(JobRecord.LIVE + q.uid, q.copy.version());
       batch.add(q);
     }
     if (batch.isEmpty()) {
@@ -102,18 +103,18 @@
     }
     asking = true;
     // A crowd does not wait for the pause.
-    notBeforeMs = questions.isEmpty() ? loop.nowMs() + store.pauseMs() : 0;
-    store.commitFirst(
+    notBeforeMs = questions.isEmpty() ? loop.nowMs() + store.pollIntervalMs() : 0;
+    store.commitForUser(
         draft,
         outcome -> {
           asking = false;
           askSoon();
           for (Question q : batch) {
-            if (outcome.done()
-                || (outcome.kind() == Outcome.Kind.CONFLICT
-                    && !outcome.failed().contains(JobRecord.LIVE + q.uid))) {
+            if (outcome.applied()
+                || (outcome.kind() == TransactionOutcome.Kind.CONDITION_FAILED
+                    && !outcome.failedKeys().contains(JobRecord.LIVE + q.uid))) {
               q.done.accept(new Found(true, q.copy, null));
-            } else if (outcome.kind() == Outcome.Kind.CONFLICT) {
+            } else if (outcome.kind() == TransactionOutcome.Kind.CONDITION_FAILED) {
               read(q.uid, q.done);
             } else {
               q.done.accept(new Found(false, null, null));
@@ -127,8 +128,8 @@
     store.get(
         JobRecord.LIVE + uid,
         got -> {
-          if (!got.sure() || got.status() == 200) {
-            done.accept(new Found(got.sure(), got.stored(), null));
+          if (!got.answered() || got.found()) {
+            done.accept(new Found(got.answered(), got.stored(), null));
             return;
           }
           readEnded(uid, () -> done.accept(new Found(true, null, null)), done);
@@ -140,11 +141,11 @@
         JobRecord.ENDED + uid,
         got -> {
           JobRecord.Ended over =
-              got.status() == 200 ? Json.read(got.stored().value(), JobRecord.Ended.class) : null;
+              got.found() ? Json.read(got.stored().value(), JobRecord.Ended.class) : null;
           if (over != null) {
             ended.put(uid, over);
             done.accept(new Found(true, null, over));
-          } else if (got.status() == 404) {
+          } else if (got.status() == ReadResult.Status.NOT_FOUND) {
             none.run();
           } else {
             done.accept(new Found(false, null, null));
--- a/src/main/java/dev/windbend/job/JobProgress.java
+++ b/src/main/java/dev/windbend/job/JobProgress.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dev.windbend.runtime.Json;
-import dev.windbend.store.PagedStore;
+import dev.windbend.store.PageRecord;
 import dev.windbend.store.VersionedValue;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -22,7 +22,7 @@
     if (key.startsWith(JobRecord.LIVE) && now == null) {
       jobs.remove(key.substring(JobRecord.LIVE.length()));
     } else if (key.startsWith(JobRecord.PAGES) && now != null) {
-      PagedStore.Page page = Json.read(now.value(), PagedStore.Page.class);
+      PageRecord page = Json.read(now.value(), PageRecord.class);
       if (page != null && page.entries() != null) {
         page.entries().forEach((id, value) -> count(id, value, now.version()));
       }
--- a/src/main/java/dev/windbend/job/JobRegistry.java
+++ b/src/main/java/dev/windbend/job/JobRegistry.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dev.windbend.runtime.Json;
-import dev.windbend.store.Committer;
+import dev.windbend.store.GroupCommitter;
 import dev.windbend.store.PageEntry;
 import dev.windbend.store.PagedStore;
 import dev.windbend.store.VersionedValue;
@@ -18,13 +18,13 @@
 public final class JobRegistry {
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final ToIntFunction<String> teamHere;
-  private final Committer committer;
+  private final GroupCommitter committer;
   private final PagedStore pages;
 
   /**
    * @param teamHere the dense index of a team of this shard, -1 for any other
    */
-  public JobRegistry(ToIntFunction<String> teamHere, Committer committer, PagedStore pages) {
+  public JobRegistry(ToIntFunction<String> teamHere, GroupCommitter committer, PagedStore pages) {
     this.teamHere = teamHere;
     this.committer = committer;
     this.pages = pages;
@@ -54,7 +54,7 @@
       JobRecord.Piece piece = value == null ? null : Json.read(value, JobRecord.Piece.class);
       if (piece != null) {
         job.restore(e, piece);
-        pages.restored(e);
+        pages.adopt(e);
       }
     }
     String batches = r.spec().uid() + Job.BATCH_MARK;
@@ -63,7 +63,7 @@
             (id, value) -> {
               JobRecord.PlacementBatch batch = Json.read(value, JobRecord.PlacementBatch.class);
               if (batch != null) {
-                pages.restored(job.restore(id, batch, nowMs));
+                pages.adopt(job.restore(id, batch, nowMs));
               }
             });
     jobs.put(r.spec().uid(), job);
@@ -73,16 +73,16 @@
   /** Its tasks or its end have changed: the write follows. */
   public void touched(Job job) {
     if (job.over()) {
-      committer.touch(job.end());
+      committer.enqueue(job.end());
       return;
     }
     for (PageEntry e : job.entries()) {
       if (e.dirty()) {
-        pages.touch(e);
+        pages.markChanged(e);
       }
     }
-    job.fresh().forEach(pages::touch);
-    committer.touch(pages);
+    job.fresh().forEach(pages::markChanged);
+    committer.enqueue(pages);
   }
 
   /** Jobs whose end is written are not ours to keep. */
--- a/src/main/java/dev/windbend/job/PlacementBatch.java
+++ b/src/main/java/dev/windbend/job/PlacementBatch.java
@@ -74,7 +74,7 @@
 
   @Override
   public boolean dirty() {
-    return !written && !inFlight && !over();
+    return !written && !inFlight && !obsolete();
   }
 
   @Override
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public boolean over() {
+  public boolean obsolete() {
     return open <= 0 || job.archived();
   }
 
@@ -117,22 +117,22 @@
   }
 
   @Override
-  public void begin(TransactionBuilder draft) {
+  public void beginWrite(TransactionBuilder draft) {
     inFlight = true;
     if (!written) {
       // Cancelled or ended meanwhile: then nothing of it may start.
-      draft.when(job.key(), job.version());
+      draft.ifVersion(job.key(), job.version());
     }
   }
 
   @Override
-  public void written() {
+  public void onApplied() {
     inFlight = false;
     written = true;
   }
 
   @Override
-  public void unwritten() {
+  public void onNotApplied() {
     inFlight = false;
   }
 
@@ -142,7 +142,7 @@
   }
 
   @Override
-  public void reread(VersionedValue now) {
+  public void onConflict(VersionedValue now) {
     job.reread(now);
   }
 }
--- a/src/main/java/dev/windbend/machine/CloudClient.java
+++ b/src/main/java/dev/windbend/machine/CloudClient.java
@@ -4,7 +4,7 @@
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.HttpClient;
 import dev.windbend.runtime.Json;
-import dev.windbend.store.Rate;
+import dev.windbend.store.TokenBucket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -31,7 +31,7 @@
   private final EventLoop loop;
   private final HttpClient web;
   private final String address;
-  private final Rate rate;
+  private final TokenBucket rate;
   private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
 
   /** How a request for instances ended. */
@@ -70,7 +70,7 @@
     this.loop = loop;
     this.web = web;
     this.address = address;
-    this.rate = new Rate(loop, callsPerSecond * Math.min(1.0, RATE_OVERCOMMIT / controllers));
+    this.rate = new TokenBucket(loop, callsPerSecond * Math.min(1.0, RATE_OVERCOMMIT / controllers));
   }
 
   /** The machine types on offer, at least one; empty: they could not be had. */
--- a/src/main/java/dev/windbend/machine/OrphanedMachines.java
+++ b/src/main/java/dev/windbend/machine/OrphanedMachines.java
@@ -2,6 +2,7 @@
 
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.Json;
+import dev.windbend.store.KeyValue;
 import dev.windbend.store.StoreClient;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -80,13 +81,14 @@
           if (closed) {
             return;
           }
-          if (!page.ok()) {
+          if (!page.answered()) {
             searching = false;
             return;
           }
           page.items().forEach(item -> exclude(item, open, recorded));
-          if (page.more() && !page.items().isEmpty()) {
-            searchPage(page.items().get(page.items().size() - 1).key(), open, recorded);
+          String next = page.nextFrom();
+          if (next != null) {
+            searchPage(next, open, recorded);
             return;
           }
           searching = false;
@@ -98,7 +100,7 @@
   }
 
   private static void exclude(
-      StoreClient.Item item, Map<String, OrphanedMachine> open, Set<String> recorded) {
+      KeyValue item, Map<String, OrphanedMachine> open, Set<String> recorded) {
     ScaleOutRecord record = Json.read(item.value(), ScaleOutRecord.class);
     if (record == null) {
       return;
--- a/src/main/java/dev/windbend/machine/ScaleOutRequest.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRequest.java
@@ -124,15 +124,15 @@
   }
 
   @Override
-  public int cost() {
+  public int writeCount() {
     return 1;
   }
 
   @Override
-  public void fill(TransactionBuilder draft) {
+  public void addTo(TransactionBuilder draft) {
     writingCount = changeCount;
     urgent = false;
-    draft.when(key, version);
+    draft.ifVersion(key, version);
     if (finished) {
       draft.delete(key);
     } else {
@@ -151,7 +151,7 @@
   }
 
   @Override
-  public void written(long revision) {
+  public void onApplied(long revision) {
     version = revision;
     writtenCount = writingCount;
     writingCount = -1;
@@ -164,20 +164,20 @@
   }
 
   @Override
-  public void unwritten() {
+  public void onNotApplied() {
     writingCount = -1;
     urgent = true;
     machines.forEach(machine -> machine.abandonRecordWrite());
   }
 
   @Override
-  public void reread(String changedKey, VersionedValue now) {
+  public void onConflict(String changedKey, VersionedValue now) {
     version = now == null ? 0 : now.version();
     deleted = finished && now == null;
   }
 
   @Override
-  public boolean owns(String changedKey) {
+  public boolean ownsKey(String changedKey) {
     return changedKey.equals(key);
   }
 }
--- a/src/main/java/dev/windbend/machine/TransferRecord.java
+++ b/src/main/java/dev/windbend/machine/TransferRecord.java
@@ -25,8 +25,8 @@
   }
 
   @Override
-  protected void add(TransactionBuilder draft) {
-    draft.when(key, 0);
+  protected void addChange(TransactionBuilder draft) {
+    draft.ifAbsent(key);
     draft.put(key, record);
   }
 
@@ -43,7 +43,7 @@
   }
 
   @Override
-  public void reread(String changedKey, VersionedValue now) {
+  public void onConflict(String changedKey, VersionedValue now) {
     if (now != null) {
       // Applied by a write of ours whose answer was lost.
       finish();
--- a/src/main/java/dev/windbend/shard/ControllerLease.java
+++ b/src/main/java/dev/windbend/shard/ControllerLease.java
@@ -1,7 +1,9 @@
 package dev.windbend.shard;
 
 import dev.windbend.runtime.EventLoop;
+import dev.windbend.store.LeaseRenewal;
 import dev.windbend.store.StoreClient;
+import java.util.OptionalLong;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -26,9 +28,6 @@
   /** The id while there is no lease. */
   static final long NONE = -1;
 
-  private static final int STATUS_OK = 200;
-  private static final int STATUS_NOT_FOUND = 404;
-
   private final EventLoop loop;
   private final StoreClient store;
   private final long termMs;
@@ -61,13 +60,13 @@
     store.acquireLease(termMs, granted -> acquired(granted, sentMs));
   }
 
-  private void acquired(long granted, long sentMs) {
+  private void acquired(OptionalLong granted, long sentMs) {
     acquiring = false;
-    if (granted < 0) {
+    if (granted.isEmpty()) {
       loop.after(ACQUIRE_RETRY_MS, this::acquire);
       return;
     }
-    leaseId = granted;
+    leaseId = granted.getAsLong();
     validUntilMs = validUntil(sentMs);
     renewAfter(termMs / RENEWALS_PER_TERM);
   }
@@ -100,18 +99,18 @@
     renewAfter(termMs / RENEWALS_PER_TERM);
     store.renewLease(
         renewed,
-        status -> {
+        renewal -> {
           // Answers may come out of order, and those for a former lease say nothing about this one.
           if (renewed == leaseId) {
-            settleRenewal(status, sentMs);
+            settleRenewal(renewal, sentMs);
           }
         });
   }
 
-  private void settleRenewal(int status, long sentMs) {
-    if (status == STATUS_OK) {
+  private void settleRenewal(LeaseRenewal renewal, long sentMs) {
+    if (renewal == LeaseRenewal.RENEWED) {
       validUntilMs = Math.max(validUntilMs, validUntil(sentMs));
-    } else if (status == STATUS_NOT_FOUND) {
+    } else if (renewal == LeaseRenewal.EXPIRED) {
       LOG.warn("lease expired: lease={}", leaseId);
       leaseId = NONE;
       validUntilMs = 0;
--- a/src/main/java/dev/windbend/shard/LeaderElection.java
+++ b/src/main/java/dev/windbend/shard/LeaderElection.java
@@ -2,10 +2,10 @@
 
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.Json;
-import dev.windbend.store.Outcome;
 import dev.windbend.store.Replica;
 import dev.windbend.store.StoreClient;
 import dev.windbend.store.TransactionBuilder;
+import dev.windbend.store.TransactionOutcome;
 import dev.windbend.store.VersionedValue;
 import java.util.Arrays;
 import org.slf4j.Logger;
@@ -242,15 +242,15 @@
     String key = ShardLeaderRecord.key(shard);
     store.commit(
         new TransactionBuilder()
-            .when(key, expectedVersion)
-            .putHeld(key, new ShardLeaderRecord(nodeName), leaseId),
+            .ifVersion(key, expectedVersion)
+            .putWithLease(key, new ShardLeaderRecord(nodeName), leaseId),
         outcome -> settleCampaign(shard, leaseId, outcome));
   }
 
-  private void settleCampaign(int shard, long leaseId, Outcome outcome) {
+  private void settleCampaign(int shard, long leaseId, TransactionOutcome outcome) {
     writing[shard] = false;
     vacantSinceMs[shard] = NOT_VACANT;
-    if (outcome.done() && lease.id() == leaseId) {
+    if (outcome.applied() && lease.id() == leaseId) {
       tokens[shard] = outcome.revision();
       LOG.info("leader elected: shard={} token={}", shard, tokens[shard]);
       listener.elected(shard, tokens[shard]);
@@ -261,6 +261,7 @@
     writing[shard] = true;
     String key = ShardLeaderRecord.key(shard);
     store.commit(
-        new TransactionBuilder().when(key, version).delete(key), outcome -> writing[shard] = false);
+        new TransactionBuilder().ifVersion(key, version).delete(key),
+        outcome -> writing[shard] = false);
   }
 }
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -3,7 +3,7 @@
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.MachineHealth;
 import dev.windbend.runtime.EventLoop;
-import dev.windbend.store.Committer;
+import dev.windbend.store.GroupCommitter;
 import dev.windbend.store.StoreClient;
 
 /**
@@ -30,7 +30,7 @@
       MachineTransfers transfers,
       Fleet fleet,
       SchedulingLoop scheduling,
-      Committer committer,
+      GroupCommitter committer,
       CloudListCheck cloudList) {}
 
   ReconciliationLoop(
@@ -78,7 +78,7 @@
     duties.transfers.tick(now);
     duties.fleet.pursue();
     duties.scheduling.tick(SCHEDULING_INTERVAL_MS);
-    duties.committer.run();
+    duties.committer.commitDue();
     statusLog.tick(now);
     duties.cloudList.checkInherited(now);
     duties.cloudList.checkFailedAndOrphaned(now);
--- a/src/main/java/dev/windbend/shard/ShardContext.java
+++ b/src/main/java/dev/windbend/shard/ShardContext.java
@@ -5,7 +5,7 @@
 import dev.windbend.machine.MachineIndex;
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.peer.MachineRequester;
-import dev.windbend.peer.Peers;
+import dev.windbend.peer.StoreOutageDetector;
 import dev.windbend.plan.Estimates;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.NameIndex;
@@ -42,7 +42,7 @@
    * @param store writes and reads the state service
    * @param replica this controller's copy of the state service
    * @param election decides which shards this controller leads
-   * @param peers the other controllers
+   * @param outageDetector how long workers may be kept in an outage of the state service
    * @param cancellations all that this controller knows of
    * @param machineRequester asks the leaders of other shards for machines
    */
@@ -50,7 +50,7 @@
       StoreClient store,
       Replica replica,
       LeaderElection election,
-      Peers peers,
+      StoreOutageDetector outageDetector,
       Cancellations cancellations,
       MachineRequester machineRequester) {}
 
--- a/src/main/java/dev/windbend/shard/ShardFailover.java
+++ b/src/main/java/dev/windbend/shard/ShardFailover.java
@@ -65,17 +65,17 @@
 
   private void restoreMachines() {
     String prefix = ScaleOutRecord.prefix(leadership.shard());
-    for (Map.Entry<String, VersionedValue> entry : replica.below(prefix).entrySet()) {
+    for (Map.Entry<String, VersionedValue> entry : replica.withPrefix(prefix).entrySet()) {
       machines.restore(entry.getKey().substring(prefix.length()), entry.getValue(), true);
     }
   }
 
   private void restoreJobs(long now) {
     SortedMap<String, JsonNode> entries =
-        pages.restore(replica.below(JobRecord.pages(leadership.shard())));
-    for (VersionedValue record : replica.below(JobRecord.LIVE).values()) {
+        pages.restore(replica.withPrefix(JobRecord.pages(leadership.shard())));
+    for (VersionedValue record : replica.withPrefix(JobRecord.LIVE).values()) {
       jobs.restore(record, entries, now);
     }
-    pages.allRestored();
+    pages.finishRestore();
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardLeader.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -9,7 +9,7 @@
 import dev.windbend.peer.MachineTransferMessages;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.ServerResponse;
-import dev.windbend.store.Committer;
+import dev.windbend.store.GroupCommitter;
 import dev.windbend.store.PagedStore;
 import dev.windbend.store.PendingWrite;
 import dev.windbend.store.VersionedValue;
@@ -32,7 +32,7 @@
 
   private final ShardContext context;
   private final ShardLeadership leadership;
-  private final Committer committer;
+  private final GroupCommitter committer;
   private final PagedStore pages;
   private final JobRegistry registry;
   private final Fleet fleet;
@@ -58,7 +58,7 @@
     ShardContext.Coordination coordination = context.coordination();
     EventLoop loop = context.loop();
     this.leadership =
-        new ShardLeadership(shard, token, coordination.election(), coordination.peers());
+        new ShardLeadership(shard, token, coordination.election(), coordination.outageDetector());
     this.committer = newCommitter();
     this.pages = newPages();
     this.registry =
@@ -89,8 +89,8 @@
     this.reconciliation = newReconciliation(health);
   }
 
-  private Committer newCommitter() {
-    return new Committer(
+  private GroupCommitter newCommitter() {
+    return new GroupCommitter(
         context.loop(),
         context.coordination().store(),
         ShardLeaderRecord.key(leadership.shard()),
@@ -104,7 +104,7 @@
     return new PagedStore(
         JobRecord.pages(leadership.shard()),
         context.deployment().store().valueBytes(),
-        context.coordination().store().opsLimit());
+        context.coordination().store().maxWritesPerTransaction());
   }
 
   private Fleet newFleet() {
@@ -350,7 +350,7 @@
   private final class FleetListener implements Fleet.Listener {
     @Override
     public void recordChanged(PendingWrite record) {
-      committer.touch(record);
+      committer.enqueue(record);
     }
 
     @Override
--- a/src/main/java/dev/windbend/shard/ShardLeadership.java
+++ b/src/main/java/dev/windbend/shard/ShardLeadership.java
@@ -1,6 +1,6 @@
 package dev.windbend.shard;
 
-import dev.windbend.peer.Peers;
+import dev.windbend.peer.StoreOutageDetector;
 import dev.windbend.worker.HeartbeatHandler;
 
 /**
@@ -11,15 +11,16 @@
   private final int shard;
   private final long token;
   private final LeaderElection election;
-  private final Peers peers;
+  private final StoreOutageDetector outageDetector;
   private boolean recordsTakenOver;
   private boolean ended;
 
-  ShardLeadership(int shard, long token, LeaderElection election, Peers peers) {
+  ShardLeadership(
+      int shard, long token, LeaderElection election, StoreOutageDetector outageDetector) {
     this.shard = shard;
     this.token = token;
     this.election = election;
-    this.peers = peers;
+    this.outageDetector = outageDetector;
   }
 
   int shard() {
@@ -55,7 +56,7 @@
 
   @Override
   public boolean mayKeepWorkers() {
-    return peers.mayKeepWorkers();
+    return outageDetector.mayKeepWorkers();
   }
 
   /** When any worker reached this controller last (steady clock). */
--- a/src/main/java/dev/windbend/shard/ShardStatusLog.java
+++ b/src/main/java/dev/windbend/shard/ShardStatusLog.java
@@ -104,7 +104,7 @@
         booting,
         unavailable,
         scheduling.lastCycleCostMs(),
-        pages.used());
+        pages.pagesInUse());
   }
 
   private void logOldestWaitingJob(long nowMs) {
--- a/src/main/java/dev/windbend/shard/ShardZones.java
+++ b/src/main/java/dev/windbend/shard/ShardZones.java
@@ -5,7 +5,7 @@
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineHealth;
 import dev.windbend.runtime.NameIndex;
-import dev.windbend.store.Committer;
+import dev.windbend.store.GroupCommitter;
 import dev.windbend.zone.ZoneGate;
 import dev.windbend.zone.ZoneMonitor;
 import dev.windbend.zone.ZoneStatus;
@@ -29,7 +29,7 @@
       MachineHealth health,
       JobRegistry registry,
       ZoneMonitor.JobTimes times,
-      Committer committer) {
+      GroupCommitter committer) {
     if (!context.policy().zones().enabled()) {
       return new ShardZones(Optional.empty());
     }
@@ -42,7 +42,7 @@
             workers.heartbeatSeconds(),
             workers.leaseSeconds());
     ZoneMonitor.Records records =
-        new ZoneMonitor.Records(context.coordination().replica()::get, committer::touch);
+        new ZoneMonitor.Records(context.coordination().replica()::get, committer::enqueue);
     return new ShardZones(
         Optional.of(
             new ZoneMonitor(
--- a/src/main/java/dev/windbend/store/PageEntry.java
+++ b/src/main/java/dev/windbend/store/PageEntry.java
@@ -1,34 +1,42 @@
 package dev.windbend.store;
 
-/** Something small that an owner keeps in the state service; many of them share a page. */
+/**
+ * A small record of a shard's leader in the state service; many share one key, in pages ({@link
+ * PagedStore}). Between {@link #beginWrite} and {@link #onApplied} or {@link #onNotApplied} it is
+ * in flight.
+ */
 public interface PageEntry {
-  /** Unique within the shard. */
+  /** Unique within the shard, and the same for its successor. */
   String id();
 
-  /** Has changes that are not being written right now. */
+  /** Whether there are changes that are not in flight. */
   boolean dirty();
 
-  /** Something waits for this write. */
+  /** Whether something waits for this write, or it has been put off for long enough. */
   boolean urgent(long nowMs);
 
-  /** Nothing depends on what is stored any more. */
-  boolean over();
+  /** Whether nothing depends on what is stored any more, so that its place may be reused. */
+  boolean obsolete();
 
-  /** What is to be stored now, whole. */
+  /** What is to be stored now, whole; turned into JSON at once. */
   Object snapshot();
 
-  /** Adds what must still hold, and remembers what is under way. */
-  void begin(TransactionBuilder draft);
+  /** Adds the conditions that must hold, and remembers what is in flight. */
+  void beginWrite(TransactionBuilder transaction);
 
   /** The write was applied. */
-  void written();
+  void onApplied();
 
-  /** The write was not applied, or nobody knows. */
-  void unwritten();
+  /** The write was not applied, or it is unknown whether it was. */
+  void onNotApplied();
 
-  /** The condition that this entry depends on has this key. */
+  /** Whether {@link #beginWrite} adds a condition on this key. */
   boolean dependsOn(String key);
 
-  /** A condition failed; this is what the key holds (null: gone). */
-  void reread(VersionedValue now);
+  /**
+   * The condition on the key that this entry depends on did not hold.
+   *
+   * @param stored what the key holds now; null: it does not exist
+   */
+  void onConflict(VersionedValue stored);
 }
--- a/src/main/java/dev/windbend/store/PagedStore.java
+++ b/src/main/java/dev/windbend/store/PagedStore.java
@@ -1,6 +1,5 @@
 package dev.windbend.store;
 
-import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.databind.JsonNode;
 import dev.windbend.runtime.Json;
 import java.util.ArrayList;
@@ -41,9 +40,6 @@
    */
   private Slot pinned;
 
-  /** A page as stored. */
-  public record Page(@JsonProperty("e") Map<String, JsonNode> entries) {}
-
   private static final class Slot {
     final String key;
     final LinkedHashSet<PageEntry> live = new LinkedHashSet<>();
@@ -71,7 +67,7 @@
       Slot slot = new Slot(s.getKey(), s.getValue().version());
       slots.add(slot);
       nextSlot = Math.max(nextSlot, number(s.getKey()) + 1);
-      Page page = Json.read(s.getValue().value(), Page.class);
+      PageRecord page = Json.read(s.getValue().value(), PageRecord.class);
       if (page == null || page.entries() == null) {
         continue;
       }
@@ -97,7 +93,7 @@
   }
 
   /** This entry was made from what {@link #restore} found. */
-  public void restored(PageEntry e) {
+  public void adopt(PageEntry e) {
     Slot slot = found.remove(e.id());
     if (slot != null) {
       homes.put(e, slot);
@@ -106,11 +102,11 @@
   }
 
   /** The rest of what {@link #restore} found counts no more. */
-  public void allRestored() {
+  public void finishRestore() {
     found.clear();
   }
 
-  public void touch(PageEntry e) {
+  public void markChanged(PageEntry e) {
     changed.add(e);
   }
 
@@ -134,13 +130,13 @@
   }
 
   @Override
-  public int cost() {
+  public int writeCount() {
     return 1;
   }
 
   @Override
-  public void fill(TransactionBuilder draft) {
-    int most = Math.max(1, Math.min(MOST_PAGES, ops - draft.size()));
+  public void addTo(TransactionBuilder draft) {
+    int most = Math.max(1, Math.min(MOST_PAGES, ops - draft.writeCount()));
     List<PageEntry> order = new ArrayList<>();
     for (PageEntry e : changed) {
       if (e.dirty()) {
@@ -150,7 +146,7 @@
     Slot slot = next();
     boolean full = false;
     for (PageEntry e : order) {
-      if (draft.conditions.size() >= 4 * ops - MOST_PAGES - 1) {
+      if (draft.conditionCount() >= 4 * ops - MOST_PAGES - 1) {
         break;
       }
       JsonNode value = Json.tree(e.snapshot());
@@ -168,8 +164,8 @@
       takeAlong(slot, draft);
     }
     for (Slot s : writing) {
-      draft.when(s.key, s.version);
-      draft.put(s.key, new Page(s.content));
+      draft.ifVersion(s.key, s.version);
+      draft.put(s.key, new PageRecord(s.content));
     }
   }
 
@@ -177,7 +173,7 @@
     slot.content.put(e.id(), value);
     slot.carried.add(e);
     slot.bytes += bytes;
-    e.begin(draft);
+    e.beginWrite(draft);
     changed.remove(e);
   }
 
@@ -207,10 +203,10 @@
   private boolean counts(Slot s) {
     s.live.removeIf(
         e -> {
-          if (e.over()) {
+          if (e.obsolete()) {
             homes.remove(e);
           }
-          return e.over();
+          return e.obsolete();
         });
     return !s.live.isEmpty();
   }
@@ -231,7 +227,7 @@
       return;
     }
     for (PageEntry e : List.copyOf(emptiest.live)) {
-      if (into.content.containsKey(e.id()) || draft.conditions.size() >= 4 * ops - MOST_PAGES - 1) {
+      if (into.content.containsKey(e.id()) || draft.conditionCount() >= 4 * ops - MOST_PAGES - 1) {
         continue;
       }
       JsonNode value = Json.tree(e.snapshot());
@@ -243,7 +239,7 @@
   }
 
   @Override
-  public void written(long revision) {
+  public void onApplied(long revision) {
     for (Slot s : writing) {
       s.version = revision;
       for (PageEntry e : s.carried) {
@@ -251,8 +247,8 @@
         if (before != null) {
           before.live.remove(e);
         }
-        e.written();
-        if (!e.over()) {
+        e.onApplied();
+        if (!e.obsolete()) {
           homes.put(e, s);
           s.live.add(e);
         }
@@ -263,11 +259,11 @@
   }
 
   @Override
-  public void unwritten() {
+  public void onNotApplied() {
     pinned = writing.isEmpty() ? null : writing.get(0);
     for (Slot s : writing) {
       for (PageEntry e : s.carried) {
-        e.unwritten();
+        e.onNotApplied();
         again(e);
       }
     }
@@ -290,12 +286,12 @@
   }
 
   @Override
-  public boolean owns(String key) {
+  public boolean ownsKey(String key) {
     return key.startsWith(prefix) || changed.stream().anyMatch(e -> e.dependsOn(key));
   }
 
   @Override
-  public void reread(String key, VersionedValue now) {
+  public void onConflict(String key, VersionedValue now) {
     for (Slot s : slots) {
       if (s.key.equals(key)) {
         s.version = now == null ? 0 : now.version();
@@ -303,13 +299,13 @@
     }
     for (PageEntry e : List.copyOf(changed)) {
       if (e.dependsOn(key)) {
-        e.reread(now);
+        e.onConflict(now);
       }
     }
   }
 
   /** How many pages hold something that counts. */
-  public int used() {
+  public int pagesInUse() {
     int n = 0;
     for (Slot s : slots) {
       n += s.live.isEmpty() ? 0 : 1;
--- a/src/main/java/dev/windbend/store/PendingWrite.java
+++ b/src/main/java/dev/windbend/store/PendingWrite.java
@@ -1,27 +1,36 @@
 package dev.windbend.store;
 
-/** Something an owner keeps in the state service and writes when it has changed. */
+/**
+ * One or a few keys that a shard's leader keeps in the state service and writes when they change.
+ * {@link GroupCommitter} puts several into one transaction. Between {@link #addTo} and {@link
+ * #onApplied} or {@link #onNotApplied} the write is in flight.
+ */
 public interface PendingWrite {
-  /** Has changes that are not being written right now. */
+  /** Whether there are changes that are not in flight. */
   boolean dirty();
 
-  /** Something waits for this write. */
+  /** Whether something waits for this write, or it has been put off for long enough. */
   boolean urgent(long nowMs);
 
   /** How many keys the next write changes. */
-  int cost();
+  int writeCount();
 
-  /** Adds conditions and changes, and remembers what is under way. */
-  void fill(TransactionBuilder draft);
+  /** Adds conditions and writes to the transaction, and remembers what is in flight. */
+  void addTo(TransactionBuilder transaction);
 
-  /** The write was applied as this revision. */
-  void written(long revision);
+  /** The write was applied; its keys have this revision as their version. */
+  void onApplied(long revision);
 
-  /** The write was not applied, or nobody knows. */
-  void unwritten();
+  /** The write was not applied, or it is unknown whether it was. */
+  void onNotApplied();
 
-  /** A key of this unit had another version than expected; this is what it holds (null: gone). */
-  void reread(String key, VersionedValue now);
+  /** Whether this write depends on the key's version. */
+  boolean ownsKey(String key);
 
-  boolean owns(String key);
+  /**
+   * A key that this write owns had another version than expected.
+   *
+   * @param stored what the key holds now; null: it does not exist
+   */
+  void onConflict(String key, VersionedValue stored);
 }
--- a/src/main/java/dev/windbend/store/RecordWrite.java
+++ b/src/main/java/dev/windbend/store/RecordWrite.java
@@ -1,21 +1,27 @@
 package dev.windbend.store;
 
-/** A write of one key that something waits for, sent again until its fate is known. */
+/**
+ * A record of one key that something waits for; sent again until it is known to be stored or
+ * another writer is found to have been first.
+ */
 public abstract class RecordWrite implements PendingWrite {
+  /** The key of the record. */
   protected final String key;
+
   private boolean inFlight;
 
+  /** A record of this key, not in flight. */
   protected RecordWrite(String key) {
     this.key = key;
   }
 
-  /** The key does not hold yet what it should. */
+  /** Whether the key does not hold yet what it should. */
   protected abstract boolean changed();
 
-  /** Adds the condition and the change, and remembers what is under way. */
-  protected abstract void add(TransactionBuilder draft);
+  /** Adds the condition and the write, and remembers what is in flight. */
+  protected abstract void addChange(TransactionBuilder transaction);
 
-  /** The write was applied as this revision. */
+  /** The write was applied; the key has this revision as its version. */
   protected abstract void applied(long revision);
 
   @Override
@@ -29,29 +35,29 @@
   }
 
   @Override
-  public final int cost() {
+  public final int writeCount() {
     return 1;
   }
 
   @Override
-  public final void fill(TransactionBuilder draft) {
+  public final void addTo(TransactionBuilder transaction) {
     inFlight = true;
-    add(draft);
+    addChange(transaction);
   }
 
   @Override
-  public final void written(long revision) {
+  public final void onApplied(long revision) {
     inFlight = false;
     applied(revision);
   }
 
   @Override
-  public final void unwritten() {
+  public final void onNotApplied() {
     inFlight = false;
   }
 
   @Override
-  public final boolean owns(String changedKey) {
+  public final boolean ownsKey(String changedKey) {
     return changedKey.equals(key);
   }
 }
--- a/src/main/java/dev/windbend/store/Replica.java
+++ b/src/main/java/dev/windbend/store/Replica.java
@@ -10,135 +10,167 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A mirror of all keys below one prefix, kept by reading once and following from there. */
+/**
+ * A local replica of all keys with one prefix: listed once, then kept by a watch. It lags behind
+ * the store, so whatever depends on a version is committed on condition of it.
+ */
 public final class Replica {
   private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
 
-  /** A watch that hangs is given up soon after this, so that the mirror does not lag for longer. */
-  private static final long BLOCK_MS = 3_000;
+  /** A watch that hangs is given up soon after this, so the replica does not lag for longer. */
+  private static final long WATCH_BLOCK_MS = 3_000;
+
+  private static final long LIST_RETRY_MS = 500;
+  private static final long WATCH_RETRY_MS = 400;
+  private static final long NOT_READ = -1;
 
   private final EventLoop loop;
   private final StoreClient store;
   private final String prefix;
   private final TreeMap<String, VersionedValue> keys = new TreeMap<>();
   private final List<Listener> listeners = new ArrayList<>();
-  private long revision = -1;
-  private long completeMs = Long.MIN_VALUE / 2;
+  private long revision = NOT_READ;
+  private long completeUntilMs = Long.MIN_VALUE / 2;
   private boolean synced;
 
-  /** Told of every change; {@code now} is null if the key is gone. */
+  /** Gets each change of the replica, in the order of the store's revisions for any one key. */
   public interface Listener {
-    void changed(String key, VersionedValue now);
+    /**
+     * A key was written or deleted.
+     *
+     * @param stored what it holds now; null: it does not exist any more
+     */
+    void changed(String key, VersionedValue stored);
   }
 
+  /** An empty replica; {@link #start} fills it. */
   public Replica(EventLoop loop, StoreClient store, String prefix) {
     this.loop = loop;
     this.store = store;
     this.prefix = prefix;
   }
 
-  public void listen(Listener listener) {
+  /** Adds a listener for all changes from now on, those of the first list included. */
+  public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
+  /** Lists the keys, and watches them from then on. */
   public void start() {
-    read(null, -1, new HashSet<>());
+    listFromStart();
   }
 
+  /** Whether the keys have been listed once. */
   public boolean synced() {
     return synced;
   }
 
-  /** Everything up to this revision is in the mirror. */
+  /** All changes up to this revision of the store are in the replica; -1: not listed yet. */
   public long revision() {
     return revision;
   }
 
-  /** All that was written before then is in the mirror (steady clock). */
-  public long completeMs() {
-    return completeMs;
+  /** All changes made before this time of the monotonic clock are in the replica. */
+  public long completeUntilMs() {
+    return completeUntilMs;
   }
 
+  /** What the key held at the replica's revision or later; null: it did not exist. */
   public VersionedValue get(String key) {
     return keys.get(key);
   }
 
-  public NavigableMap<String, VersionedValue> below(String start) {
+  /** The keys that begin so, with what they hold; a view that changes with the replica. */
+  public NavigableMap<String, VersionedValue> withPrefix(String start) {
     return keys.subMap(start, true, start + '\uffff', false);
   }
 
-  private void read(String from, long first, Set<String> seen) {
+  private void listFromStart() {
+    list(null, NOT_READ, new HashSet<>());
+  }
+
+  /**
+   * Reads one page after another.
+   *
+   * @param from the key that the page starts after; null: the first page
+   * @param firstRevision the revision of the first page
+   * @param listed all keys on the pages so far
+   */
+  private void list(String from, long firstRevision, Set<String> listed) {
     store.list(
         prefix,
         from,
         page -> {
-          if (!page.ok()) {
-            loop.after(500, () -> read(from, first, seen));
+          if (!page.answered()) {
+            loop.after(LIST_RETRY_MS, () -> list(from, firstRevision, listed));
             return;
           }
-          // Changes since the first page are replayed, so later pages may be newer: that is fine.
-          long start = first < 0 ? page.revision() : first;
-          for (StoreClient.Item i : page.items()) {
-            seen.add(i.key());
-            apply(i);
+          // The watch replays the changes since the first page, so later pages may be newer.
+          long listRevision = firstRevision == NOT_READ ? page.revision() : firstRevision;
+          for (KeyValue item : page.items()) {
+            listed.add(item.key());
+            apply(item);
           }
-          if (page.more() && !page.items().isEmpty()) {
-            read(page.items().get(page.items().size() - 1).key(), start, seen);
-            return;
-          }
-          for (String key : List.copyOf(keys.keySet())) {
-            if (!seen.contains(key) && keys.get(key).version() <= start) {
-              apply(new StoreClient.Item(key, null, start));
-            }
+          String next = page.nextFrom();
+          if (next != null) {
+            list(next, listRevision, listed);
+          } else {
+            listComplete(listRevision, listed);
           }
-          revision = start;
-          synced = true;
-          LOG.info("mirror read: {} keys at revision {}", keys.size(), start);
-          follow();
         });
   }
 
-  private void follow() {
+  private void listComplete(long listRevision, Set<String> listed) {
+    for (String key : List.copyOf(keys.keySet())) {
+      if (!listed.contains(key) && keys.get(key).version() <= listRevision) {
+        apply(new KeyValue(key, null, listRevision));
+      }
+    }
+    revision = listRevision;
+    synced = true;
+    LOG.info("replica listed: keys={} revision={}", keys.size(), listRevision);
+    watch();
+  }
+
+  private void watch() {
     long sentMs = loop.nowMs();
-    store.follow(
-        prefix,
-        revision,
-        BLOCK_MS,
-        got -> {
-          if (got.status() == 410) {
-            LOG.info("mirror too old at revision {}, reading again", revision);
-            read(null, -1, new HashSet<>());
-            return;
-          }
-          if (got.status() != 200) {
-            loop.after(400, this::follow);
-            return;
-          }
-          for (StoreClient.Item i : got.events()) {
-            apply(i);
-          }
-          revision = Math.max(revision, got.revision());
-          completeMs = sentMs;
-          loop.after(store.pauseMs(), this::follow);
-        });
+    store.watch(prefix, revision, WATCH_BLOCK_MS, result -> onWatchResult(result, sentMs));
   }
 
-  private void apply(StoreClient.Item item) {
-    VersionedValue old = keys.get(item.key());
-    if (old != null && old.version() >= item.version()) {
+  private void onWatchResult(WatchResult result, long sentMs) {
+    switch (result.status()) {
+      case COMPACTED -> {
+        LOG.info("replica behind the store's compaction, listing again: revision={}", revision);
+        listFromStart();
+      }
+      case UNAVAILABLE -> loop.after(WATCH_RETRY_MS, this::watch);
+      case OK -> {
+        for (KeyValue change : result.changes()) {
+          apply(change);
+        }
+        revision = Math.max(revision, result.revision());
+        completeUntilMs = sentMs;
+        loop.after(store.pollIntervalMs(), this::watch);
+      }
+    }
+  }
+
+  private void apply(KeyValue change) {
+    VersionedValue old = keys.get(change.key());
+    if (old != null && old.version() >= change.version()) {
       return;
     }
-    if (item.value() == null) {
-      if (old == null) {
-        return;
-      }
-      keys.remove(item.key());
+    VersionedValue stored = null;
+    if (change.value() != null) {
+      stored = new VersionedValue(change.value(), change.version());
+      keys.put(change.key(), stored);
+    } else if (old != null) {
+      keys.remove(change.key());
     } else {
-      keys.put(item.key(), new VersionedValue(item.value(), item.version()));
+      return;
     }
-    VersionedValue now = keys.get(item.key());
-    for (Listener l : listeners) {
-      l.changed(item.key(), now);
+    for (Listener listener : listeners) {
+      listener.changed(change.key(), stored);
     }
   }
 }
--- a/src/main/java/dev/windbend/store/StoreClient.java
+++ b/src/main/java/dev/windbend/store/StoreClient.java
@@ -1,253 +1,292 @@
 package dev.windbend.store;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import dev.windbend.runtime.ClientResponse;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.Json;
-import java.util.ArrayDeque;
+import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls the state service, each with a time-out, under this node's part of both rate limits. Calls
- * that must wait for the rate queue up to a bound; over it they are refused at once.
+ * Calls the state service, each with a time-out, under this controller's part of both rate limits.
+ * Calls that must wait for the rate queue up to a bound; over it they are refused at once. Each
+ * call's consumer gets its result exactly once, on the event loop.
  */
 public final class StoreClient {
   private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
-  private static final long LIMIT_MS = 2_000;
-  private static final int QUEUE = 400;
+  private static final long TIMEOUT_MS = 2_000;
+  private static final long LIST_TIMEOUT_MS = 3 * TIMEOUT_MS;
+  private static final int LIST_PAGE_KEYS = 1_000;
 
-  private final EventLoop loop;
-  private final HttpClient web;
-  private final String address;
-  private final int ops;
-  private final Rate reads;
-  private final Rate writes;
-  private final ArrayDeque<Waiting> first = new ArrayDeque<>();
-  private final ArrayDeque<Waiting> later = new ArrayDeque<>();
-  private final ArrayDeque<Waiting> asking = new ArrayDeque<>();
-  private final long pauseMs;
-  private boolean pumping;
-  private boolean usersTurn = true;
-  private long pumpAtMs = Long.MAX_VALUE;
-  private long servedMs = Long.MIN_VALUE / 2;
-  private long firstFailMs = -1;
+  /** The status of a watch from a revision whose changes the service no longer keeps. */
+  private static final int GONE = 410;
 
-  private record Waiting(int writeCost, Runnable send, Runnable refuse) {}
+  /** From this status on the service says that it did not carry out the call. */
+  private static final int FIRST_ERROR_STATUS = 400;
 
-  /** What a read found. Status 404 is an answer too; anything else but 200 is none. */
-  public record Got(int status, VersionedValue stored) {
-    public boolean sure() {
-      return status == 200 || status == 404;
-    }
-  }
+  /**
+   * One controller may lead most shards, so each may use this many times an even part of the rate
+   * limits; where that is too much together, refusals slow the controllers down.
+   */
+  private static final double EVEN_PARTS = 2.5;
 
-  public record Listed(boolean ok, List<Item> items, boolean more, long revision) {}
+  /** Kinds of reads that go on and on; each may take an even part of the rate limit. */
+  private static final double POLLING_KINDS = 4.0;
 
-  /** A pair of a listing or an event; a null value in an event means the key was removed. */
-  public record Item(String key, JsonNode value, long version) {}
+  private static final long MIN_POLL_INTERVAL_MS = 50;
+  private static final double MS_PER_SECOND = 1_000;
 
-  public record Followed(int status, List<Item> events, long revision) {}
+  private final EventLoop loop;
+  private final HttpClient web;
+  private final String address;
+  private final int maxWritesPerTransaction;
+  private final RequestPacer pacer;
+  private final OutageTracker outages;
+  private final long pollIntervalMs;
 
+  /**
+   * A client of the service at the address.
+   *
+   * @param address host and port
+   * @param requestsPerSecond the service's rate limit on all calls of all controllers
+   * @param writesPerSecond its rate limit on keys written, of all controllers
+   * @param controllers how many controllers share both limits
+   */
   public StoreClient(
       EventLoop loop,
       HttpClient web,
       String address,
-      double rps,
-      double writeRps,
-      int ops,
-      int nodes) {
+      double requestsPerSecond,
+      double writesPerSecond,
+      int maxWritesPerTransaction,
+      int controllers) {
     this.loop = loop;
     this.web = web;
     this.address = address;
-    this.ops = ops;
-    // One node may own most of the work, so each gets more than an even part; 429 slows it down.
-    double share = Math.min(1.0, 2.5 / nodes);
-    this.reads = new Rate(loop, rps * share);
-    this.writes = new Rate(loop, writeRps * share);
-    this.pauseMs = Math.max(50, (long) (1_000 * 4.0 * nodes / rps));
+    this.maxWritesPerTransaction = maxWritesPerTransaction;
+    double share = Math.min(1.0, EVEN_PARTS / controllers);
+    this.pacer = new RequestPacer(loop, requestsPerSecond * share, writesPerSecond * share);
+    this.outages = new OutageTracker(loop);
+    this.pollIntervalMs =
+        Math.max(
+            MIN_POLL_INTERVAL_MS,
+            (long) (MS_PER_SECOND * POLLING_KINDS * controllers / requestsPerSecond));
   }
 
-  /** Pause between reads of a kind that goes on and on: each kind of all nodes takes a quarter. */
-  public long pauseMs() {
-    return pauseMs;
+  /** Pause between reads of a kind that goes on and on, so that all kinds fit the rate limit. */
+  public long pollIntervalMs() {
+    return pollIntervalMs;
   }
 
-  public int opsLimit() {
-    return ops;
+  /** How many keys a transaction may write or delete. */
+  public int maxWritesPerTransaction() {
+    return maxWritesPerTransaction;
   }
 
-  /** How long every call has failed, 0 if the last one was answered. */
+  /** For how long no call has been answered, in milliseconds; 0 if the last one was. */
   public long failingForMs() {
-    return firstFailMs < 0 ? 0 : loop.nowMs() - firstFailMs;
+    return outages.failingForMs();
   }
 
-  /** When the newest call that was answered was sent: so long ago we were surely served. */
-  public long servedMs() {
-    return servedMs;
+  /**
+   * When the newest of the calls that were answered was sent, by the monotonic clock: the service
+   * served this controller then, or later.
+   */
+  public long lastServedSentMs() {
+    return outages.lastServedSentMs();
   }
 
-  public void get(String key, Consumer<Got> done) {
-    paced(
-        asking,
+  /** Reads one key. */
+  public void get(String key, Consumer<ReadResult> done) {
+    pacer.submit(
+        RequestPacer.Lane.READS,
         0,
         () ->
-            send(
-                0,
-                "GET",
-                "/keys/" + key,
-                null,
-                LIMIT_MS,
-                reply -> {
-                  if (reply.ok()) {
-                    StoreMessages.Pair p = Json.read(reply.body(), StoreMessages.Pair.class);
-                    if (p != null) {
-                      done.accept(new Got(200, new VersionedValue(p.value(), p.version())));
-                      return;
-                    }
-                  }
-                  done.accept(new Got(reply.status() == 404 ? 404 : 503, null));
-                }),
-        () -> done.accept(new Got(503, null)));
+            send("GET", "/keys/" + key, null, TIMEOUT_MS, reply -> done.accept(readResult(reply))),
+        () -> done.accept(ReadResult.UNAVAILABLE));
+  }
+
+  private static ReadResult readResult(ClientResponse reply) {
+    if (reply.ok()) {
+      StoreMessages.Pair pair = Json.read(reply.body(), StoreMessages.Pair.class);
+      if (pair != null) {
+        return ReadResult.found(new VersionedValue(pair.value(), pair.version()));
+      }
+    }
+    return reply.status() == HttpStatus.NOT_FOUND ? ReadResult.NOT_FOUND : ReadResult.UNAVAILABLE;
   }
 
-  public void list(String prefix, String from, Consumer<Listed> done) {
-    String path = "/keys?prefix=" + prefix + (from == null ? "" : "&from=" + from) + "&limit=1000";
-    paced(
-        asking,
+  /**
+   * Reads one page of the keys with the prefix.
+   *
+   * @param from the key that the page starts after; null: the first page
+   */
+  public void list(String prefix, String from, Consumer<ListResult> done) {
+    String path =
+        "/keys?prefix="
+            + prefix
+            + (from == null ? "" : "&from=" + from)
+            + "&limit="
+            + LIST_PAGE_KEYS;
+    pacer.submit(
+        RequestPacer.Lane.READS,
         0,
-        () ->
-            send(
-                0,
-                "GET",
-                path,
-                null,
-                3 * LIMIT_MS,
-                reply -> {
-                  StoreMessages.Page page =
-                      reply.ok() ? Json.read(reply.body(), StoreMessages.Page.class) : null;
-                  if (page == null || page.items() == null) {
-                    done.accept(new Listed(false, List.of(), false, 0));
-                    return;
-                  }
-                  List<Item> items =
-                      page.items().stream()
-                          .map(p -> new Item(p.key(), p.value(), p.version()))
-                          .toList();
-                  done.accept(new Listed(true, items, page.more(), page.revision()));
-                }),
-        () -> done.accept(new Listed(false, List.of(), false, 0)));
+        () -> send("GET", path, null, LIST_TIMEOUT_MS, reply -> done.accept(listResult(reply))),
+        () -> done.accept(ListResult.UNAVAILABLE));
+  }
+
+  private static ListResult listResult(ClientResponse reply) {
+    StoreMessages.Page page = reply.ok() ? Json.read(reply.body(), StoreMessages.Page.class) : null;
+    if (page == null || page.items() == null) {
+      return ListResult.UNAVAILABLE;
+    }
+    List<KeyValue> items = new ArrayList<>(page.items().size());
+    for (StoreMessages.Pair pair : page.items()) {
+      items.add(new KeyValue(pair.key(), pair.value(), pair.version()));
+    }
+    return new ListResult(true, items, page.more(), page.revision());
   }
 
-  /** Compares only, or writes for a user: does not wait behind what owners write. */
-  public void commitFirst(TransactionBuilder draft, Consumer<Outcome> done) {
-    commit(draft.size() == 0 ? asking : first, draft, done);
+  /** Commits what a user waits for, or only compares: does not wait behind leaders' writes. */
+  public void commitForUser(TransactionBuilder transaction, Consumer<TransactionOutcome> done) {
+    commit(
+        transaction.writeCount() == 0 ? RequestPacer.Lane.READS : RequestPacer.Lane.USER_WRITES,
+        transaction,
+        done);
   }
 
-  public void commit(TransactionBuilder draft, Consumer<Outcome> done) {
-    commit(later, draft, done);
+  /** Commits a leader's records. */
+  public void commit(TransactionBuilder transaction, Consumer<TransactionOutcome> done) {
+    commit(RequestPacer.Lane.LEADER_WRITES, transaction, done);
   }
 
-  private void commit(ArrayDeque<Waiting> lane, TransactionBuilder draft, Consumer<Outcome> done) {
-    byte[] body =
-        Json.write(
-            new StoreMessages.Transaction(
-                List.copyOf(draft.conditions), List.copyOf(draft.changes)));
-    paced(
+  private void commit(
+      RequestPacer.Lane lane, TransactionBuilder transaction, Consumer<TransactionOutcome> done) {
+    byte[] body = Json.write(transaction.build());
+    int writeCount = transaction.writeCount();
+    pacer.submit(
         lane,
-        draft.size(),
+        writeCount,
         () ->
             send(
-                draft.size(),
-                "POST",
-                "/txn",
-                body,
-                LIMIT_MS,
-                reply -> {
-                  StoreMessages.Revision r =
-                      reply.ok() || reply.status() == 409
-                          ? Json.read(reply.body(), StoreMessages.Revision.class)
-                          : null;
-                  if (r != null && reply.ok()) {
-                    done.accept(new Outcome(Outcome.Kind.DONE, r.revision(), List.of()));
-                  } else if (r != null && r.failed() != null) {
-                    done.accept(new Outcome(Outcome.Kind.CONFLICT, r.revision(), r.failed()));
-                  } else {
-                    boolean refused = reply.status() >= 400;
-                    done.accept(
-                        new Outcome(
-                            refused ? Outcome.Kind.REFUSED : Outcome.Kind.UNKNOWN, 0, List.of()));
-                  }
-                }),
-        () -> done.accept(new Outcome(Outcome.Kind.REFUSED, 0, List.of())));
+                writeCount, "POST", "/txn", body, TIMEOUT_MS, reply -> done.accept(outcome(reply))),
+        () -> done.accept(outcome(TransactionOutcome.Kind.REFUSED)));
   }
 
-  /** Hands the new lease's id, or -1. Not queued: ownership must not wait behind other calls. */
-  public void acquireLease(long termMs, Consumer<Long> done) {
-    reads.force();
+  private static TransactionOutcome outcome(ClientResponse reply) {
+    StoreMessages.Revision result =
+        reply.ok() || reply.status() == HttpStatus.CONFLICT
+            ? Json.read(reply.body(), StoreMessages.Revision.class)
+            : null;
+    if (result != null && reply.ok()) {
+      return new TransactionOutcome(TransactionOutcome.Kind.APPLIED, result.revision(), List.of());
+    }
+    if (result != null && result.failed() != null) {
+      return new TransactionOutcome(
+          TransactionOutcome.Kind.CONDITION_FAILED, result.revision(), result.failed());
+    }
+    return outcome(
+        reply.status() >= FIRST_ERROR_STATUS
+            ? TransactionOutcome.Kind.REFUSED
+            : TransactionOutcome.Kind.UNKNOWN);
+  }
+
+  private static TransactionOutcome outcome(TransactionOutcome.Kind kind) {
+    return new TransactionOutcome(kind, 0, List.of());
+  }
+
+  /**
+   * Asks for a lease. Not queued: leadership must not wait behind other calls.
+   *
+   * @param done takes the lease's id; empty: none was granted, as far as is known
+   */
+  public void acquireLease(long termMs, Consumer<OptionalLong> done) {
+    pacer.countUnqueued();
     send(
-        0,
         "POST",
         "/holds",
         Json.write(new StoreMessages.Life(termMs)),
-        LIMIT_MS,
+        TIMEOUT_MS,
         reply -> {
-          StoreMessages.Lease l =
+          StoreMessages.Lease lease =
               reply.ok() ? Json.read(reply.body(), StoreMessages.Lease.class) : null;
-          done.accept(l == null ? -1 : l.id());
+          done.accept(
+              lease == null || lease.id() < 0 ? OptionalLong.empty() : OptionalLong.of(lease.id()));
         });
   }
 
-  /** Hands the status: 200 renewed, 404 ended, anything else unknown. */
-  public void renewLease(long lease, Consumer<Integer> done) {
-    reads.force();
+  /** Renews a lease for its term. Not queued either. */
+  public void renewLease(long lease, Consumer<LeaseRenewal> done) {
+    pacer.countUnqueued();
     send(
-        0,
         "POST",
         "/holds/" + lease + "/renew",
         new byte[0],
-        LIMIT_MS,
-        reply -> done.accept(reply.status()));
+        TIMEOUT_MS,
+        reply ->
+            done.accept(
+                switch (reply.status()) {
+                  case HttpStatus.OK -> LeaseRenewal.RENEWED;
+                  case HttpStatus.NOT_FOUND -> LeaseRenewal.EXPIRED;
+                  default -> LeaseRenewal.UNKNOWN;
+                }));
   }
 
-  public void follow(String prefix, long from, long blockMs, Consumer<Followed> done) {
-    reads.force();
+  /**
+   * Waits for changes of the keys with the prefix. Not queued, and no sign of an outage or of the
+   * rate, as its answer comes late by design.
+   *
+   * @param fromRevision changes after it are asked for
+   * @param blockMs the service answers with no changes if there are none for so long
+   */
+  void watch(String prefix, long fromRevision, long blockMs, Consumer<WatchResult> done) {
+    pacer.countUnqueued();
     web.call(
         address,
         "GET",
-        "/follow?prefix=" + prefix + "&from=" + from + "&block_ms=" + blockMs,
+        "/follow?prefix=" + prefix + "&from=" + fromRevision + "&block_ms=" + blockMs,
         null,
-        blockMs + LIMIT_MS,
-        reply -> {
-          StoreMessages.Events e =
-              reply.ok() ? Json.read(reply.body(), StoreMessages.Events.class) : null;
-          if (e == null) {
-            done.accept(new Followed(reply.ok() ? 0 : reply.status(), List.of(), from));
-            return;
-          }
-          List<Item> items =
-              e.changes() == null
-                  ? List.of()
-                  : e.changes().stream()
-                      .map(
-                          c ->
-                              c.put() != null
-                                  ? new Item(c.put(), c.value(), c.version())
-                                  : new Item(c.delete(), null, c.version()))
-                      .toList();
-          done.accept(new Followed(200, items, e.revision()));
-        });
+        blockMs + TIMEOUT_MS,
+        reply -> done.accept(watchResult(reply, fromRevision)));
+  }
+
+  private static WatchResult watchResult(ClientResponse reply, long fromRevision) {
+    StoreMessages.Events events =
+        reply.ok() ? Json.read(reply.body(), StoreMessages.Events.class) : null;
+    if (events == null) {
+      WatchResult.Status status =
+          reply.status() == GONE ? WatchResult.Status.COMPACTED : WatchResult.Status.UNAVAILABLE;
+      return new WatchResult(status, List.of(), fromRevision);
+    }
+    if (events.changes() == null) {
+      return new WatchResult(WatchResult.Status.OK, List.of(), events.revision());
+    }
+    List<KeyValue> changes = new ArrayList<>(events.changes().size());
+    for (StoreMessages.Change change : events.changes()) {
+      changes.add(
+          change.put() != null
+              ? new KeyValue(change.put(), change.value(), change.version())
+              : new KeyValue(change.delete(), null, change.version()));
+    }
+    return new WatchResult(WatchResult.Status.OK, changes, events.revision());
+  }
+
+  private void send(
+      String method, String path, byte[] body, long timeoutMs, Consumer<ClientResponse> done) {
+    send(0, method, path, body, timeoutMs, done);
   }
 
   private void send(
-      int changes,
+      int writeCount,
       String method,
       String path,
       byte[] body,
-      long limitMs,
+      long timeoutMs,
       Consumer<ClientResponse> done) {
     long sentMs = loop.nowMs();
     web.call(
@@ -255,89 +294,14 @@
         method,
         path,
         body,
-        limitMs,
+        timeoutMs,
         reply -> {
-          if (reply.status() == 429) {
-            LOG.debug("too fast: {}", path);
-            (changes > 0 ? writes : reads).slowDown();
-          }
-          if (reply.status() == 0 || reply.status() == 503) {
-            firstFailMs = firstFailMs < 0 ? loop.nowMs() : firstFailMs;
-          } else {
-            firstFailMs = -1;
-            servedMs = Math.max(servedMs, sentMs);
+          if (reply.status() == HttpStatus.TOO_MANY_REQUESTS) {
+            LOG.debug("store call rate-limited: path={}", path);
+            pacer.onRateLimited(writeCount > 0);
           }
+          outages.onResponse(reply.status(), sentMs);
           done.accept(reply);
         });
   }
-
-  private void paced(ArrayDeque<Waiting> lane, int writeCost, Runnable send, Runnable refuse) {
-    if (lane.size() >= QUEUE) {
-      refuse.run();
-      return;
-    }
-    lane.add(new Waiting(writeCost, send, refuse));
-    pump();
-  }
-
-  /**
-   * Reads beside writes, and users' writes in turn with owners': none waits behind another kind.
-   */
-  private void pump() {
-    if (pumping) {
-      return;
-    }
-    pumping = true;
-    try {
-      long wait = Math.min(drainWrites(), drain(asking));
-      long at = wait == Long.MAX_VALUE ? wait : loop.nowMs() + wait;
-      if (at < pumpAtMs) {
-        pumpAtMs = at;
-        loop.after(
-            wait,
-            () -> {
-              pumpAtMs = Long.MAX_VALUE;
-              pump();
-            });
-      }
-    } finally {
-      pumping = false;
-    }
-  }
-
-  private long drainWrites() {
-    while (true) {
-      boolean users = later.isEmpty() || (usersTurn && !first.isEmpty());
-      long wait = sendOne(users ? first : later);
-      if (wait > 0) {
-        return wait;
-      }
-      // In a burst of submissions rentals would come too late, were users' writes always first.
-      usersTurn = !users;
-    }
-  }
-
-  private long drain(ArrayDeque<Waiting> lane) {
-    long wait;
-    do {
-      wait = sendOne(lane);
-    } while (wait == 0);
-    return wait;
-  }
-
-  /** 0: sent; else how long it must wait. */
-  private long sendOne(ArrayDeque<Waiting> lane) {
-    Waiting w = lane.peek();
-    if (w == null) {
-      return Long.MAX_VALUE;
-    }
-    long wait = Math.max(reads.waitMs(1), w.writeCost > 0 ? writes.waitMs(w.writeCost) : 0);
-    if (wait == 0) {
-      lane.poll();
-      reads.take(1);
-      writes.take(w.writeCost);
-      w.send.run();
-    }
-    return wait;
-  }
 }
--- a/src/main/java/dev/windbend/store/TransactionBuilder.java
+++ b/src/main/java/dev/windbend/store/TransactionBuilder.java
@@ -4,15 +4,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A transaction being put together. */
+/**
+ * A compare-and-swap transaction being put together: its writes are applied all together, if every
+ * key compared still has the version given, or else not at all.
+ */
 public final class TransactionBuilder {
-  final List<StoreMessages.Condition> conditions = new ArrayList<>();
-  final List<StoreMessages.Change> changes = new ArrayList<>();
+  private final List<StoreMessages.Condition> conditions = new ArrayList<>();
+  private final List<StoreMessages.Change> changes = new ArrayList<>();
 
-  /** The key must still have this version; 0: must not exist. */
-  public TransactionBuilder when(String key, long version) {
-    for (StoreMessages.Condition c : conditions) {
-      if (c.key().equals(key)) {
+  /**
+   * The key must have this version. Of several conditions on one key the first counts.
+   *
+   * @param version as read; 0: the key must not exist
+   */
+  public TransactionBuilder ifVersion(String key, long version) {
+    for (StoreMessages.Condition condition : conditions) {
+      if (condition.key().equals(key)) {
         return this;
       }
     }
@@ -20,27 +27,41 @@
     return this;
   }
 
+  /** The key must not exist. */
+  public TransactionBuilder ifAbsent(String key) {
+    return ifVersion(key, 0);
+  }
+
+  /** Writes the key; {@code value} is turned into JSON at once, so later changes don't count. */
   public TransactionBuilder put(String key, Object value) {
     changes.add(new StoreMessages.Change(key, Json.tree(value), null, null, null));
     return this;
   }
 
-  /** The key goes when the lease ends. */
-  public TransactionBuilder putHeld(String key, Object value, long lease) {
+  /** Writes a key that the store deletes when the lease expires. */
+  public TransactionBuilder putWithLease(String key, Object value, long lease) {
     changes.add(new StoreMessages.Change(key, Json.tree(value), lease, null, null));
     return this;
   }
 
+  /** Deletes the key. */
   public TransactionBuilder delete(String key) {
     changes.add(new StoreMessages.Change(null, null, null, key, null));
     return this;
   }
 
-  public int conditions() {
+  /** How many keys are compared. */
+  public int conditionCount() {
     return conditions.size();
   }
 
-  public int size() {
+  /** How many keys are written or deleted. */
+  public int writeCount() {
     return changes.size();
   }
+
+  /** The message as it stands; what is added later is not in it. */
+  StoreMessages.Transaction build() {
+    return new StoreMessages.Transaction(List.copyOf(conditions), List.copyOf(changes));
+  }
 }
--- a/src/main/java/dev/windbend/zone/ZoneRecordWrite.java
+++ b/src/main/java/dev/windbend/zone/ZoneRecordWrite.java
@@ -34,9 +34,9 @@
   }
 
   @Override
-  protected void add(TransactionBuilder draft) {
+  protected void addChange(TransactionBuilder draft) {
     underWay = wanted;
-    draft.when(key, version);
+    draft.ifVersion(key, version);
     if (wanted == null) {
       draft.delete(key);
     } else {
@@ -51,7 +51,7 @@
   }
 
   @Override
-  public void reread(String changedKey, VersionedValue now) {
+  public void onConflict(String changedKey, VersionedValue now) {
     stored = ZoneRecord.read(now);
     version = now == null ? 0 : now.version();
   }
--- a/src/test/java/dev/windbend/daemon/StoredDay.java
+++ b/src/test/java/dev/windbend/daemon/StoredDay.java
@@ -4,7 +4,7 @@
 import dev.windbend.job.JobRecord;
 import dev.windbend.machine.ScaleOutRecord;
 import dev.windbend.runtime.Json;
-import dev.windbend.store.PagedStore;
+import dev.windbend.store.PageRecord;
 import dev.windbend.zone.ZoneRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.EnumMap;
@@ -79,7 +79,7 @@
     switch (family) {
       case "w/j" -> live(key, read(key, value, JobRecord.Live.class));
       case "a" -> ended(key, read(key, value, JobRecord.Ended.class));
-      case "w/p" -> page(key, read(key, value, PagedStore.Page.class));
+      case "w/p" -> page(key, read(key, value, PageRecord.class));
       case "w/h" -> machines(key, path[2], read(key, value, ScaleOutRecord.class));
       case "w/z" -> zone(key, read(key, value, ZoneRecord.class));
       case "w/c" -> {
@@ -117,7 +117,7 @@
     }
   }
 
-  private void page(String key, PagedStore.Page page) {
+  private void page(String key, PageRecord page) {
     add(Kind.PAGE);
     require(page.entries() != null, key);
     page.entries()
--- a/src/test/java/dev/windbend/machine/FleetTest.java
+++ b/src/test/java/dev/windbend/machine/FleetTest.java
@@ -34,8 +34,8 @@
         @Override
         public void recordChanged(PendingWrite record) {
           if (record.dirty()) {
-            record.fill(new TransactionBuilder());
-            record.written(++changes);
+            record.addTo(new TransactionBuilder());
+            record.onApplied(++changes);
           }
         }
 
--- a/src/test/java/dev/windbend/peer/PeerMessagesTest.java
+++ b/src/test/java/dev/windbend/peer/PeerMessagesTest.java
@@ -17,20 +17,24 @@
 class PeerMessagesTest {
   static Stream<Arguments> messages() {
     return Stream.of(
-        arguments("question about the state service", new Peers.Ask(41), "{\"known_up_to\":41}"),
+        arguments(
+            "question about the state service",
+            new PeerMessages.StoreStatusRequest(41),
+            "{\"known_up_to\":41}"),
         arguments(
             "answer about the state service",
-            new Peers.View(250, List.of(new Cancelled("wk-000412", 42))),
+            new PeerMessages.StoreStatus(250, List.of(new Cancelled("wk-000412", 42))),
             """
             {"answered_ms_ago":250,"cancelled":[{"job":"wk-000412","revision":42}]}"""),
         arguments(
             "answer about the state service that can't tell cancellations",
-            new Peers.View(250, null),
+            new PeerMessages.StoreStatus(250, null),
             """
             {"answered_ms_ago":250}"""),
         arguments(
             "cancellations",
-            new Peers.Told(List.of(new Cancelled("wk-000412", 42), new Cancelled("wk-000413", 43))),
+            new PeerMessages.ConfirmedCancellations(
+                List.of(new Cancelled("wk-000412", 42), new Cancelled("wk-000413", 43))),
             """
             {"cancelled":[{"job":"wk-000412","revision":42},{"job":"wk-000413","revision":43}]}"""),
         arguments(
@@ -88,9 +92,15 @@
 
   @Test
   void readsMessagesOfWhichFieldsAreMissing() {
-    assertRead("{}", Peers.Ask.class, new Peers.Ask(0));
-    assertRead("{\"cancelled\":null}", Peers.View.class, new Peers.View(0, null));
-    assertRead("{}", Peers.Told.class, new Peers.Told(null));
+    assertRead("{}", PeerMessages.StoreStatusRequest.class, new PeerMessages.StoreStatusRequest(0));
+    assertRead(
+        "{\"cancelled\":null}",
+        PeerMessages.StoreStatus.class,
+        new PeerMessages.StoreStatus(0, null));
+    assertRead(
+        "{}",
+        PeerMessages.ConfirmedCancellations.class,
+        new PeerMessages.ConfirmedCancellations(null));
     assertRead("{}", Cancelled.class, new Cancelled(null, 0));
     assertRead(
         "{}", MachineTransferMessages.Routed.class, new MachineTransferMessages.Routed(0, 0, null));
--- a/src/test/java/dev/windbend/peer/PeersTest.java
+++ b/src/test/java/dev/windbend/peer/StoreOutageDetectorTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class PeersTest {
+class StoreOutageDetectorTest {
   /** Steady clocks of different machines drift apart by so much. */
   private static final double DRIFT = 0.0005;
 
@@ -31,7 +31,7 @@
   })
   void keepsWorkersForNoLongerThanCancelledTasksMayLast(
       double reportS, double leaseS, double cancelS, long keepMs) {
-    long keeps = Peers.keepMs(leaseS, cancelS);
+    long keeps = StoreOutageDetector.workerRetentionMs(leaseS, cancelS);
     assertThat(keeps).isEqualTo(keepMs);
     if (keeps > 0) {
       double goneS = keeps / 1000.0 * (1 + DRIFT) + leaseS * (1 + DRIFT) + KILL_S;
--- a/src/test/java/dev/windbend/store/PagedStoreTest.java
+++ b/src/test/java/dev/windbend/store/PagedStoreTest.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public boolean over() {
+    public boolean obsolete() {
       return over;
     }
 
@@ -55,18 +55,18 @@
     }
 
     @Override
-    public void begin(TransactionBuilder draft) {
+    public void beginWrite(TransactionBuilder draft) {
       writing = value;
     }
 
     @Override
-    public void written() {
+    public void onApplied() {
       written = writing;
       writing = -1;
     }
 
     @Override
-    public void unwritten() {
+    public void onNotApplied() {
       writing = -1;
     }
 
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void reread(VersionedValue now) {}
+    public void onConflict(VersionedValue now) {}
   }
 
   private final Map<String, VersionedValue> store = new LinkedHashMap<>();
@@ -94,26 +94,26 @@
   private void change(int... which) {
     for (int i : which) {
       all.get(i).value++;
-      pages.touch(all.get(i));
+      pages.markChanged(all.get(i));
     }
   }
 
   private TransactionBuilder fill() {
     TransactionBuilder d = new TransactionBuilder();
-    pages.fill(d);
+    pages.addTo(d);
     return d;
   }
 
   /** Whether all conditions held. */
   private boolean apply(TransactionBuilder d) {
-    for (StoreMessages.Condition c : d.conditions) {
+    for (StoreMessages.Condition c : d.build().conditions()) {
       long is = store.containsKey(c.key()) ? store.get(c.key()).version() : 0;
       if (is != c.version()) {
         return false;
       }
     }
     revision++;
-    for (StoreMessages.Change c : d.changes) {
+    for (StoreMessages.Change c : d.build().changes()) {
       assertThat(Json.write(c.value()).length).isLessThanOrEqualTo(BYTES);
       store.put(c.put(), new VersionedValue(c.value(), revision));
     }
@@ -124,13 +124,13 @@
     int changes = 0;
     while (pages.dirty()) {
       TransactionBuilder d = fill();
-      changes += d.size();
+      changes += d.writeCount();
       if (apply(d)) {
-        pages.written(revision);
+        pages.onApplied(revision);
       } else {
-        pages.unwritten();
-        for (StoreMessages.Condition c : d.conditions) {
-          pages.reread(c.key(), store.get(c.key()));
+        pages.onNotApplied();
+        for (StoreMessages.Condition c : d.build().conditions()) {
+          pages.onConflict(c.key(), store.get(c.key()));
         }
       }
     }
@@ -166,7 +166,7 @@
     write();
     change(0);
     TransactionBuilder lost = fill();
-    pages.unwritten();
+    pages.onNotApplied();
     change(0, 1);
     write();
     assertThat(apply(lost)).as("its page has another version by now").isFalse();
@@ -179,7 +179,7 @@
     write();
     change(0, 1);
     apply(fill());
-    pages.unwritten();
+    pages.onNotApplied();
     change(1, 2);
     write();
     successorFindsAll();
@@ -193,14 +193,14 @@
     write();
     PagedStore next = new PagedStore("w/p/0/", BYTES, 8);
     next.restore(store);
-    all.forEach(next::restored);
-    next.allRestored();
+    all.forEach(next::adopt);
+    next.finishRestore();
     all.get(1).value++;
-    next.touch(all.get(1));
+    next.markChanged(all.get(1));
     TransactionBuilder d = new TransactionBuilder();
-    next.fill(d);
+    next.addTo(d);
     assertThat(apply(d)).isTrue();
-    next.written(revision);
+    next.onApplied(revision);
     successorFindsAll();
   }
 
--- a/src/test/java/dev/windbend/store/StoreMessagesTest.java
+++ b/src/test/java/dev/windbend/store/StoreMessagesTest.java
@@ -81,12 +81,11 @@
             "log":[{"set":"c/9","v":{"k":1},"stamp":433},{"remove":"c/d","stamp":432}]}"""),
         arguments(
             "page of entries as stored",
-            new PagedStore.Page(
-                entries("wk-000001:2", "{\"a\":1}", "wk-000001/0", "{\"d\":\"BYA=\"}")),
+            new PageRecord(entries("wk-000001:2", "{\"a\":1}", "wk-000001/0", "{\"d\":\"BYA=\"}")),
             """
             {"e":{"wk-000001:2":{"a":1},"wk-000001/0":{"d":"BYA="}}}"""),
-        arguments("empty page as stored", new PagedStore.Page(Map.of()), "{\"e\":{}}"),
-        arguments("page without entries", new PagedStore.Page(null), "{}"));
+        arguments("empty page as stored", new PageRecord(Map.of()), "{\"e\":{}}"),
+        arguments("page without entries", new PageRecord(null), "{}"));
   }
 
   private static Map<String, JsonNode> entries(
@@ -126,13 +125,13 @@
   void putsTogetherTransactions() {
     TransactionBuilder draft =
         new TransactionBuilder()
-            .when("a", 3)
-            .when("a", 4)
-            .putHeld("a", new StoreMessages.Revision(1, null), 9)
+            .ifVersion("a", 3)
+            .ifVersion("a", 4)
+            .putWithLease("a", new StoreMessages.Revision(1, null), 9)
             .put("b", new StoreMessages.Lease(2))
             .delete("c");
     assertWritten(
-        new StoreMessages.Transaction(draft.conditions, draft.changes),
+        draft.build(),
         """
         {"when":[{"path":"a","stamp":3}],
         "then":[{"set":"a","v":{"ledger":1},"permit":9},{"set":"b","v":{"permit":2}},
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -141,8 +141,8 @@
   private void write(PendingWrite unit) {
     if (unit instanceof ZoneRecordWrite zone && zone.dirty()) {
       writes++;
-      zone.fill(new TransactionBuilder());
-      zone.written(writes);
+      zone.addTo(new TransactionBuilder());
+      zone.onApplied(writes);
     }
   }
 
