--- a/src/main/java/dev/windbend/store/PagedStore.java
+++ b/src/main/java/dev/windbend/store/PagedStore.java
@@ -11,122 +11,122 @@
 import java.util.TreeMap;
 
 /**
- * Keeps many small entries in few keys, so that a write costs one change however many entries it
+ * Keeps many small entries in few keys, so that a write changes few keys however many entries it
  * carries. A page holds whole entries; the copy in the page written last counts. Changed entries go
- * together to a page of which nothing counts any more, and if there is room they take the rest of
- * the emptiest page with them, so that pages become free again.
+ * together to a free page, one of which nothing counts any more; if there is room, entries of the
+ * emptiest page are moved along, so that it becomes free (compaction).
  */
 public final class PagedStore implements PendingWrite {
-  /** Left free in a page, for the punctuation around entries. */
-  private static final int SPARE_BYTES = 256;
+  /** Left free in a page, for the JSON around the entries. */
+  private static final int PAGE_OVERHEAD_BYTES = 256;
 
-  private static final int ENTRY_BYTES = 8;
-  private static final int MOST_PAGES = 3;
-  private static final int FEW_PAGES = 3;
+  /** What an entry takes beside its id and value. */
+  private static final int ENTRY_OVERHEAD_BYTES = 8;
+
+  private static final int MAX_PAGES_PER_WRITE = 3;
+
+  /** So few pages in use need no compaction. */
+  private static final int MIN_PAGES_TO_COMPACT = 3;
+
+  /** A transaction may have this many conditions for each key that it may write. */
+  private static final int CONDITIONS_PER_WRITE = 4;
 
   private final String prefix;
   private final int pageBytes;
-  private final int ops;
+  private final int maxWrites;
+  private final int maxConditions;
   private final LinkedHashSet<PageEntry> changed = new LinkedHashSet<>();
-  private final List<Slot> slots = new ArrayList<>();
-  private final Map<PageEntry, Slot> homes = new HashMap<>();
-  private final Map<String, Slot> found = new HashMap<>();
-  private final List<Slot> writing = new ArrayList<>();
-  private int nextSlot;
+  private final PageAllocator allocator;
+  private final List<Page> inFlight = new ArrayList<>();
+
+  /** While a former leader's pages are being taken over: where the newest copies are, by id. */
+  private final Map<String, Page> restoring = new HashMap<>();
 
   /**
-   * A page of a write nobody knows the end of. The next write goes there too: were it to go
-   * elsewhere, the old one could still land after it and its older entries would count.
+   * A page of a write of unknown outcome; null: none. The next write goes to this page too: were it
+   * to go elsewhere, the former one could still be applied after it, and its older entries would
+   * count.
    */
-  private Slot pinned;
-
-  private static final class Slot {
-    final String key;
-    final LinkedHashSet<PageEntry> live = new LinkedHashSet<>();
-    final Map<String, JsonNode> content = new TreeMap<>();
-    final List<PageEntry> carried = new ArrayList<>();
-    long version;
-    int bytes;
-
-    Slot(String key, long version) {
-      this.key = key;
-      this.version = version;
-    }
-  }
+  private Page retryPage;
 
-  public PagedStore(String prefix, int valueBytes, int ops) {
+  /**
+   * A store without entries.
+   *
+   * @param prefix of the pages' keys, which end in a number
+   * @param valueBytes the most that a key's value may take
+   * @param maxWrites how many keys a transaction may write
+   */
+  public PagedStore(String prefix, int valueBytes, int maxWrites) {
     this.prefix = prefix;
-    this.pageBytes = valueBytes - SPARE_BYTES;
-    this.ops = ops;
+    this.pageBytes = valueBytes - PAGE_OVERHEAD_BYTES;
+    this.maxWrites = maxWrites;
+    // The rest is for the pages themselves and the guard of the group commit.
+    this.maxConditions = CONDITIONS_PER_WRITE * maxWrites - MAX_PAGES_PER_WRITE - 1;
+    this.allocator = new PageAllocator(prefix);
   }
 
-  /** Reads what a former owner left; hands the newest copy of each entry by its id. */
+  /**
+   * Takes over the pages that a former leader stored. To be followed by {@link #adopt} for each
+   * entry still needed, then {@link #finishRestore}.
+   *
+   * @return the value of each entry's newest copy, by the entry's id
+   */
   public SortedMap<String, JsonNode> restore(Map<String, VersionedValue> stored) {
     SortedMap<String, JsonNode> newest = new TreeMap<>();
-    for (Map.Entry<String, VersionedValue> s : stored.entrySet()) {
-      Slot slot = new Slot(s.getKey(), s.getValue().version());
-      slots.add(slot);
-      nextSlot = Math.max(nextSlot, number(s.getKey()) + 1);
-      PageRecord page = Json.read(s.getValue().value(), PageRecord.class);
-      if (page == null || page.entries() == null) {
-        continue;
+    for (Map.Entry<String, VersionedValue> key : stored.entrySet()) {
+      Page page = allocator.addStored(key.getKey(), key.getValue().version());
+      PageRecord record = Json.read(key.getValue().value(), PageRecord.class);
+      if (record != null && record.entries() != null) {
+        record.entries().forEach((id, value) -> restoreCopy(id, value, page, newest));
       }
-      page.entries()
-          .forEach(
-              (id, value) -> {
-                Slot other = found.get(id);
-                if (other == null || other.version < slot.version) {
-                  found.put(id, slot);
-                  newest.put(id, value);
-                }
-              });
     }
     return newest;
   }
 
-  private int number(String key) {
-    try {
-      return Integer.parseInt(key.substring(prefix.length()));
-    } catch (NumberFormatException e) {
-      return -1;
+  private void restoreCopy(
+      String id, JsonNode value, Page page, SortedMap<String, JsonNode> newest) {
+    Page other = restoring.get(id);
+    if (other == null || other.version() < page.version()) {
+      restoring.put(id, page);
+      newest.put(id, value);
     }
   }
 
-  /** This entry was made from what {@link #restore} found. */
-  public void adopt(PageEntry e) {
-    Slot slot = found.remove(e.id());
-    if (slot != null) {
-      homes.put(e, slot);
-      slot.live.add(e);
+  /** The entry was made from the copy that {@link #restore} found under its id, if any. */
+  public void adopt(PageEntry entry) {
+    Page page = restoring.remove(entry.id());
+    if (page != null) {
+      allocator.place(entry, page);
     }
   }
 
-  /** The rest of what {@link #restore} found counts no more. */
+  /** Copies found by {@link #restore} and not adopted count no more. */
   public void finishRestore() {
-    found.clear();
+    restoring.clear();
   }
 
-  public void markChanged(PageEntry e) {
-    changed.add(e);
+  /** The entry has changed; it goes with the next write. */
+  public void markChanged(PageEntry entry) {
+    changed.add(entry);
   }
 
   @Override
   public boolean dirty() {
-    if (!writing.isEmpty()) {
+    if (!inFlight.isEmpty()) {
       return false;
     }
-    changed.removeIf(e -> !e.dirty());
-    return pinned != null || !changed.isEmpty();
+    changed.removeIf(entry -> !entry.dirty());
+    return retryPage != null || !changed.isEmpty();
   }
 
   @Override
   public boolean urgent(long nowMs) {
-    for (PageEntry e : changed) {
-      if (e.dirty() && e.urgent(nowMs)) {
+    for (PageEntry entry : changed) {
+      if (entry.dirty() && entry.urgent(nowMs)) {
         return true;
       }
     }
-    return pinned != null;
+    return retryPage != null;
   }
 
   @Override
@@ -135,181 +135,137 @@
   }
 
   @Override
-  public void addTo(TransactionBuilder draft) {
-    int most = Math.max(1, Math.min(MOST_PAGES, ops - draft.writeCount()));
-    List<PageEntry> order = new ArrayList<>();
-    for (PageEntry e : changed) {
-      if (e.dirty()) {
-        order.add(e);
-      }
-    }
-    Slot slot = next();
+  public void addTo(TransactionBuilder transaction) {
+    int maxPages = Math.max(1, Math.min(MAX_PAGES_PER_WRITE, maxWrites - transaction.writeCount()));
+    Page page = nextPage();
     boolean full = false;
-    for (PageEntry e : order) {
-      if (draft.conditionCount() >= 4 * ops - MOST_PAGES - 1) {
+    for (PageEntry entry : dirtyEntries()) {
+      if (transaction.conditionCount() >= maxConditions) {
         break;
       }
-      JsonNode value = Json.tree(e.snapshot());
-      int bytes = bytes(e, value);
-      if (slot.bytes + bytes > pageBytes && !slot.carried.isEmpty()) {
-        if (writing.size() >= most) {
+      JsonNode value = Json.tree(entry.snapshot());
+      int bytes = bytes(entry, value);
+      if (page.contentBytes() + bytes > pageBytes && !page.inFlight().isEmpty()) {
+        if (inFlight.size() >= maxPages) {
           full = true;
           break;
         }
-        slot = next();
+        page = nextPage();
       }
-      put(slot, e, value, bytes, draft);
+      add(page, entry, value, bytes, transaction);
     }
     if (!full) {
-      takeAlong(slot, draft);
+      compactInto(page, transaction);
     }
-    for (Slot s : writing) {
-      draft.ifVersion(s.key, s.version);
-      draft.put(s.key, new PageRecord(s.content));
+    for (Page written : inFlight) {
+      transaction.ifVersion(written.key, written.version());
+      transaction.put(written.key, written.content());
     }
   }
 
-  private void put(Slot slot, PageEntry e, JsonNode value, int bytes, TransactionBuilder draft) {
-    slot.content.put(e.id(), value);
-    slot.carried.add(e);
-    slot.bytes += bytes;
-    e.beginWrite(draft);
-    changed.remove(e);
+  /** A copy, as entries leave the changed ones while they are added to a page. */
+  private List<PageEntry> dirtyEntries() {
+    List<PageEntry> dirty = new ArrayList<>();
+    for (PageEntry entry : changed) {
+      if (entry.dirty()) {
+        dirty.add(entry);
+      }
+    }
+    return dirty;
   }
 
-  private static int bytes(PageEntry e, JsonNode value) {
-    return Json.write(value).length + e.id().length() + ENTRY_BYTES;
+  private Page nextPage() {
+    Page page = retryPage != null ? retryPage : allocator.allocate(inFlight);
+    retryPage = null;
+    inFlight.add(page);
+    return page;
   }
 
-  /** The next page to write to: one of which nothing counts, else a new one. */
-  private Slot next() {
-    Slot free = pinned;
-    pinned = null;
-    for (int i = 0; free == null && i < slots.size(); i++) {
-      Slot s = slots.get(i);
-      if (!writing.contains(s) && !counts(s)) {
-        free = s;
-      }
-    }
-    if (free == null) {
-      free = new Slot(prefix + nextSlot++, 0);
-      slots.add(free);
-    }
-    writing.add(free);
-    return free;
+  private void add(
+      Page page, PageEntry entry, JsonNode value, int bytes, TransactionBuilder transaction) {
+    page.add(entry, value, bytes);
+    entry.beginWrite(transaction);
+    changed.remove(entry);
   }
 
-  /** Something in this page is still needed. */
-  private boolean counts(Slot s) {
-    s.live.removeIf(
-        e -> {
-          if (e.obsolete()) {
-            homes.remove(e);
-          }
-          return e.obsolete();
-        });
-    return !s.live.isEmpty();
+  private static int bytes(PageEntry entry, JsonNode value) {
+    return Json.write(value).length + entry.id().length() + ENTRY_OVERHEAD_BYTES;
   }
 
-  /** Entries of the emptiest page move along, as far as there is room. */
-  private void takeAlong(Slot into, TransactionBuilder draft) {
-    Slot emptiest = null;
-    int used = 0;
-    for (Slot s : slots) {
-      if (!writing.contains(s) && counts(s)) {
-        used++;
-        if (emptiest == null || s.live.size() < emptiest.live.size()) {
-          emptiest = s;
-        }
-      }
-    }
-    if (used <= FEW_PAGES) {
+  /** Moves entries of the emptiest page along, as far as there is room. */
+  private void compactInto(Page page, TransactionBuilder transaction) {
+    Page emptiest = allocator.emptiest(inFlight, MIN_PAGES_TO_COMPACT);
+    if (emptiest == null) {
       return;
     }
-    for (PageEntry e : List.copyOf(emptiest.live)) {
-      if (into.content.containsKey(e.id()) || draft.conditionCount() >= 4 * ops - MOST_PAGES - 1) {
+    for (PageEntry entry : List.copyOf(emptiest.live)) {
+      if (page.contains(entry) || transaction.conditionCount() >= maxConditions) {
         continue;
       }
-      JsonNode value = Json.tree(e.snapshot());
-      int bytes = bytes(e, value);
-      if (into.bytes + bytes <= pageBytes) {
-        put(into, e, value, bytes, draft);
+      JsonNode value = Json.tree(entry.snapshot());
+      int bytes = bytes(entry, value);
+      if (page.contentBytes() + bytes <= pageBytes) {
+        add(page, entry, value, bytes, transaction);
       }
     }
   }
 
   @Override
   public void onApplied(long revision) {
-    for (Slot s : writing) {
-      s.version = revision;
-      for (PageEntry e : s.carried) {
-        Slot before = homes.remove(e);
-        if (before != null) {
-          before.live.remove(e);
+    for (Page page : inFlight) {
+      page.setVersion(revision);
+      for (PageEntry entry : page.inFlight()) {
+        allocator.remove(entry);
+        entry.onApplied();
+        if (!entry.obsolete()) {
+          allocator.place(entry, page);
         }
-        e.onApplied();
-        if (!e.obsolete()) {
-          homes.put(e, s);
-          s.live.add(e);
-        }
-        again(e);
+        keepIfDirty(entry);
       }
     }
-    settled();
+    endWrite();
   }
 
   @Override
   public void onNotApplied() {
-    pinned = writing.isEmpty() ? null : writing.get(0);
-    for (Slot s : writing) {
-      for (PageEntry e : s.carried) {
-        e.onNotApplied();
-        again(e);
+    retryPage = inFlight.isEmpty() ? null : inFlight.get(0);
+    for (Page page : inFlight) {
+      for (PageEntry entry : page.inFlight()) {
+        entry.onNotApplied();
+        keepIfDirty(entry);
       }
     }
-    settled();
+    endWrite();
   }
 
-  private void again(PageEntry e) {
-    if (e.dirty()) {
-      changed.add(e);
+  private void keepIfDirty(PageEntry entry) {
+    if (entry.dirty()) {
+      changed.add(entry);
     }
   }
 
-  private void settled() {
-    for (Slot s : writing) {
-      s.content.clear();
-      s.carried.clear();
-      s.bytes = 0;
-    }
-    writing.clear();
+  private void endWrite() {
+    inFlight.forEach(Page::endWrite);
+    inFlight.clear();
   }
 
   @Override
   public boolean ownsKey(String key) {
-    return key.startsWith(prefix) || changed.stream().anyMatch(e -> e.dependsOn(key));
+    return key.startsWith(prefix) || changed.stream().anyMatch(entry -> entry.dependsOn(key));
   }
 
   @Override
-  public void onConflict(String key, VersionedValue now) {
-    for (Slot s : slots) {
-      if (s.key.equals(key)) {
-        s.version = now == null ? 0 : now.version();
-      }
-    }
-    for (PageEntry e : List.copyOf(changed)) {
-      if (e.dependsOn(key)) {
-        e.onConflict(now);
+  public void onConflict(String key, VersionedValue stored) {
+    allocator.setVersion(key, VersionedValue.versionOf(stored));
+    for (PageEntry entry : List.copyOf(changed)) {
+      if (entry.dependsOn(key)) {
+        entry.onConflict(stored);
       }
     }
   }
 
-  /** How many pages hold something that counts. */
+  /** How many pages hold an entry that is still needed. */
   public int pagesInUse() {
-    int n = 0;
-    for (Slot s : slots) {
-      n += s.live.isEmpty() ? 0 : 1;
-    }
-    return n;
+    return allocator.pagesInUse();
   }
 }
