--- /dev/null
+++ b/src/test/java/dev/windbend/store/RequestPacerTest.java
@@ -0,0 +1,92 @@
+package dev.windbend.store;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import dev.windbend.runtime.ManualEventLoop;
+import dev.windbend.store.RequestPacer.Lane;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class RequestPacerTest {
+  private static final int REQUESTS_PER_SECOND = 1_000;
+  private static final int WRITES_PER_SECOND = 10;
+
+  private final ManualEventLoop loop = new ManualEventLoop(100_000);
+  private final RequestPacer pacer = new RequestPacer(loop, REQUESTS_PER_SECOND, WRITES_PER_SECOND);
+  private final List<String> sent = new ArrayList<>();
+  private int rejected;
+
+  private void submit(Lane lane, int writeCount, String name) {
+    pacer.submit(lane, writeCount, () -> sent.add(name), () -> rejected++);
+  }
+
+  private void useUpWrites() {
+    submit(Lane.LEADER_WRITES, WRITES_PER_SECOND, "burst");
+    sent.clear();
+  }
+
+  /** In a burst of submissions scale-out would come too late, were users' writes always first. */
+  @Test
+  void writesOfUsersAndOfTheLeaderTakeTurns() {
+    useUpWrites();
+    for (int i = 0; i < 3; i++) {
+      submit(Lane.USER_WRITES, 1, "user" + i);
+    }
+    for (int i = 0; i < 2; i++) {
+      submit(Lane.LEADER_WRITES, 1, "leader" + i);
+    }
+    assertThat(sent).isEmpty();
+    loop.nowMs += 1_000;
+    loop.fire();
+    assertThat(sent).containsExactly("user0", "leader0", "user1", "leader1", "user2");
+  }
+
+  @Test
+  void readsDoNotWaitBehindWrites() {
+    useUpWrites();
+    submit(Lane.USER_WRITES, 1, "user");
+    submit(Lane.LEADER_WRITES, 1, "leader");
+    submit(Lane.READS, 0, "read");
+    assertThat(sent).containsExactly("read");
+  }
+
+  @Test
+  void aFullLaneRejectsAtOnceAndTheOthersDoNot() {
+    useUpWrites();
+    for (int i = 0; i < 400; i++) {
+      submit(Lane.USER_WRITES, 1, "user" + i);
+    }
+    assertThat(rejected).isZero();
+    submit(Lane.USER_WRITES, 1, "one too many");
+    assertThat(rejected).isEqualTo(1);
+    submit(Lane.LEADER_WRITES, 1, "leader");
+    assertThat(rejected).isEqualTo(1);
+  }
+
+  /** A lease's renewal goes at once even with no token left; the calls in the lanes pay for it. */
+  @Test
+  void queuedCallsMakeUpForUnqueuedOnes() {
+    for (int i = 0; i < 2 * REQUESTS_PER_SECOND; i++) {
+      pacer.countUnqueued();
+    }
+    submit(Lane.READS, 0, "read");
+    loop.nowMs += 1_000;
+    loop.fire();
+    assertThat(sent).isEmpty();
+    loop.nowMs += 1;
+    loop.fire();
+    assertThat(sent).containsExactly("read");
+  }
+
+  @Test
+  void writesRefusedAsTooFrequentSlowDownWritesOnly() {
+    pacer.onRateLimited(true);
+    submit(Lane.READS, 0, "read");
+    submit(Lane.LEADER_WRITES, 1, "leader");
+    assertThat(sent).containsExactly("read");
+    loop.nowMs += 1_000;
+    loop.fire();
+    assertThat(sent).containsExactly("read", "leader");
+  }
+}
