--- a/src/main/java/dev/windbend/machine/CloudClient.java
+++ b/src/main/java/dev/windbend/machine/CloudClient.java
@@ -70,7 +70,8 @@
     this.loop = loop;
     this.web = web;
     this.address = address;
-    this.rate = new TokenBucket(loop, callsPerSecond * Math.min(1.0, RATE_OVERCOMMIT / controllers));
+    this.rate =
+        new TokenBucket(loop, callsPerSecond * Math.min(1.0, RATE_OVERCOMMIT / controllers));
   }
 
   /** The machine types on offer, at least one; empty: they could not be had. */
--- a/src/main/java/dev/windbend/peer/MachineTransferClient.java
+++ b/src/main/java/dev/windbend/peer/MachineTransferClient.java
@@ -19,7 +19,7 @@
   /** Where a controller takes requests of other controllers. */
   public static final String PATH = "/peer/lend";
 
-  private static final long LIMIT_MS = 400;
+  private static final long TIMEOUT_MS = 400;
 
   private final HttpClient web;
   private final int shards;
@@ -85,7 +85,7 @@
         "POST",
         PATH,
         Json.write(new Routed(from, shard, left)),
-        LIMIT_MS,
+        TIMEOUT_MS,
         response -> {
           Reply given = response.ok() ? Json.read(response.body(), Reply.class) : null;
           then.accept(given == null ? Reply.NONE : given);
