--- a/src/main/java/dev/windbend/daemon/DeploymentSpecMapper.java
+++ b/src/main/java/dev/windbend/daemon/DeploymentSpecMapper.java
@@ -52,27 +52,27 @@
   private static DeploymentSpec.ServiceObjectives serviceObjectives(
       List<Settings.Objective> objectives) {
     Map<String, double[]> deadlineFactors = new HashMap<>();
-    Map<String, double[]> finishSeconds = new HashMap<>();
-    Map<String, Double> waitSeconds = new HashMap<>();
-    double guaranteeSeconds = 0;
+    Map<String, double[]> finishWithinSeconds = new HashMap<>();
+    Map<String, Double> startWithinSeconds = new HashMap<>();
+    double guaranteedStartSeconds = 0;
     for (Settings.Objective objective : objectives) {
       String kind = objective.kind();
       String jobKind = objective.jobKind();
       boolean hasLimit = objective.withinSeconds().isPresent();
       if ("guarantee".equals(kind) && hasLimit) {
-        guaranteeSeconds = objective.withinSeconds().getAsDouble();
+        guaranteedStartSeconds = objective.withinSeconds().getAsDouble();
       } else if (jobKind != null) {
         if ("wait".equals(kind) && hasLimit) {
-          waitSeconds.merge(jobKind, objective.withinSeconds().getAsDouble(), Math::max);
+          startWithinSeconds.merge(jobKind, objective.withinSeconds().getAsDouble(), Math::max);
         } else if ("finished".equals(kind) && hasLimit) {
-          addSorted(finishSeconds, jobKind, objective.withinSeconds().getAsDouble());
+          addSorted(finishWithinSeconds, jobKind, objective.withinSeconds().getAsDouble());
         } else if ("deadline".equals(kind) && objective.deadlineFactor().isPresent()) {
           addSorted(deadlineFactors, jobKind, objective.deadlineFactor().getAsDouble());
         }
       }
     }
     return new DeploymentSpec.ServiceObjectives(
-        deadlineFactors, finishSeconds, waitSeconds, guaranteeSeconds);
+        deadlineFactors, finishWithinSeconds, startWithinSeconds, guaranteedStartSeconds);
   }
 
   private static void addSorted(Map<String, double[]> values, String jobKind, double value) {
--- a/src/test/java/dev/windbend/daemon/ControllerTest.java
+++ b/src/test/java/dev/windbend/daemon/ControllerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a node answers to single requests. */
+/** What a controller answers to single requests. */
 class ControllerTest {
   private static final String JOB =
       "{'uid':'wk-000001','fleet':'k','crew':'red','shape':'batch','urgency':'idle','drops':2,"
@@ -16,27 +16,27 @@
           + "'yard':null,'together':false,'spread':false,'standby':true,'haul_s':5.0,"
           + "'waypoint_s':0.0,'stow_s':0.0,'due_s':null}";
 
-  private final SimulatedCluster w = new SimulatedCluster(5);
+  private final SimulatedCluster cluster = new SimulatedCluster(5);
 
   ControllerTest() {
-    w.loss = 0;
-    w.late = 0;
-    w.begin(0, 1);
-    w.time.runUntil(4_000);
+    cluster.loss = 0;
+    cluster.late = 0;
+    cluster.begin(0, 1);
+    cluster.time.runUntil(4_000);
   }
 
   private ClientResponse ask(int node, String method, String path, String body) {
-    ClientResponse[] got = {ClientResponse.NO_RESPONSE};
-    w.call(
+    ClientResponse[] received = {ClientResponse.NO_RESPONSE};
+    cluster.call(
         "users",
         "n" + node + ":80",
         method,
         path,
         body.replace('\'', '"').getBytes(StandardCharsets.UTF_8),
         5_000,
-        r -> got[0] = r);
-    w.time.runUntil(w.time.nowMs() + 1_000);
-    return got[0];
+        response -> received[0] = response);
+    cluster.time.runUntil(cluster.time.nowMs() + 1_000);
+    return received[0];
   }
 
   @ParameterizedTest(name = "{0} {1}: {2}")
@@ -72,23 +72,23 @@
         "'drops':2,'drops':100000,201",
         "'drops':2,'drops':-2,400",
       })
-  void judgesSubmissions(String from, String to, int status) {
+  void admitsOrRejectsSubmissions(String from, String to, int status) {
     assertThat(JOB).contains(from);
     assertThat(ask(1, "POST", "/v1/jobs", JOB.replace(from, to)).status()).isEqualTo(status);
   }
 
   @Test
-  void knowsAJobOnEveryNodeAndForEver() {
+  void knowsAJobOnEveryControllerAndForEver() {
     assertThat(ask(0, "POST", "/v1/jobs", JOB).status()).isEqualTo(201);
     assertThat(ask(1, "POST", "/v1/jobs", JOB).status()).isEqualTo(200);
     assertThat(ask(2, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(200);
     ClientResponse cancelled = ask(2, "POST", "/v1/jobs/wk-000001/cancel", "");
-    assertThat(w.json(cancelled.body()).path("status").asText()).isEqualTo("aborted");
-    w.time.runUntil(60_000);
-    for (int n = 0; n < 3; n++) {
-      ClientResponse r = ask(n, "POST", "/v1/jobs", JOB);
-      assertThat(r.status()).isEqualTo(200);
-      assertThat(w.json(r.body()).path("status").asText()).isEqualTo("aborted");
+    assertThat(cluster.json(cancelled.body()).path("status").asText()).isEqualTo("aborted");
+    cluster.time.runUntil(60_000);
+    for (int node = 0; node < 3; node++) {
+      ClientResponse response = ask(node, "POST", "/v1/jobs", JOB);
+      assertThat(response.status()).isEqualTo(200);
+      assertThat(cluster.json(response.body()).path("status").asText()).isEqualTo("aborted");
     }
   }
 
@@ -97,59 +97,59 @@
   void keepsAJobOfAHundredThousandTasks() {
     String largest = JOB.replace("'drops':2", "'drops':100000");
     assertThat(ask(0, "POST", "/v1/jobs", largest).status()).isEqualTo(201);
-    w.time.runUntil(60_000);
-    assertThat(w.json(ask(1, "GET", "/v1/jobs/wk-000001", "").body()).path("status").asText())
+    cluster.time.runUntil(60_000);
+    assertThat(cluster.json(ask(1, "GET", "/v1/jobs/wk-000001", "").body()).path("status").asText())
         .isEqualTo("running");
-    assertThat(w.store.largestValue).as("bytes of a value").isLessThan(4096);
+    assertThat(cluster.store.largestValue).as("bytes of a value").isLessThan(4096);
     assertThat(ask(2, "POST", "/v1/jobs/wk-000001/cancel", "").status()).isEqualTo(200);
-    w.time.runUntil(120_000);
-    assertThat(w.store.liveKeys("w/j/")).isZero();
-    assertThat(w.json(ask(0, "GET", "/v1/jobs/wk-000001", "").body()).path("status").asText())
+    cluster.time.runUntil(120_000);
+    assertThat(cluster.store.liveKeys("w/j/")).isZero();
+    assertThat(cluster.json(ask(0, "GET", "/v1/jobs/wk-000001", "").body()).path("status").asText())
         .isEqualTo("aborted");
   }
 
   @Test
   void answersAtOnceThatItCanNotDecideInAnOutage() {
-    w.store.outage = true;
+    cluster.store.outage = true;
     assertThat(ask(0, "POST", "/v1/jobs", JOB).status()).isEqualTo(503);
     assertThat(ask(0, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(503);
-    w.store.recover();
+    cluster.store.recover();
     assertThat(ask(0, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(404);
   }
 
   /** Under load the record of an adoption is long in coming: the machine is dealt out once. */
   @Test
   void adoptsAMachineOnceEvenIfTheRecordComesLate() {
-    w.store.holdWrites = "w/h/";
+    cluster.store.holdWrites = "w/h/";
     for (int i = 0; i < 5; i++) {
-      w.boot("a", false);
+      cluster.boot("a", false);
     }
-    w.time.runUntil(25_000);
-    w.store.holdWrites = "";
-    w.time.runUntil(40_000);
-    assertThat(w.store.timesNamed("w/h/", "host-")).isEqualTo(5);
+    cluster.time.runUntil(25_000);
+    cluster.store.holdWrites = "";
+    cluster.time.runUntil(40_000);
+    assertThat(cluster.store.timesNamed("w/h/", "host-")).isEqualTo(5);
   }
 
   @Test
-  void namesTheOwnerToWorkersAndIgnoresStaleOnes() {
-    w.boot("a", false);
-    w.time.runUntil(30_000);
-    // Not adopted twice, and a report from before changes nothing.
-    String old =
+  void redirectsWorkersToTheLeaderAndIgnoresStaleHeartbeats() {
+    cluster.boot("a", false);
+    cluster.time.runUntil(30_000);
+    // Not adopted twice, and a heartbeat from before changes nothing.
+    String staleHeartbeat =
         "{'truck':'host-000000','addr':'x','rig':'t4','yard':'a','standby':false,'shift':1,"
             + "'tally':1,'baton':0,'recall_s':null,'drops':[{'drop':'wk-000001/0','run':1,"
             + "'status':'exited','cause':'done'}]}";
-    int ok = 0;
-    for (int n = 0; n < 3; n++) {
-      ClientResponse r = ask(n, "POST", "/hello", old);
-      if (r.status() == 200) {
-        ok++;
-        assertThat(w.json(r.body()).path("orders")).isEmpty();
+    int handled = 0;
+    for (int node = 0; node < 3; node++) {
+      ClientResponse response = ask(node, "POST", "/hello", staleHeartbeat);
+      if (response.status() == 200) {
+        handled++;
+        assertThat(cluster.json(response.body()).path("orders")).isEmpty();
       } else {
-        assertThat(r.status()).isEqualTo(421);
-        assertThat(w.json(r.body()).path("dispatcher").asText()).startsWith("n");
+        assertThat(response.status()).isEqualTo(421);
+        assertThat(cluster.json(response.body()).path("dispatcher").asText()).startsWith("n");
       }
     }
-    assertThat(ok).isEqualTo(1);
+    assertThat(handled).isEqualTo(1);
   }
 }
--- a/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
+++ b/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
@@ -13,10 +13,10 @@
 
 class ConcurrencyLimiterTest {
   private final ManualEventLoop loop = new ManualEventLoop(0);
-  private final ArrayDeque<Consumer<ServerResponse>> open = new ArrayDeque<>();
+  private final ArrayDeque<Consumer<ServerResponse>> inProgress = new ArrayDeque<>();
   private final ConcurrencyLimiter limiter =
       new ConcurrencyLimiter(
-          loop, r -> r.method().equals("POST"), (request, done) -> open.add(done));
+          loop, r -> r.method().equals("POST"), (request, done) -> inProgress.add(done));
   private final ServerRequest request = new ServerRequest("GET", "/", Map.of(), new byte[0]);
 
   @AfterEach
@@ -25,30 +25,30 @@
   }
 
   @Test
-  void answersAtOnceWhatIsOverTheLimitAndSaysWhenToComeBack() {
+  void rejectsAtOnceWhatIsOverTheLimitAndSaysWhenToRetry() {
     int limit = limiter.limit();
     int[] refused = {0};
     for (int i = 0; i < limit + 5; i++) {
       limiter.handle(
           request,
-          a -> {
-            assertThat(a.retryAfterS()).isPositive();
+          response -> {
+            assertThat(response.retryAfterS()).isPositive();
             refused[0]++;
           });
     }
     assertThat(refused[0]).isEqualTo(5);
-    assertThat(open).hasSize(limit);
+    assertThat(inProgress).hasSize(limit);
   }
 
   @Test
-  void questionsGoAheadOfNewSubmissions() {
+  void otherRequestsGoAheadOfSubmissions() {
     ServerRequest submission = new ServerRequest("POST", "/", Map.of(), new byte[0]);
     int[] refused = {0};
     for (int i = 0; i < limiter.limit(); i++) {
-      limiter.handle(submission, a -> refused[0]++);
+      limiter.handle(submission, response -> refused[0]++);
     }
     assertThat(refused[0]).isPositive();
-    limiter.handle(request, a -> refused[0] = -1);
+    limiter.handle(request, response -> refused[0] = -1);
     assertThat(refused[0]).isPositive();
   }
 
@@ -67,13 +67,13 @@
   }
 
   private void serve(long ms) {
-    int n = limiter.limit();
-    for (int i = 0; i < n; i++) {
-      limiter.handle(request, a -> {});
+    int limit = limiter.limit();
+    for (int i = 0; i < limit; i++) {
+      limiter.handle(request, response -> {});
     }
     loop.nowMs += ms;
-    while (!open.isEmpty()) {
-      open.poll().accept(ServerResponse.ofStatus(200));
+    while (!inProgress.isEmpty()) {
+      inProgress.poll().accept(ServerResponse.ofStatus(200));
     }
   }
 }
