--- a/src/main/java/dev/windbend/shard/ShardLeader.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -152,7 +152,7 @@
         fleet,
         context.machines().catalog(),
         context.machines().images(),
-        zones.gate());
+        zones.availability());
   }
 
   private SchedulingLoop newScheduling(ShardState state, StarvedJobs starvedJobs) {
--- a/src/main/java/dev/windbend/shard/ShardZones.java
+++ b/src/main/java/dev/windbend/shard/ShardZones.java
@@ -15,11 +15,11 @@
 /** A shard's monitoring of zones, which operators may switch off: then all zones are open. */
 final class ShardZones {
   private final Optional<ZoneMonitor> monitor;
-  private final ZoneGate gate;
+  private final ZoneGate availability;
 
   private ShardZones(Optional<ZoneMonitor> monitor) {
     this.monitor = monitor;
-    this.gate = monitor.<ZoneGate>map(some -> some).orElse(ZoneGate.OPEN);
+    this.availability = monitor.<ZoneGate>map(some -> some).orElse(ZoneGate.OPEN);
   }
 
   static ShardZones create(
@@ -58,8 +58,8 @@
   }
 
   /** Which zones machines may be used and created in. */
-  ZoneGate gate() {
-    return gate;
+  ZoneGate availability() {
+    return availability;
   }
 
   void takeOver(NameIndex zoneNames) {
