--- a/src/main/java/dev/windbend/machine/MachineHealth.java
+++ b/src/main/java/dev/windbend/machine/MachineHealth.java
@@ -1,171 +1,126 @@
 package dev.windbend.machine;
 
-import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
 import java.util.function.IntPredicate;
 
-/** Finds machines of a shard that are silent, deaf, never came up, or are due to leave. */
+/**
+ * Finds machines of a shard that are silent, unresponsive, never came up, or are due to leave, and
+ * returns or transfers them.
+ */
 public final class MachineHealth {
-  private static final long RECALL_SLACK_MS = 1_000;
+  /** Promised machines go together: each transfer is a change in the state service. */
+  private static final long TRANSFER_INTERVAL_MS = 2_000;
 
-  /** A living machine that hears us reports at least so often, in intervals. */
-  private static final double MISSED_REPORTS = 1.3;
+  /** Fewer machines than this may fall silent at once by chance. */
+  private static final int MIN_MACHINES_OF_OWN_LOSS = 3;
 
-  private static final double BOOT_PATIENCE = 2.5;
-  private static final long SHORTEST_CHARGE_MS = 60_000;
+  private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
-  /**
-   * A worker that has lost an answer waits 4 s for it and 1 s more, then asks a node that sends it
-   * on after up to half a second. One that is silent for longer than that and its interval is gone
-   * or hangs.
-   */
-  private static final long LOST_ANSWER_MS = 6_500;
-
-  /** Promised machines go together: each handing over is a change in the state service. */
-  private static final long LEND_GAP_MS = 2_000;
-
-  private static final int FEW = 3;
-
-  /** One lost answer alone says nothing. */
-  private static final int UNHEARD = 2;
-
-  /** How a machine stands, as its reports tell. */
+  /** How a machine stands, as its heartbeats tell. */
   public enum Condition {
-    /** It has not reported yet, and need not have. */
+    /** It has sent no heartbeat yet, and need not have. */
     BOOTING,
-    /** It reports, and shows the effect of our answers. */
-    HEARD,
-    /** A report is overdue. */
+    /** It sends heartbeats, and shows the effect of our responses. */
+    RESPONSIVE,
+    /** A heartbeat is overdue. */
     SILENT,
-    /** It reports, but shows no effect of our answers. */
-    DEAF
+    /** It sends heartbeats, but shows no effect of our responses. */
+    UNRESPONSIVE
   }
 
   private final Fleet fleet;
   private final int zones;
-  private final long reportMs;
-  private final long leaseMs;
-  private final long silentMs;
+  private final HealthThresholds thresholds;
+  private final HealthScan scan;
 
-  private long lentMs = Long.MIN_VALUE / 2;
+  private long lastTransferMs = NEVER_MS;
 
-  /** When each zone last looked cut off. */
-  private final long[] cutMs;
+  /** When each zone last looked partitioned. */
+  private final long[] partitionedMs;
 
-  public MachineHealth(Fleet fleet, int zones, double reportS, double leaseS) {
+  /**
+   * Health of this fleet's machines, in zones with indexes below {@code zones}.
+   *
+   * @param heartbeatSeconds interval of the workers' heartbeats
+   * @param leaseSeconds how long after its last renewal a worker's lease expires
+   */
+  public MachineHealth(Fleet fleet, int zones, double heartbeatSeconds, double leaseSeconds) {
     this.fleet = fleet;
     this.zones = zones;
-    this.reportMs = (long) (1000 * reportS);
-    this.leaseMs = (long) (1000 * leaseS);
-    this.cutMs = new long[zones];
-    Arrays.fill(cutMs, Long.MIN_VALUE / 2);
-    this.silentMs = (long) (1250 * reportS) + LOST_ANSWER_MS;
+    this.thresholds = HealthThresholds.of(heartbeatSeconds, leaseSeconds);
+    this.scan = new HealthScan(thresholds, zones);
+    this.partitionedMs = new long[zones];
+    Arrays.fill(partitionedMs, NEVER_MS);
   }
 
-  /** How a machine stands now. */
-  public Condition condition(Machine m, long now, long sureSinceMs) {
-    if (m.lastHeartbeatMs() < 0) {
-      // One that was taken over has had its time to find us; another may still boot.
-      boolean overdue = m.inherited() && now - Math.max(sureSinceMs, m.requestedMs()) > silentMs;
-      return overdue ? Condition.SILENT : Condition.BOOTING;
-    }
-    if (now - Math.max(m.lastHeartbeatMs(), sureSinceMs) > MISSED_REPORTS * reportMs) {
-      return Condition.SILENT;
-    }
-    return m.missedResponses() >= UNHEARD ? Condition.DEAF : Condition.HEARD;
+  /**
+   * How a machine stands now.
+   *
+   * @param sureSinceMs since when this leader has been able to hear and answer
+   */
+  public Condition condition(Machine machine, long nowMs, long sureSinceMs) {
+    return scan.condition(machine, nowMs, sureSinceMs);
   }
 
   /**
-   * Looks at all machines once, and gives back or lends those that are to go.
+   * Looks at all machines once, and returns or transfers those that are to go.
    *
-   * @param evacuated zones whose lost machines are given back in the order of their evacuation
-   * @param sureSinceMs since when this owner has been able to hear and answer; the machines'
+   * @param nowMs steady clock
+   * @param sureSinceMs since when this leader has been able to hear and answer; the machines'
    *     silence counts from then
+   * @param evacuated zones whose lost machines are returned in the order of their evacuation
    */
-  public void look(long now, long sureSinceMs, IntPredicate evacuated) {
-    List<Machine> silent = new ArrayList<>();
-    List<Machine> deaf = new ArrayList<>();
-    int[] heard = new int[zones];
-    int[] missed = new int[zones];
-    int talking = 0;
-    Map<Integer, List<Machine>> promised = new TreeMap<>();
-    for (Machine m : List.copyOf(fleet.machines())) {
-      if (m.returning()) {
-        continue;
-      }
-      boolean ownRule = !evacuated.test(m.zone());
-      if (m.lastHeartbeatMs() < 0) {
-        neverSeen(m, now, sureSinceMs, ownRule);
-        continue;
-      }
-      long quiet = now - Math.max(m.lastHeartbeatMs(), sureSinceMs);
-      if (quiet > silentMs && ownRule) {
-        silent.add(m);
-      }
-      if (quiet > MISSED_REPORTS * reportMs) {
-        missed[m.zone()]++;
-      } else {
-        heard[m.zone()]++;
-        talking++;
-      }
-      if (m.missedResponses() >= UNHEARD && ownRule) {
-        deaf.add(m);
-      }
-      boolean empty = m.cordoned() && m.tasks().isEmpty();
-      if ((m.recallMs() >= 0 && now > m.recallMs() + RECALL_SLACK_MS)
-          || (empty && m.promisedTo() < 0)) {
-        fleet.scaleIn(m, "drained");
-      } else if (empty && m.confirmedUnderToken() && m.recorded()) {
-        promised.computeIfAbsent(m.promisedTo(), k -> new ArrayList<>()).add(m);
-      }
+  public void check(long nowMs, long sureSinceMs, IntPredicate evacuated) {
+    HealthFindings findings = scan.scan(fleet.machines(), nowMs, sureSinceMs, evacuated);
+    for (HealthFindings.Departure departure : findings.departures) {
+      fleet.scaleIn(departure.machine(), departure.cause());
     }
-    if (!promised.isEmpty() && now - lentMs >= LEND_GAP_MS) {
-      lentMs = now;
-      promised.forEach((to, machines) -> fleet.transfer(machines, to));
+    transfer(findings, nowMs);
+    returnSilent(findings, nowMs, sureSinceMs);
+    if (!findings.unresponsiveByOwnFault()) {
+      findings.unresponsive.forEach(machine -> fleet.scaleIn(machine, "unresponsive"));
     }
-    for (int z = 0; z < zones; z++) {
-      // Nearly all of a zone at once is a cut; a wave of machines taken back is less.
-      if (missed[z] > 1 && missed[z] > 2 * heard[z]) {
-        cutMs[z] = now;
-      }
+  }
+
+  private void transfer(HealthFindings findings, long nowMs) {
+    if (!findings.transfers.isEmpty() && nowMs - lastTransferMs >= TRANSFER_INTERVAL_MS) {
+      lastTransferMs = nowMs;
+      findings.transfers.forEach((shard, machines) -> fleet.transfer(machines, shard));
     }
-    for (Machine m : silent) {
-      // Behind a cut the tasks go on, so they get their whole lease; after it, time to find us.
-      long quiet = now - Math.max(m.lastHeartbeatMs(), sureSinceMs);
-      boolean cut = cutMs[m.zone()] == now;
-      if (cut ? quiet > leaseMs + 2 * reportMs : now - cutMs[m.zone()] > silentMs) {
-        fleet.scaleIn(m, "silent");
+  }
+
+  private void returnSilent(HealthFindings findings, long nowMs, long sureSinceMs) {
+    for (int zone = 0; zone < zones; zone++) {
+      if (findings.partitioned(zone)) {
+        partitionedMs[zone] = nowMs;
       }
     }
-    // Many at once: the fault is ours, as when this process is slow.
-    if (deaf.size() == 1 || 3 * deaf.size() < talking) {
-      deaf.forEach(m -> fleet.scaleIn(m, "does not hear us"));
+    for (Machine machine : findings.silent) {
+      if (isLost(machine, nowMs, sureSinceMs)) {
+        fleet.scaleIn(machine, "silent");
+      }
     }
   }
 
+  /** Whether a silent machine is lost; after a partition it gets time to find us. */
+  private boolean isLost(Machine machine, long nowMs, long sureSinceMs) {
+    long sincePartitionMs = nowMs - partitionedMs[machine.zone()];
+    return sincePartitionMs == 0
+        ? thresholds.lostBehindPartition(HealthScan.silenceMs(machine, nowMs, sureSinceMs))
+        : sincePartitionMs > thresholds.silentMs();
+  }
+
   /**
-   * Machines were heard before, and for longer than a lost answer and an interval explain this node
-   * has heard none at all: what is cut off is the node. A few may go at once by chance.
+   * Machines were heard before, and for longer than a lost response and an interval explain this
+   * controller has heard none at all: what is cut off is the controller. A few may go at once by
+   * chance.
    *
-   * @param heardMs when any worker was heard last, of this shard or another
+   * @param heardMs when any worker was heard last, of this shard or another (steady clock)
    */
-  public boolean lostWorkers(long now, long heardMs) {
-    long seen = fleet.machines().stream().filter(m -> m.lastHeartbeatMs() >= 0).count();
-    return seen >= FEW && now - heardMs > Math.max(2 * reportMs, LOST_ANSWER_MS);
-  }
-
-  private void neverSeen(Machine m, long now, long sureSinceMs, boolean ownRule) {
-    // Inherited ones count from the takeover, so they get their time to find us.
-    long patience = (long) Math.max(SHORTEST_CHARGE_MS, 1000 * BOOT_PATIENCE * m.type().bootS());
-    if (now - m.requestedMs() > patience) {
-      fleet.scaleIn(m, "never came up");
-    } else if (ownRule
-        && !m.tasks().isEmpty()
-        && now - Math.max(sureSinceMs, m.requestedMs()) > 2 * silentMs) {
-      fleet.scaleIn(m, "silent since the takeover");
-    }
+  public boolean lostWorkers(long nowMs, long heardMs) {
+    long everHeard =
+        fleet.machines().stream().filter(machine -> machine.lastHeartbeatMs() >= 0).count();
+    long explainedMs = Math.max(2 * thresholds.heartbeatMs(), HealthThresholds.LOST_RESPONSE_MS);
+    return everHeard >= MIN_MACHINES_OF_OWN_LOSS && nowMs - heardMs > explainedMs;
   }
 }
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -92,6 +92,6 @@
   }
 
   private void checkMachines(long now) {
-    duties.health.look(now, leaseValidSinceMs, duties.zones.availability()::evacuates);
+    duties.health.check(now, leaseValidSinceMs, duties.zones.availability()::evacuates);
   }
 }
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -205,9 +205,9 @@
     int deaf = 0;
     for (Machine m : machines) {
       switch (health.condition(m, now, sureSinceMs)) {
-        case HEARD -> heard++;
+        case RESPONSIVE -> heard++;
         case SILENT -> silent++;
-        case DEAF -> deaf++;
+        case UNRESPONSIVE -> deaf++;
         default -> {
           // it boots, and tells nothing
         }
@@ -271,7 +271,7 @@
     List<EvacuationPlan.Lost> lost = new ArrayList<>();
     for (Machine m : machines) {
       MachineHealth.Condition condition = health.condition(m, now, sureSinceMs);
-      boolean deaf = condition == MachineHealth.Condition.DEAF;
+      boolean deaf = condition == MachineHealth.Condition.UNRESPONSIVE;
       if (deaf || condition == MachineHealth.Condition.SILENT) {
         long lastMs = deaf ? zone.tracker.sinceMs() : Math.max(m.lastHeartbeatMs(), sureSinceMs);
         byName.put(m.name(), m);
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -196,7 +196,7 @@
       }
       loop.fire();
       monitor.look(loop.nowMs, 0);
-      health.look(loop.nowMs, 0, monitor::evacuates);
+      health.check(loop.nowMs, 0, monitor::evacuates);
       fleet.pursue();
     }
   }
