--- a/src/test/java/dev/windbend/daemon/BehaviourTrace.java
+++ b/src/test/java/dev/windbend/daemon/BehaviourTrace.java
@@ -152,7 +152,8 @@
       long dayMs,
       LongFunction<SimulatedCluster> cluster) {
     for (Arguments row : rows.toList()) {
-      Consumer<SimulatedCluster> troubles = troubles(row);
+      @SuppressWarnings("unchecked")
+      Consumer<SimulatedCluster> faults = (Consumer<SimulatedCluster>) faults(row);
       all.add(
           new Day(
               name(all, table),
@@ -160,7 +161,7 @@
               cluster,
               c -> {
                 c.judge.calmFromMs = CALM_FROM_MS;
-                troubles.accept(c);
+                faults.accept(c);
                 c.begin(JOBS, JOBS_SPAN_MS);
                 c.time.runUntil(dayMs);
               }));
@@ -170,7 +171,9 @@
   /** Cancellations that meet an outage; long tasks, and an owner chosen in the middle. */
   private static void addGaps(List<Day> all) {
     for (Arguments row : ConcurrentFaultsTest.gaps().toList()) {
-      BiConsumer<SimulatedCluster, String> troubles = troubles(row);
+      @SuppressWarnings("unchecked")
+      BiConsumer<SimulatedCluster, String> faults =
+          (BiConsumer<SimulatedCluster, String>) faults(row);
       all.add(
           new Day(
               name(all, "gaps"),
@@ -182,7 +185,7 @@
                 c.capacity = 60;
                 c.begin(JOBS, 15_000);
                 c.time.runUntil(GAP_FROM_MS);
-                troubles.accept(c, c.owner(0));
+                faults.accept(c, c.owner(0));
                 c.time.runUntil(LONG_DAY_MS);
               }));
     }
@@ -192,10 +195,10 @@
     return table + "-" + (1 + all.stream().filter(d -> d.name().startsWith(table)).count());
   }
 
-  @SuppressWarnings("unchecked")
-  private static <T> T troubles(Arguments row) {
+  /** The faults of a row are in its last column. */
+  private static Object faults(Arguments row) {
     Object[] columns = row.get();
-    return (T) columns[columns.length - 1];
+    return columns[columns.length - 1];
   }
 
   // ---- visits
