--- /dev/null
+++ b/src/main/java/dev/windbend/shard/ShardServices.java
@@ -0,0 +1,263 @@
+package dev.windbend.shard;
+
+import dev.windbend.job.JobRecord;
+import dev.windbend.job.JobRegistry;
+import dev.windbend.machine.Fleet;
+import dev.windbend.machine.Machine;
+import dev.windbend.machine.MachineHealth;
+import dev.windbend.machine.OrphanedMachines;
+import dev.windbend.runtime.EventLoop;
+import dev.windbend.store.GroupCommitter;
+import dev.windbend.store.PagedStore;
+import dev.windbend.store.PendingWrite;
+import dev.windbend.worker.HeartbeatHandler;
+import dev.windbend.worker.HeartbeatTiming;
+import dev.windbend.worker.TaskReconciler;
+
+/**
+ * The services by which one shard is led, wired together. A service is made after those that it
+ * calls; what writes and the fleet report comes to later ones through callbacks of this class.
+ */
+final class ShardServices {
+  private final ShardContext context;
+  final ShardLeadership leadership;
+  final GroupCommitter committer;
+  final PagedStore pages;
+  final JobRegistry registry;
+  final Fleet fleet;
+  final OrphanedMachines orphanedMachines;
+  final MachineTransfers transfers;
+  final JobDeadlines deadlines;
+  final ShardZones zones;
+  final FailoverRampUp rampUp;
+  final SchedulingLoop scheduling;
+  final HeartbeatHandler heartbeats;
+  final ShardStatusLog statusLog;
+  final ShardJobs jobs;
+  final ShardMachines machines;
+  final ReconciliationLoop reconciliation;
+  final ShardFailover failover;
+
+  /**
+   * Wires the services of a term; nothing runs yet.
+   *
+   * @param token the fencing token that the controller was elected with
+   */
+  ShardServices(int shard, long token, ShardContext context) {
+    this.context = context;
+    ShardContext.Coordination coordination = context.coordination();
+    EventLoop loop = context.loop();
+    this.leadership =
+        new ShardLeadership(shard, token, coordination.election(), coordination.outageDetector());
+    this.committer = newCommitter();
+    this.pages = newPages();
+    this.registry =
+        new JobRegistry(name -> context.layout().teamInShard(name, shard), committer, pages);
+    this.fleet = newFleet();
+    this.orphanedMachines =
+        new OrphanedMachines(loop, coordination.store(), fleet, context.layout().shards());
+    MachineHealth health = newMachineHealth();
+    this.transfers = newTransfers();
+    this.deadlines = newDeadlines();
+    this.zones = ShardZones.create(context, shard, fleet, health, registry, deadlines, committer);
+    ShardState state = newShardState();
+    StarvedJobs starvedJobs = new StarvedJobs(state, context.deployment());
+    this.rampUp = new FailoverRampUp(loop, context.deployment().workers().heartbeatSeconds());
+    this.scheduling = newScheduling(state, starvedJobs);
+    this.heartbeats = newHeartbeatHandler();
+    this.statusLog = newStatusLog(state, starvedJobs);
+    this.jobs =
+        new ShardJobs(
+            leadership,
+            loop,
+            registry,
+            fleet,
+            coordination.cancellations(),
+            heartbeats,
+            scheduling);
+    this.machines = newMachines();
+    this.reconciliation = newReconciliation(health);
+    this.failover = newFailover();
+  }
+
+  private GroupCommitter newCommitter() {
+    return new GroupCommitter(
+        context.loop(),
+        context.coordination().store(),
+        ShardLeaderRecord.key(leadership.shard()),
+        leadership.token(),
+        context.deployment().writeIntervalMs(context.layout().shards()),
+        leadership::stepDown,
+        this::afterWrite);
+  }
+
+  private PagedStore newPages() {
+    return new PagedStore(
+        JobRecord.pages(leadership.shard()),
+        context.deployment().store().valueBytes(),
+        context.coordination().store().maxWritesPerTransaction());
+  }
+
+  private Fleet newFleet() {
+    return new Fleet(
+        context.loop(),
+        context.machines().cloud(),
+        context.machines().catalog(),
+        leadership.shard(),
+        leadership.token(),
+        new FleetListener());
+  }
+
+  private MachineHealth newMachineHealth() {
+    DeploymentSpec.WorkerTiming workers = context.deployment().workers();
+    return new MachineHealth(
+        fleet,
+        context.machines().catalog().zones().size(),
+        workers.heartbeatSeconds(),
+        workers.leaseSeconds());
+  }
+
+  private MachineTransfers newTransfers() {
+    return new MachineTransfers(
+        leadership.shard(),
+        context.loop(),
+        fleet,
+        context.deployment().guaranteedCores(context.layout(), leadership.shard()),
+        context.coordination().machineRequester());
+  }
+
+  private JobDeadlines newDeadlines() {
+    return new JobDeadlines(
+        context.loop(),
+        context.machines().catalog(),
+        context.deployment(),
+        context.policy(),
+        context.estimates());
+  }
+
+  private ShardState newShardState() {
+    return new ShardState(
+        leadership.shard(),
+        leadership.token(),
+        registry,
+        fleet,
+        context.machines().catalog(),
+        context.machines().images(),
+        zones.availability());
+  }
+
+  private SchedulingLoop newScheduling(ShardState state, StarvedJobs starvedJobs) {
+    SnapshotBuilder snapshots =
+        new SnapshotBuilder(
+            context.loop(), state, context.deployment(), context.policy(), deadlines, starvedJobs);
+    CapacityProvisioner capacity =
+        new CapacityProvisioner(context.loop(), state, starvedJobs, transfers, leadership::mayAct);
+    return new SchedulingLoop(
+        context.loop(), context.policy(), state, snapshots, capacity, rampUp, leadership::mayAct);
+  }
+
+  private HeartbeatHandler newHeartbeatHandler() {
+    TaskFailures failures =
+        new TaskFailures(
+            leadership.shard(), context.loop(), registry, fleet, scheduling::requestCycle);
+    TaskOutcomes outcomes =
+        new TaskOutcomes(
+            registry,
+            context.coordination().cancellations(),
+            context.machines().images(),
+            deadlines,
+            failures);
+    return new HeartbeatHandler(
+        context.loop(),
+        fleet,
+        new TaskReconciler(outcomes),
+        context.machines().directStops(),
+        leadership,
+        scheduling,
+        leadership.token(),
+        HeartbeatTiming.of(
+            context.deployment().workers().heartbeatSeconds(),
+            context.deployment().workers().leaseSeconds(),
+            context.policy().idleHoldFraction()));
+  }
+
+  private ShardStatusLog newStatusLog(ShardState state, StarvedJobs starvedJobs) {
+    return new ShardStatusLog(
+        context.loop(),
+        state,
+        context.deployment(),
+        starvedJobs,
+        context.policy().cyclePeriodMs(),
+        scheduling,
+        pages);
+  }
+
+  private ShardMachines newMachines() {
+    return new ShardMachines(
+        leadership,
+        context.loop(),
+        context.machines().index(),
+        fleet,
+        orphanedMachines,
+        registry,
+        zones,
+        scheduling);
+  }
+
+  private ReconciliationLoop newReconciliation(MachineHealth health) {
+    CloudListCheck cloudList =
+        new CloudListCheck(
+            leadership.shard(),
+            fleet,
+            context.machines().index(),
+            orphanedMachines,
+            context.deployment().cloud().listLagSeconds());
+    return new ReconciliationLoop(
+        leadership,
+        context.loop(),
+        context.coordination().store(),
+        statusLog,
+        new ReconciliationLoop.Duties(
+            zones, health, jobs, transfers, fleet, scheduling, committer, cloudList));
+  }
+
+  private ShardFailover newFailover() {
+    return new ShardFailover(
+        leadership,
+        context.loop(),
+        context.coordination().replica(),
+        context.machines().catalog(),
+        pages,
+        machines,
+        jobs);
+  }
+
+  private void afterWrite() {
+    jobs.forgetEnded();
+    fleet.afterWrite();
+    heartbeats.respondToHeld();
+  }
+
+  /** Takes the fleet's events to where they count. */
+  private final class FleetListener implements Fleet.Listener {
+    @Override
+    public void recordChanged(PendingWrite record) {
+      committer.enqueue(record);
+    }
+
+    @Override
+    public void machineGone(Machine machine) {
+      machines.machineGone(machine);
+    }
+
+    @Override
+    public void fleetChanged() {
+      scheduling.requestCycle();
+    }
+
+    @Override
+    public boolean mayAct() {
+      return leadership.mayAct();
+    }
+  }
+}
