--- a/src/main/java/dev/windbend/store/StoreClient.java
+++ b/src/main/java/dev/windbend/store/StoreClient.java
@@ -113,7 +113,7 @@
 
   private static ReadResult readResult(ClientResponse reply) {
     if (reply.ok()) {
-      StoreMessages.Pair pair = Json.read(reply.body(), StoreMessages.Pair.class);
+      StoreMessages.StoredKey pair = Json.read(reply.body(), StoreMessages.StoredKey.class);
       if (pair != null) {
         return ReadResult.found(new VersionedValue(pair.value(), pair.version()));
       }
@@ -141,12 +141,13 @@
   }
 
   private static ListResult listResult(ClientResponse reply) {
-    StoreMessages.Page page = reply.ok() ? Json.read(reply.body(), StoreMessages.Page.class) : null;
+    StoreMessages.KeyList page =
+        reply.ok() ? Json.read(reply.body(), StoreMessages.KeyList.class) : null;
     if (page == null || page.items() == null) {
       return ListResult.UNAVAILABLE;
     }
     List<KeyValue> items = new ArrayList<>(page.items().size());
-    for (StoreMessages.Pair pair : page.items()) {
+    for (StoreMessages.StoredKey pair : page.items()) {
       items.add(new KeyValue(pair.key(), pair.value(), pair.version()));
     }
     return new ListResult(true, items, page.more(), page.revision());
@@ -179,9 +180,9 @@
   }
 
   private static TransactionOutcome outcome(ClientResponse reply) {
-    StoreMessages.Revision result =
+    StoreMessages.TransactionResult result =
         reply.ok() || reply.status() == HttpStatus.CONFLICT
-            ? Json.read(reply.body(), StoreMessages.Revision.class)
+            ? Json.read(reply.body(), StoreMessages.TransactionResult.class)
             : null;
     if (result != null && reply.ok()) {
       return new TransactionOutcome(TransactionOutcome.Kind.APPLIED, result.revision(), List.of());
@@ -210,11 +211,11 @@
     send(
         "POST",
         "/holds",
-        Json.write(new StoreMessages.Life(termMs)),
+        Json.write(new StoreMessages.LeaseRequest(termMs)),
         TIMEOUT_MS,
         reply -> {
-          StoreMessages.Lease lease =
-              reply.ok() ? Json.read(reply.body(), StoreMessages.Lease.class) : null;
+          StoreMessages.LeaseGrant lease =
+              reply.ok() ? Json.read(reply.body(), StoreMessages.LeaseGrant.class) : null;
           done.accept(
               lease == null || lease.id() < 0 ? OptionalLong.empty() : OptionalLong.of(lease.id()));
         });
@@ -256,8 +257,8 @@
   }
 
   private static WatchResult watchResult(ClientResponse reply, long fromRevision) {
-    StoreMessages.Events events =
-        reply.ok() ? Json.read(reply.body(), StoreMessages.Events.class) : null;
+    StoreMessages.WatchEvents events =
+        reply.ok() ? Json.read(reply.body(), StoreMessages.WatchEvents.class) : null;
     if (events == null) {
       WatchResult.Status status =
           reply.status() == GONE ? WatchResult.Status.COMPACTED : WatchResult.Status.UNAVAILABLE;
@@ -267,7 +268,7 @@
       return new WatchResult(WatchResult.Status.OK, List.of(), events.revision());
     }
     List<KeyValue> changes = new ArrayList<>(events.changes().size());
-    for (StoreMessages.Change change : events.changes()) {
+    for (StoreMessages.Write change : events.changes()) {
       changes.add(
           change.put() != null
               ? new KeyValue(change.put(), change.value(), change.version())
--- a/src/main/java/dev/windbend/store/StoreMessages.java
+++ b/src/main/java/dev/windbend/store/StoreMessages.java
@@ -8,35 +8,67 @@
 final class StoreMessages {
   private StoreMessages() {}
 
-  record Pair(
+  /** A key with its value and the revision of its last change. */
+  record StoredKey(
       @JsonProperty("path") String key,
       @JsonProperty("v") JsonNode value,
       @JsonProperty("stamp") long version) {}
 
-  record Page(
-      @JsonProperty("pairs") List<Pair> items,
+  /**
+   * One page of a list.
+   *
+   * @param more whether there are keys after the last one
+   * @param revision the revision at which the page was read
+   */
+  record KeyList(
+      @JsonProperty("pairs") List<StoredKey> items,
       @JsonProperty("has_next") boolean more,
       @JsonProperty("ledger") long revision) {}
 
-  record Revision(
-      @JsonProperty("ledger") long revision, @JsonProperty("failed") List<String> failed) {}
-
+  /** The key must have the version; 0: it must not exist. */
   record Condition(@JsonProperty("path") String key, @JsonProperty("stamp") long version) {}
 
-  record Change(
+  /**
+   * A write of a transaction, or a change of a watch: {@code put} with its value, or {@code
+   * delete}.
+   *
+   * @param put the key written; null: this is a deletion
+   * @param lease the key is deleted when this lease expires; null: it stays
+   * @param delete the key deleted; null: this is a put
+   * @param version the revision of the change; null in a transaction
+   */
+  record Write(
       @JsonProperty("set") String put,
       @JsonProperty("v") JsonNode value,
       @JsonProperty("permit") Long lease,
       @JsonProperty("remove") String delete,
       @JsonProperty("stamp") Long version) {}
 
+  /** Writes all, on condition that all conditions hold. */
   record Transaction(
-      @JsonProperty("when") List<Condition> conditions,
-      @JsonProperty("then") List<Change> changes) {}
+      @JsonProperty("when") List<Condition> conditions, @JsonProperty("then") List<Write> writes) {}
+
+  /**
+   * Answers a transaction.
+   *
+   * @param revision if applied, the version of all keys written
+   * @param failed the keys whose condition did not hold; null: applied
+   */
+  record TransactionResult(
+      @JsonProperty("ledger") long revision, @JsonProperty("failed") List<String> failed) {}
 
-  record Life(@JsonProperty("life_ms") long lifeMs) {}
+  /** Asks for a lease that expires so long after its last renewal. */
+  record LeaseRequest(@JsonProperty("life_ms") long termMs) {}
 
-  record Lease(@JsonProperty("permit") long id) {}
+  /** Grants a lease. */
+  record LeaseGrant(@JsonProperty("permit") long id) {}
 
-  record Events(@JsonProperty("ledger") long revision, @JsonProperty("log") List<Change> changes) {}
+  /**
+   * Answers a watch.
+   *
+   * @param revision all changes up to it are in the answer
+   * @param changes in their order; null: none
+   */
+  record WatchEvents(
+      @JsonProperty("ledger") long revision, @JsonProperty("log") List<Write> changes) {}
 }
--- a/src/main/java/dev/windbend/store/TransactionBuilder.java
+++ b/src/main/java/dev/windbend/store/TransactionBuilder.java
@@ -10,7 +10,7 @@
  */
 public final class TransactionBuilder {
   private final List<StoreMessages.Condition> conditions = new ArrayList<>();
-  private final List<StoreMessages.Change> changes = new ArrayList<>();
+  private final List<StoreMessages.Write> writes = new ArrayList<>();
 
   /**
    * The key must have this version. Of several conditions on one key the first counts.
@@ -34,19 +34,19 @@
 
   /** Writes the key; {@code value} is turned into JSON at once, so later changes don't count. */
   public TransactionBuilder put(String key, Object value) {
-    changes.add(new StoreMessages.Change(key, Json.tree(value), null, null, null));
+    writes.add(new StoreMessages.Write(key, Json.tree(value), null, null, null));
     return this;
   }
 
   /** Writes a key that the store deletes when the lease expires. */
   public TransactionBuilder putWithLease(String key, Object value, long lease) {
-    changes.add(new StoreMessages.Change(key, Json.tree(value), lease, null, null));
+    writes.add(new StoreMessages.Write(key, Json.tree(value), lease, null, null));
     return this;
   }
 
   /** Deletes the key. */
   public TransactionBuilder delete(String key) {
-    changes.add(new StoreMessages.Change(null, null, null, key, null));
+    writes.add(new StoreMessages.Write(null, null, null, key, null));
     return this;
   }
 
@@ -57,11 +57,11 @@
 
   /** How many keys are written or deleted. */
   public int writeCount() {
-    return changes.size();
+    return writes.size();
   }
 
   /** The message as it stands; what is added later is not in it. */
   StoreMessages.Transaction build() {
-    return new StoreMessages.Transaction(List.copyOf(conditions), List.copyOf(changes));
+    return new StoreMessages.Transaction(List.copyOf(conditions), List.copyOf(writes));
   }
 }
--- a/src/test/java/dev/windbend/store/PagedStoreTest.java
+++ b/src/test/java/dev/windbend/store/PagedStoreTest.java
@@ -113,7 +113,7 @@
       }
     }
     revision++;
-    for (StoreMessages.Change c : d.build().changes()) {
+    for (StoreMessages.Write c : d.build().writes()) {
       assertThat(Json.write(c.value()).length).isLessThanOrEqualTo(BYTES);
       store.put(c.put(), new VersionedValue(c.value(), revision));
     }
--- a/src/test/java/dev/windbend/store/StoreMessagesTest.java
+++ b/src/test/java/dev/windbend/store/StoreMessagesTest.java
@@ -22,23 +22,23 @@
     return Stream.of(
         arguments(
             "key",
-            new StoreMessages.Pair("a/b", tree("{\"k\":1}"), 412),
+            new StoreMessages.StoredKey("a/b", tree("{\"k\":1}"), 412),
             """
             {"path":"a/b","v":{"k":1},"stamp":412}"""),
         arguments(
             "list of keys",
-            new StoreMessages.Page(
-                List.of(new StoreMessages.Pair("c/8", tree("true"), 430)), true, 431),
+            new StoreMessages.KeyList(
+                List.of(new StoreMessages.StoredKey("c/8", tree("true"), 430)), true, 431),
             """
             {"pairs":[{"path":"c/8","v":true,"stamp":430}],"has_next":true,"ledger":431}"""),
         arguments(
             "transaction that was applied",
-            new StoreMessages.Revision(432, null),
+            new StoreMessages.TransactionResult(432, null),
             """
             {"ledger":432}"""),
         arguments(
             "transaction that was not applied",
-            new StoreMessages.Revision(431, List.of("a/b", "c/d")),
+            new StoreMessages.TransactionResult(431, List.of("a/b", "c/d")),
             """
             {"ledger":431,"failed":["a/b","c/d"]}"""),
         arguments(
@@ -47,9 +47,9 @@
                 List.of(
                     new StoreMessages.Condition("a/b", 0), new StoreMessages.Condition("a/c", 412)),
                 List.of(
-                    new StoreMessages.Change("a/b", tree("{\"k\":1}"), 7L, null, null),
-                    new StoreMessages.Change("a/c", tree("[2]"), null, null, null),
-                    new StoreMessages.Change(null, null, null, "c/d", null))),
+                    new StoreMessages.Write("a/b", tree("{\"k\":1}"), 7L, null, null),
+                    new StoreMessages.Write("a/c", tree("[2]"), null, null, null),
+                    new StoreMessages.Write(null, null, null, "c/d", null))),
             """
             {"when":[{"path":"a/b","stamp":0},{"path":"a/c","stamp":412}],
             "then":[{"set":"a/b","v":{"k":1},"permit":7},{"set":"a/c","v":[2]},
@@ -61,21 +61,21 @@
             {"when":[],"then":[]}"""),
         arguments(
             "lease wanted",
-            new StoreMessages.Life(5_000),
+            new StoreMessages.LeaseRequest(5_000),
             """
             {"life_ms":5000}"""),
         arguments(
             "lease",
-            new StoreMessages.Lease(7),
+            new StoreMessages.LeaseGrant(7),
             """
             {"permit":7}"""),
         arguments(
             "changes",
-            new StoreMessages.Events(
+            new StoreMessages.WatchEvents(
                 433,
                 List.of(
-                    new StoreMessages.Change("c/9", tree("{\"k\":1}"), null, null, 433L),
-                    new StoreMessages.Change(null, null, null, "c/d", 432L))),
+                    new StoreMessages.Write("c/9", tree("{\"k\":1}"), null, null, 433L),
+                    new StoreMessages.Write(null, null, null, "c/d", 432L))),
             """
             {"ledger":433,
             "log":[{"set":"c/9","v":{"k":1},"stamp":433},{"remove":"c/d","stamp":432}]}"""),
@@ -104,20 +104,21 @@
 
   @Test
   void readsMessagesOfWhichFieldsAreMissing() {
-    assertRead("{}", StoreMessages.Pair.class, new StoreMessages.Pair(null, null, 0));
-    assertRead("{}", StoreMessages.Page.class, new StoreMessages.Page(null, false, 0));
-    assertRead("{}", StoreMessages.Revision.class, new StoreMessages.Revision(0, null));
-    assertRead("{}", StoreMessages.Lease.class, new StoreMessages.Lease(0));
-    assertRead("{}", StoreMessages.Events.class, new StoreMessages.Events(0, null));
+    assertRead("{}", StoreMessages.StoredKey.class, new StoreMessages.StoredKey(null, null, 0));
+    assertRead("{}", StoreMessages.KeyList.class, new StoreMessages.KeyList(null, false, 0));
+    assertRead(
+        "{}", StoreMessages.TransactionResult.class, new StoreMessages.TransactionResult(0, null));
+    assertRead("{}", StoreMessages.LeaseGrant.class, new StoreMessages.LeaseGrant(0));
+    assertRead("{}", StoreMessages.WatchEvents.class, new StoreMessages.WatchEvents(0, null));
     assertRead(
         "{\"set\":null,\"permit\":null,\"remove\":null,\"stamp\":null}",
-        StoreMessages.Change.class,
-        new StoreMessages.Change(null, null, null, null, null));
+        StoreMessages.Write.class,
+        new StoreMessages.Write(null, null, null, null, null));
     // The state service says more of a key than we ask for.
     assertRead(
         "{\"path\":\"a/b\",\"v\":{\"k\":1},\"stamp\":412,\"permit\":7}",
-        StoreMessages.Pair.class,
-        new StoreMessages.Pair("a/b", tree("{\"k\":1}"), 412));
+        StoreMessages.StoredKey.class,
+        new StoreMessages.StoredKey("a/b", tree("{\"k\":1}"), 412));
   }
 
   /** Values go in whole, and within them too what is null is left out. */
@@ -127,8 +128,8 @@
         new TransactionBuilder()
             .ifVersion("a", 3)
             .ifVersion("a", 4)
-            .putWithLease("a", new StoreMessages.Revision(1, null), 9)
-            .put("b", new StoreMessages.Lease(2))
+            .putWithLease("a", new StoreMessages.TransactionResult(1, null), 9)
+            .put("b", new StoreMessages.LeaseGrant(2))
             .delete("c");
     assertWritten(
         draft.build(),
