--- a/src/main/java/dev/windbend/machine/HealthScan.java
+++ b/src/main/java/dev/windbend/machine/HealthScan.java
@@ -53,7 +53,7 @@
   }
 
   private static boolean unresponsive(Machine machine) {
-    return machine.missedResponses() >= UNRESPONSIVE_MISSED_RESPONSES;
+    return machine.liveness().missedResponses() >= UNRESPONSIVE_MISSED_RESPONSES;
   }
 
   /** See {@link MachineHealth#check} for the parameters. */
--- a/src/main/java/dev/windbend/machine/Machine.java
+++ b/src/main/java/dev/windbend/machine/Machine.java
@@ -9,8 +9,9 @@
 import java.util.function.Predicate;
 
 /**
- * A machine of the shard, as its owner knows it. Its state is told by these, which do not exclude
- * each other:
+ * A machine of the shard, as its leader knows it. It is requested as a {@link ScaleOutRequest},
+ * which it joins once granted. Its state is told by these, which do not exclude each other, except
+ * that in service, returning and gone follow one another:
  *
  * <table>
  *   <caption>States of a machine</caption>
@@ -20,7 +21,7 @@
  *     <td>the write of its record; never, once another shard gets it</td></tr>
  *   <tr><td>unconfirmed</td><td>not {@link #confirmedUnderToken}</td>
  *     <td>a heartbeat under our token</td></tr>
- *   <tr><td>missing responses</td><td>{@link #missedResponses} above 0</td>
+ *   <tr><td>missing responses</td><td>{@link WorkerLiveness#missedResponses} above 0</td>
  *     <td>a heartbeat without a missed response</td></tr>
  *   <tr><td>refusing starts</td><td>{@link #startsRefusedUntilMs} lies ahead</td>
  *     <td>that time</td></tr>
@@ -44,25 +45,17 @@
   private final int zone;
   private final boolean spot;
   private final long requestedMs;
-  private long incarnation = -1;
-  private long heartbeatSequence = -1;
-  private long lastHeartbeatMs = -1;
-  private String address;
-  private boolean confirmedUnderToken;
+  private final WorkerLiveness liveness = new WorkerLiveness();
+  private Service service = Service.IN_SERVICE;
   private long recallMs = -1;
   private boolean cordoned;
   private boolean zoneClosed;
-  private boolean returning;
-  private boolean gone;
   private final IntOpenHashSet images = new IntOpenHashSet();
   private final Map<String, Placement> tasks = new LinkedHashMap<>();
   private final Set<String> failedJobs = new HashSet<>();
   private long idleSinceMs;
   private long startsRefusedUntilMs;
   private boolean inherited;
-  private boolean awaitingResponse;
-  private boolean answeredUnderToken;
-  private int missedResponses;
   private int promisedTo = -1;
   private long evictByMs = -1;
 
@@ -78,10 +71,14 @@
 
   private boolean used;
 
-  /** The least that was free in this window of time, and in the one before. */
-  private double leastFreeCores;
+  private final FreeCapacityWindow freeCapacity;
 
-  private double leastFreeCoresBefore;
+  /** Whether it is used, or on its way back to the cloud; only moves on. */
+  private enum Service {
+    IN_SERVICE,
+    RETURNING,
+    GONE
+  }
 
   Machine(String name, ScaleOutRequest request, long requestedMs, long nowMs) {
     this.name = name;
@@ -91,8 +88,7 @@
     this.spot = request.record.spot();
     this.requestedMs = requestedMs;
     this.idleSinceMs = nowMs;
-    this.leastFreeCores = type.cores();
-    this.leastFreeCoresBefore = type.cores();
+    this.freeCapacity = new FreeCapacityWindow(type.cores());
   }
 
   /** Name that the cloud gave it. */
@@ -120,49 +116,19 @@
     return requestedMs;
   }
 
-  /** Incarnation of its agent in the newest heartbeat; -1: none yet. */
-  public long incarnation() {
-    return incarnation;
-  }
-
-  /** Sequence number of the newest heartbeat within its incarnation; -1: none yet. */
-  public long heartbeatSequence() {
-    return heartbeatSequence;
+  /** What its worker's heartbeats tell. */
+  public WorkerLiveness liveness() {
+    return liveness;
   }
 
   /** When the newest heartbeat came (steady clock, ms); -1: none yet. */
   public long lastHeartbeatMs() {
-    return lastHeartbeatMs;
-  }
-
-  /** Where it takes direct commands, as its newest heartbeat says; null: not known. */
-  public String address() {
-    return address;
+    return liveness.lastHeartbeatMs();
   }
 
   /** Its newest heartbeat carried our token: what it lists is all there is. */
   public boolean confirmedUnderToken() {
-    return confirmedUnderToken;
-  }
-
-  /**
-   * Takes in what its newest heartbeat says of the agent.
-   *
-   * @param agentAddress where it takes direct commands; null: not known
-   * @param underOurToken whether it carried the token that this shard uses for the machine
-   * @param nowMs steady clock
-   */
-  public void recordHeartbeat(
-      long agentIncarnation,
-      long sequence,
-      String agentAddress,
-      boolean underOurToken,
-      long nowMs) {
-    incarnation = agentIncarnation;
-    heartbeatSequence = sequence;
-    lastHeartbeatMs = nowMs;
-    address = agentAddress;
-    confirmedUnderToken = underOurToken;
+    return liveness.confirmedUnderToken();
   }
 
   /** When the cloud takes it away (steady clock, ms); -1: no notice. */
@@ -198,22 +164,22 @@
 
   /** Being given back until the cloud confirms. */
   public boolean returning() {
-    return returning;
+    return service != Service.IN_SERVICE;
   }
 
   /** From now on it is being given back to the cloud. */
   void beginReturn() {
-    returning = true;
+    service = Service.RETURNING;
   }
 
   /** The cloud has confirmed that it is given back. */
   public boolean gone() {
-    return gone;
+    return service == Service.GONE;
   }
 
   /** The cloud confirms that it is given back. */
   void recordGone() {
-    gone = true;
+    service = Service.GONE;
   }
 
   /** Images seen in use on it, by dense index. A view: only {@link #recordImage} changes it. */
@@ -269,46 +235,6 @@
     startsRefusedUntilMs = untilMs;
   }
 
-  /** A heartbeat of it waits for its response, so it can be sent something at once. */
-  public boolean awaitingResponse() {
-    return awaitingResponse;
-  }
-
-  /** Its newest heartbeat has no response yet. */
-  public void beginAwaitingResponse() {
-    awaitingResponse = true;
-  }
-
-  /** Its heartbeat has its response, or has been replaced by a newer one. */
-  public void endAwaitingResponse() {
-    awaitingResponse = false;
-  }
-
-  /** We have answered it under our token. */
-  public boolean answeredUnderToken() {
-    return answeredUnderToken;
-  }
-
-  /** A heartbeat of it is answered under our token. */
-  public void recordResponseUnderToken() {
-    answeredUnderToken = true;
-  }
-
-  /** How many heartbeats one after the other show no effect of our responses. */
-  public int missedResponses() {
-    return missedResponses;
-  }
-
-  /** A heartbeat shows no effect of our responses. */
-  public void recordMissedResponse() {
-    missedResponses++;
-  }
-
-  /** A heartbeat gives no sign of a missed response. */
-  public void clearMissedResponses() {
-    missedResponses = 0;
-  }
-
   /** The shard that it goes to once it is empty; -1: it stays. */
   public int promisedTo() {
     return promisedTo;
@@ -340,6 +266,7 @@
     inherited = fromFormerOwner;
   }
 
+  /** Name of its zone. */
   public String zoneName() {
     return request.record.zone();
   }
@@ -349,6 +276,7 @@
     return request.fence > 0;
   }
 
+  /** Cores that no task on it needs. */
   public double freeCores() {
     double free = type.cores();
     for (Placement p : tasks.values()) {
@@ -371,21 +299,20 @@
 
   /** Begins a new window in which the least free room is noted. */
   public void beginWindow() {
-    leastFreeCoresBefore = leastFreeCores;
-    leastFreeCores = freeCores();
+    freeCapacity.begin(freeCores());
   }
 
   /** Cores that no task has used for a whole window at least. */
   public double steadilyFreeCores() {
-    return Math.min(leastFreeCoresBefore, leastFreeCores);
+    return freeCapacity.steadilyFreeCores();
   }
 
   /**
    * The fencing token for this machine: above the giver's, if it was given to this shard, and never
-   * below the claim's.
+   * below the leader's.
    */
-  public long token(long claim) {
-    return Math.max(claim, request.fence);
+  public long token(long leaderToken) {
+    return Math.max(leaderToken, request.fence);
   }
 
   /** A write of the record that names it is under way. */
@@ -422,17 +349,17 @@
     return recordWritten && !transferred;
   }
 
-  public boolean newer(long s, long t) {
-    return s > incarnation || (s == incarnation && t > heartbeatSequence);
-  }
-
+  /**
+   * It gets new tasks.
+   *
+   * @param nowMs steady clock
+   */
   public boolean usable(long nowMs) {
     return recorded()
-        && confirmedUnderToken
+        && confirmedUnderToken()
         && !cordoned
         && !zoneClosed
-        && !returning
-        && !gone
+        && service == Service.IN_SERVICE
         && nowMs >= startsRefusedUntilMs;
   }
 
@@ -445,13 +372,15 @@
     return used || request.fence == 0;
   }
 
+  /** A task is placed on it. */
   public void add(Placement p) {
     used = true;
     tasks.put(p.taskName(), p);
-    leastFreeCores = Math.min(leastFreeCores, freeCores());
+    freeCapacity.record(freeCores());
     idleSinceMs = -1;
   }
 
+  /** The task is proved gone from it. */
   public void remove(Placement p, long nowMs) {
     tasks.remove(p.taskName(), p);
     if (tasks.isEmpty() && idleSinceMs < 0) {
--- a/src/main/java/dev/windbend/machine/MachineIndex.java
+++ b/src/main/java/dev/windbend/machine/MachineIndex.java
@@ -7,11 +7,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which shard each machine belongs to, as the mirrored records tell. */
+/** Which shard each machine belongs to, as the replica of the records tells. */
 public final class MachineIndex {
   /**
-   * Several fleets of 4,000 machines. A late copy of a report of a machine that was forgotten even
-   * so has it taken in as a found machine, which is silent and goes back: some calls, no harm.
+   * Several fleets of 4,000 machines. A late copy of a heartbeat of a machine that was forgotten
+   * even so has it taken in as an orphaned machine, which is silent and is returned: some calls, no
+   * harm.
    */
   private static final int FORMER_KEPT = 20_000;
 
@@ -20,7 +21,7 @@
   private final Map<String, Home> homes = new HashMap<>();
   private final Map<String, List<String>> listed = new HashMap<>();
 
-  /** Machines that were on record: late copies of their reports do not bring them back. */
+  /** Machines that were on record: late copies of their heartbeats do not bring them back. */
   private final Map<String, Boolean> former =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -56,12 +57,13 @@
     }
   }
 
-  /** -1: nobody's. */
+  /** The shard that the machine belongs to; -1: none. */
   public int shardOf(String machine) {
     Home h = homes.get(machine);
     return h == null ? -1 : h.shard;
   }
 
+  /** Whether the machine belongs to some shard. */
   public boolean knows(String machine) {
     return homes.containsKey(machine);
   }
@@ -72,6 +74,7 @@
     return h != null && h.key.equals(key);
   }
 
+  /** Whether the machine belonged to some shard, and to none now. */
   public boolean knew(String machine) {
     return former.containsKey(machine);
   }
--- /dev/null
+++ b/src/main/java/dev/windbend/machine/MachineMessages.java
@@ -0,0 +1,38 @@
+package dev.windbend.machine;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import java.util.List;
+
+/** Parts of messages between controllers that say what is needed of machines. */
+public final class MachineMessages {
+  private MachineMessages() {}
+
+  /**
+   * What a task needs of a machine, by names, as controllers tell one another.
+   *
+   * @param types allowed machine types; null: any
+   * @param zones allowed zones; null: any
+   * @param spot whether spot machines are allowed
+   */
+  public record TaskRequirements(
+      @JsonProperty("cores") double cores,
+      @JsonProperty("cards") double gpus,
+      @JsonProperty("ram") double memoryGb,
+      @JsonProperty("types") List<String> types,
+      @JsonProperty("zones") List<String> zones,
+      @JsonProperty("spot") boolean spot) {
+
+    /** Whether the task may run on the machine, however full that is now. */
+    public boolean allows(Machine machine) {
+      return (types == null || types.contains(machine.type().name()))
+          && (zones == null || zones.contains(machine.zoneName()))
+          && (spot || !machine.spot())
+          && machine.type().fits(cores, gpus, memoryGb);
+    }
+
+    /** Whether the task may run on the machine beside the tasks that are there now. */
+    public boolean hasRoomOn(Machine machine) {
+      return allows(machine) && machine.hasRoomFor(cores, gpus, memoryGb);
+    }
+  }
+}
--- a/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
+++ b/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
@@ -16,6 +16,7 @@
   private final EventLoop loop;
   private final CloudClient cloud;
 
+  /** An empty catalog, in which the zones have their indexes in this order. */
   public MachineTypeCatalog(EventLoop loop, CloudClient cloud, List<String> zoneNames) {
     this.loop = loop;
     this.cloud = cloud;
@@ -27,6 +28,7 @@
     return zones;
   }
 
+  /** Reads the types from the cloud now, and from time to time. */
   public void start() {
     cloud.listTypes(
         types -> {
@@ -42,13 +44,9 @@
         new MachineType(
             i,
             t.name(),
-            t.cores(),
-            t.gpus(),
-            t.memoryGb(),
-            t.cacheGb(),
-            t.fetchGbPerS(),
-            t.price(),
-            t.spotPrice(),
+            new MachineType.Size(t.cores(), t.gpus(), t.memoryGb()),
+            new MachineType.ImageCache(t.cacheGb(), t.fetchGbPerS()),
+            new MachineType.Prices(t.price(), t.spotPrice()),
             t.bootS(),
             at);
     if (i < types.size()) {
@@ -58,14 +56,17 @@
     }
   }
 
+  /** Whether the types have been read. */
   public boolean known() {
     return !types.isEmpty();
   }
 
+  /** All types, by index. A view. */
   public List<MachineType> all() {
     return types;
   }
 
+  /** The type with this index. */
   public MachineType type(int index) {
     return types.get(index);
   }
--- a/src/main/java/dev/windbend/machine/ScaleOutRecord.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRecord.java
@@ -5,12 +5,12 @@
 
 /**
  * Machines of one kind that came to a shard together, as stored until none of them is left with it.
- * Either a rental, stored before the cloud is asked ({@code machines} null: it has not answered
- * yet), or machines that another shard gave or that were found.
+ * Either a request, stored before the cloud is asked ({@code machines} null: it has not answered
+ * yet), or machines that another shard transferred or that were orphaned.
  *
- * @param fence null: a rental; 0: given, and this record's version is the token from which on only
- *     the receiver may command the machines; else that version, kept when the record is rewritten.
- *     Of several records that name a machine the one with the highest counts.
+ * @param fence null: a request; 0: transferred, and this record's version is the token from which
+ *     on only the receiver may command the machines; else that version, kept when the record is
+ *     rewritten. Of several records that name a machine the one with the highest counts.
  */
 public record ScaleOutRecord(
     @JsonProperty("type") String type,
@@ -22,6 +22,7 @@
   /** Below it: shard, then the name. */
   public static final String KEYS = "w/h/";
 
+  /** What the keys of a shard's records begin with. */
   public static String prefix(int shard) {
     return KEYS + shard + "/";
   }
@@ -36,6 +37,7 @@
     }
   }
 
+  /** The cloud has not answered the request yet. */
   public boolean open() {
     return machines == null;
   }
--- a/src/main/java/dev/windbend/peer/MachineTransferMessages.java
+++ b/src/main/java/dev/windbend/peer/MachineTransferMessages.java
@@ -1,7 +1,7 @@
 package dev.windbend.peer;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import dev.windbend.machine.TaskRequirements;
+import dev.windbend.machine.MachineMessages.TaskRequirements;
 
 /**
  * Messages by which a shard that lacks machines asks the leaders of the other shards for some. They
--- a/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -107,7 +107,7 @@
 
   /** How long until the machine can be told to start a task. */
   private long nextResponseMs(Machine machine, long nowMs) {
-    return machine.awaitingResponse()
+    return machine.liveness().awaitingResponse()
         ? 0
         : Math.max(
             0,
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -4,7 +4,7 @@
 import dev.windbend.job.Placement;
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
-import dev.windbend.machine.TaskRequirements;
+import dev.windbend.machine.MachineMessages.TaskRequirements;
 import dev.windbend.peer.MachineRequester;
 import dev.windbend.peer.MachineTransferMessages.Overdue;
 import dev.windbend.peer.MachineTransferMessages.Reply;
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -4,7 +4,7 @@
 import dev.windbend.job.JobRegistry;
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
-import dev.windbend.machine.TaskRequirements;
+import dev.windbend.machine.MachineMessages.TaskRequirements;
 import java.util.Optional;
 
 /**
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -166,7 +166,7 @@
       if (inOpenZone(machine)
           && !machine.returning()
           && !machine.cordoned()
-          && machine.missedResponses() == 0
+          && machine.liveness().missedResponses() == 0
           && nowMs >= machine.startsRefusedUntilMs()) {
         machines.add(machine);
       }
--- a/src/main/java/dev/windbend/shard/StarvedJobs.java
+++ b/src/main/java/dev/windbend/shard/StarvedJobs.java
@@ -3,7 +3,7 @@
 import dev.windbend.job.Job;
 import dev.windbend.job.Placement;
 import dev.windbend.machine.Machine;
-import dev.windbend.machine.TaskRequirements;
+import dev.windbend.machine.MachineMessages.TaskRequirements;
 import dev.windbend.peer.MachineTransferMessages;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/dev/windbend/worker/DirectStopClient.java
+++ b/src/main/java/dev/windbend/worker/DirectStopClient.java
@@ -43,8 +43,8 @@
   }
 
   void send(Machine machine, long token, List<WorkerMessages.Order> stops) {
-    if (machine.address() != null && !stops.isEmpty()) {
-      send(machine.address(), token, machine.incarnation(), stops);
+    if (machine.liveness().address() != null && !stops.isEmpty()) {
+      send(machine.liveness().address(), token, machine.liveness().incarnation(), stops);
     }
   }
 
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -98,7 +98,7 @@
       return;
     }
     long nowMs = loop.nowMs();
-    if (!machine.newer(heartbeat.incarnation(), heartbeat.sequence())) {
+    if (!machine.liveness().isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
       // A late copy, or held back by the network: older than what we know, and nobody waits for the
       // response. It proves nothing and renews nothing.
       responseTarget.accept(respondUnsure(machine, heartbeat));
@@ -108,7 +108,7 @@
     recordLiveness(machine, heartbeat, nowMs);
     if (!machine.confirmedUnderToken() || !leadership.mayAct()) {
       if (leadership.mayAct()) {
-        machine.recordResponseUnderToken();
+        machine.liveness().recordResponseUnderToken();
       }
       responseTarget.accept(respondUnsure(machine, heartbeat));
       return;
@@ -128,18 +128,20 @@
     if (held != null) {
       held.responseTarget().accept(respondUnsure(machine, held.heartbeat()));
     }
-    machine.endAwaitingResponse();
+    machine.liveness().endAwaitingResponse();
   }
 
   private void recordLiveness(Machine machine, Heartbeat heartbeat, long nowMs) {
     long machineToken = machine.token(token);
     recordEffectOfResponses(machine, heartbeat, machineToken, nowMs);
-    machine.recordHeartbeat(
-        heartbeat.incarnation(),
-        heartbeat.sequence(),
-        heartbeat.address(),
-        heartbeat.token() == machineToken,
-        nowMs);
+    machine
+        .liveness()
+        .recordHeartbeat(
+            heartbeat.incarnation(),
+            heartbeat.sequence(),
+            heartbeat.address(),
+            heartbeat.token() == machineToken,
+            nowMs);
     if (heartbeat.recallS() != null && machine.recallMs() < 0) {
       machine.recordRecall(nowMs + (long) (heartbeat.recallS() * 1000));
       LOG.info(
@@ -157,20 +159,20 @@
    */
   private void recordEffectOfResponses(
       Machine machine, Heartbeat heartbeat, long machineToken, long nowMs) {
-    if (machine.incarnation() < 0) {
+    if (machine.liveness().incarnation() < 0) {
       return;
     }
-    boolean missed = machine.answeredUnderToken() && heartbeat.token() < machineToken;
-    if (heartbeat.incarnation() > machine.incarnation()) {
+    boolean missed = machine.liveness().answeredUnderToken() && heartbeat.token() < machineToken;
+    if (heartbeat.incarnation() > machine.liveness().incarnation()) {
       missed |=
           machine.confirmedUnderToken() && nowMs - machine.lastHeartbeatMs() < timing.leaseMs() / 2;
     } else {
       missed |= reconciler.startMissing(machine, heartbeat);
     }
     if (missed) {
-      machine.recordMissedResponse();
+      machine.liveness().recordMissedResponse();
     } else {
-      machine.clearMissedResponses();
+      machine.liveness().clearMissedResponses();
     }
   }
 
@@ -179,7 +181,7 @@
       abandonUnstarted(machine);
     }
     int tasksBefore = machine.tasks().size();
-    machine.beginAwaitingResponse();
+    machine.liveness().beginAwaitingResponse();
     reconciler.reconcile(machine, heartbeat, nowMs);
     if (machine.recallMs() >= 0) {
       stopTasksThatCheckpoint(machine, nowMs);
@@ -232,13 +234,13 @@
 
   private void respond(
       Machine machine, Heartbeat heartbeat, Consumer<ServerResponse> responseTarget) {
-    machine.endAwaitingResponse();
+    machine.liveness().endAwaitingResponse();
     boolean newest =
-        machine.incarnation() == heartbeat.incarnation()
-            && machine.heartbeatSequence() == heartbeat.sequence();
+        machine.liveness().incarnation() == heartbeat.incarnation()
+            && machine.liveness().heartbeatSequence() == heartbeat.sequence();
     boolean mayAct = leadership.mayAct();
     if (mayAct) {
-      machine.recordResponseUnderToken();
+      machine.liveness().recordResponseUnderToken();
     }
     responseTarget.accept(
         newest && mayAct
--- a/src/test/java/dev/windbend/ArchitectureTest.java
+++ b/src/test/java/dev/windbend/ArchitectureTest.java
@@ -16,7 +16,7 @@
 class ArchitectureTest {
   /** Types with wire names that are not in a message or record file yet; only gets shorter. */
   private static final Set<String> WIRE_NAMES_PENDING =
-      Set.of("Cancellations", "JobSpec", "TaskRequirements", "Urgency", "ZoneState", "ZoneStatus");
+      Set.of("Cancellations", "JobSpec", "Urgency", "ZoneState", "ZoneStatus");
 
   private static final DescribedPredicate<JavaClass> MESSAGE_OR_RECORD_FILE =
       describe(
--- a/src/test/java/dev/windbend/peer/PeerMessagesTest.java
+++ b/src/test/java/dev/windbend/peer/PeerMessagesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
 import dev.windbend.job.Cancellations.Cancelled;
-import dev.windbend.machine.TaskRequirements;
+import dev.windbend.machine.MachineMessages.TaskRequirements;
 import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dev/windbend/shard/MachineTransfersTest.java
+++ b/src/test/java/dev/windbend/shard/MachineTransfersTest.java
@@ -6,9 +6,9 @@
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineIndex;
+import dev.windbend.machine.MachineMessages.TaskRequirements;
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.machine.ScaleOutRecord;
-import dev.windbend.machine.TaskRequirements;
 import dev.windbend.peer.MachineTransferMessages;
 import dev.windbend.runtime.ClientResponse;
 import dev.windbend.runtime.HttpClient;
@@ -77,8 +77,13 @@
   }
 
   private static void confirm(Machine m) {
-    m.recordHeartbeat(
-        m.incarnation(), m.heartbeatSequence(), m.address(), true, m.lastHeartbeatMs());
+    m.liveness()
+        .recordHeartbeat(
+            m.liveness().incarnation(),
+            m.liveness().heartbeatSequence(),
+            m.liveness().address(),
+            true,
+            m.lastHeartbeatMs());
   }
 
   private int transfer(int count, double guaranteeShare) {
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -183,8 +183,13 @@
   }
 
   private void report(Machine m, boolean underOurToken) {
-    m.recordHeartbeat(
-        m.incarnation(), m.heartbeatSequence(), m.address(), underOurToken, loop.nowMs);
+    m.liveness()
+        .recordHeartbeat(
+            m.liveness().incarnation(),
+            m.liveness().heartbeatSequence(),
+            m.liveness().address(),
+            underOurToken,
+            loop.nowMs);
   }
 
   /** Time passes, in which the machines of some zones report. */
