--- /dev/null
+++ b/src/main/java/dev/windbend/plan/BinPacking.java
@@ -0,0 +1,87 @@
+package dev.windbend.plan;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Places tasks on machines that are up and paid (paper, Algorithm 1, lines 7 to 10): those with the
+ * lowest {@link PlacementScore} first.
+ */
+final class BinPacking {
+  private static final double MS_PER_SECOND = 1_000;
+
+  private final CycleState state;
+  private final PlacementScore score;
+
+  BinPacking(CycleState state) {
+    this.state = state;
+    this.score = new PlacementScore(state.machines());
+  }
+
+  /**
+   * Places a job's tasks where capacity is free now. Where an early start counts, a machine that
+   * has the image and is free before another could have fetched it is reserved instead.
+   *
+   * @param keep how many tasks are left over
+   * @param maxExtensionCost what it may cost that a task runs past a machine's paid block
+   */
+  void place(JobCursor cursor, int keep, double maxExtensionCost) {
+    List<Candidate> candidates = new ArrayList<>();
+    state.examined(state.machines().size());
+    for (MachineReservations machine : state.machines()) {
+      if (machine.up() && cursor.mayUse(machine)) {
+        addCandidate(candidates, cursor, machine, maxExtensionCost);
+      }
+    }
+    candidates.sort(Candidate.BEST_FIRST);
+    for (Candidate candidate : candidates) {
+      if (candidate.atMs() == Candidate.NOW) {
+        fill(cursor, keep, candidate.machine());
+      } else if (cursor.left() > keep && cursor.mayUse(candidate.machine())) {
+        state.reserve(cursor, candidate.machine(), candidate.atMs());
+      }
+      if (cursor.left() <= keep) {
+        return;
+      }
+    }
+  }
+
+  private void addCandidate(
+      List<Candidate> candidates,
+      JobCursor cursor,
+      MachineReservations machine,
+      double maxExtensionCost) {
+    PendingJob.Requirements task = cursor.job().requirements();
+    long fetchMs = machine.fetchMs(task);
+    boolean startByAhead = state.nowMs() < cursor.job().objectives().startByMs();
+    if (machine.freeNow().fits(task.resources())
+        && machine.fitsNow(task.estimateMs() + fetchMs, task.resources())) {
+      if (extensionCost(task, machine) <= maxExtensionCost) {
+        candidates.add(Candidate.now(machine, score.startingNow(machine, fetchMs)));
+      }
+    } else if (startByAhead && fetchMs == 0) {
+      long freeMs = machine.firstFitMs(task.estimateMs(), task.resources());
+      long waitMs = freeMs - state.nowMs();
+      if (waitMs < task.imageGb() * MS_PER_SECOND / machine.kind().fetchGbPerSecond()) {
+        candidates.add(Candidate.later(machine, score.startingIn(machine, waitMs), freeMs));
+      }
+    }
+  }
+
+  private void fill(JobCursor cursor, int keep, MachineReservations machine) {
+    PendingJob.Requirements task = cursor.job().requirements();
+    long runMs = task.estimateMs() + machine.fetchMs(task);
+    while (cursor.left() > keep
+        && cursor.mayUse(machine)
+        && machine.fitsNow(runMs, task.resources())) {
+      state.place(cursor, machine);
+    }
+  }
+
+  /** Running past the paid block extends it. That must not cost more than a new machine would. */
+  private double extensionCost(PendingJob.Requirements task, MachineReservations machine) {
+    MachineCapacity capacity = machine.capacity();
+    long pastMs = state.nowMs() + task.estimateMs() - capacity.lifetime().paidUntilMs();
+    return pastMs <= 0 ? 0 : capacity.kind().pricePerHour() * pastMs;
+  }
+}
--- /dev/null
+++ b/src/main/java/dev/windbend/plan/CycleState.java
@@ -0,0 +1,108 @@
+package dev.windbend.plan;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** What a cycle has decided so far: reservations, use of quotas, placements and preemptions. */
+final class CycleState {
+  private final Snapshot snapshot;
+  private final List<MachineReservations> machines;
+  private final double[] usedCores;
+  private final double[] usedGpus;
+  private final List<SchedulingDecision.Place> placements = new ArrayList<>();
+  private final List<SchedulingDecision.Preempt> preemptions = new ArrayList<>();
+  private final ExhaustedSizes exhausted = new ExhaustedSizes();
+  private double lackingCores;
+  private int machinesExamined;
+
+  CycleState(Snapshot snapshot) {
+    this.snapshot = snapshot;
+    this.machines = new ArrayList<>(snapshot.machines().size());
+    this.usedCores = snapshot.teams().stream().mapToDouble(Snapshot.Team::usedCores).toArray();
+    this.usedGpus = snapshot.teams().stream().mapToDouble(Snapshot.Team::usedGpus).toArray();
+    for (int i = 0; i < snapshot.machines().size(); i++) {
+      machines.add(new MachineReservations(snapshot.machines().get(i), i, snapshot.nowMs()));
+    }
+  }
+
+  Snapshot snapshot() {
+    return snapshot;
+  }
+
+  long nowMs() {
+    return snapshot.nowMs();
+  }
+
+  /** Those of the snapshot in its order, then those that the cycle requests. */
+  List<MachineReservations> machines() {
+    return machines;
+  }
+
+  ExhaustedSizes exhausted() {
+    return exhausted;
+  }
+
+  List<SchedulingDecision.Place> placements() {
+    return placements;
+  }
+
+  List<SchedulingDecision.Preempt> preemptions() {
+    return preemptions;
+  }
+
+  double lackingCores() {
+    return lackingCores;
+  }
+
+  int machinesExamined() {
+    return machinesExamined;
+  }
+
+  void examined(int count) {
+    machinesExamined += count;
+  }
+
+  /** Tasks with so many cores wait for machines that are not up. */
+  void lacks(double cores) {
+    lackingCores += cores;
+  }
+
+  /** How many more of the job's tasks its team's quota allows. */
+  int tasksWithinQuota(PendingJob job) {
+    Snapshot.Team team = snapshot.teams().get(job.team());
+    Resources need = job.requirements().resources();
+    return new Resources(
+            team.maxCores() - usedCores[job.team()], team.maxGpus() - usedGpus[job.team()], 0)
+        .timesFits(new Resources(need.cores(), need.gpus(), 0));
+  }
+
+  /** Reserves capacity for the job's next task, which counts for its team's quota at once. */
+  void reserve(JobCursor cursor, MachineReservations machine, long atMs) {
+    PendingJob job = cursor.job();
+    Resources need = cursor.resources();
+    machine.reserve(atMs, cursor.estimateMs() + machine.fetchMs(job.requirements()), need);
+    usedCores[job.team()] += need.cores();
+    usedGpus[job.team()] += need.gpus();
+    cursor.assigned(machine);
+  }
+
+  /** Starts the job's next task. */
+  void place(JobCursor cursor, MachineReservations machine) {
+    reserve(cursor, machine, nowMs());
+    placements.add(new SchedulingDecision.Place(cursor.index(), machine.index()));
+  }
+
+  /** Stops a running task, which counts for its team's quota until it is proved gone. */
+  void preempt(MachineReservations machine, int task) {
+    machine.preempt(task);
+    preemptions.add(new SchedulingDecision.Preempt(machine.index(), task));
+  }
+
+  /** Adds a machine that the cycle requests of the cloud. */
+  MachineReservations addRequested(InstanceOffer offer) {
+    MachineReservations machine = new MachineReservations(offer, nowMs());
+    machines.add(machine);
+    exhausted.clear();
+    return machine;
+  }
+}
--- a/src/main/java/dev/windbend/plan/Deadlines.java
+++ b/src/main/java/dev/windbend/plan/Deadlines.java
@@ -1,22 +1,27 @@
 package dev.windbend.plan;
 
 /**
- * When a job is due: the next of its class's time limits that it can still meet. A job that can
- * meet none is hopeless; serving it before one that still can would only make both late.
+ * When a job is due: the next of its time limits that it can still meet. A job that can meet none
+ * is hopeless; serving it before one that still can would only make both late.
+ *
+ * @param dueSeconds from submission
+ * @param hopeless whether it can't be met either
  */
-public record Deadlines(double dueS, boolean hopeless) {
+public record Deadlines(double dueSeconds, boolean hopeless) {
 
   /**
-   * The next limit that can still be met.
+   * The next limit that can still be met, else the last.
    *
-   * @param limitsS ascending, from submission
+   * @param limitsSeconds ascending, from submission
+   * @param ageSeconds time since submission
+   * @param estimateSeconds how long the job runs, as estimated
    */
-  public static Deadlines next(double[] limitsS, double ageS, double estimateS) {
-    for (double limit : limitsS) {
-      if (ageS + estimateS <= limit) {
-        return new Deadlines(limit, false);
+  public static Deadlines next(double[] limitsSeconds, double ageSeconds, double estimateSeconds) {
+    for (double limitSeconds : limitsSeconds) {
+      if (ageSeconds + estimateSeconds <= limitSeconds) {
+        return new Deadlines(limitSeconds, false);
       }
     }
-    return new Deadlines(limitsS[limitsS.length - 1], true);
+    return new Deadlines(limitsSeconds[limitsSeconds.length - 1], true);
   }
 }
--- a/src/main/java/dev/windbend/plan/Estimates.java
+++ b/src/main/java/dev/windbend/plan/Estimates.java
@@ -5,28 +5,44 @@
 
 /**
  * Recent Average (paper, section 4.1): the mean run time of the last two finished tasks of the same
- * user, else the user's own figure. Our "user" is a team's class of jobs: a team runs several.
+ * user, else the user's own figure. A "user" is a team's kind of jobs here: a team has several.
  */
 public final class Estimates {
-  private final Map<String, double[]> recent = new HashMap<>();
+  private static final double NONE = -1;
+  private static final double MIN_SECONDS = 1;
 
-  public void finished(String user, double runS) {
-    double[] r = recent.computeIfAbsent(user, k -> new double[] {-1, -1});
-    r[0] = r[1];
-    r[1] = runS;
+  private final Map<String, RunTimes> recent = new HashMap<>();
+
+  /** The last two run times of a user. */
+  private static final class RunTimes {
+    private double previousSeconds = NONE;
+    private double lastSeconds = NONE;
+  }
+
+  /** A task of the user has finished after running for so long. */
+  public void recordRunTime(String user, double runSeconds) {
+    RunTimes times = recent.computeIfAbsent(user, key -> new RunTimes());
+    times.previousSeconds = times.lastSeconds;
+    times.lastSeconds = runSeconds;
   }
 
-  public double of(String user, double ownFigureS) {
-    double[] r = recent.get(user);
-    return r == null || r[0] < 0 ? ownFigureS : (r[0] + r[1]) / 2;
+  /** How long a task runs, in seconds; the user's own figure until two tasks have finished. */
+  public double estimateSeconds(String user, double ownFigureSeconds) {
+    RunTimes times = recent.get(user);
+    return times == null || times.previousSeconds < 0
+        ? ownFigureSeconds
+        : (times.previousSeconds + times.lastSeconds) / 2;
   }
 
-  /** A task outliving its estimate gets it doubled, again and again (paper, section 4.2). */
-  public static double corrected(double estimateS, double elapsedS) {
-    double e = Math.max(1, estimateS);
-    while (e < elapsedS) {
-      e *= 2;
+  /**
+   * The estimate of a task that has run for so long: it is doubled until the task hasn't outlived
+   * it (paper, section 4.2).
+   */
+  public static double correctedSeconds(double estimateSeconds, double elapsedSeconds) {
+    double corrected = Math.max(MIN_SECONDS, estimateSeconds);
+    while (corrected < elapsedSeconds) {
+      corrected *= 2;
     }
-    return e;
+    return corrected;
   }
 }
--- a/src/main/java/dev/windbend/plan/MachineReservations.java
+++ b/src/main/java/dev/windbend/plan/MachineReservations.java
@@ -1,146 +1,197 @@
 package dev.windbend.plan;
 
-import dev.windbend.plan.Snapshot.InstanceOffer;
-import dev.windbend.plan.Snapshot.MachineCapacity;
-import dev.windbend.plan.Snapshot.Running;
-import dev.windbend.plan.Snapshot.Size;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import java.util.ArrayList;
 import java.util.List;
 
-/** A machine's free room over time, and what of it is spoken for. */
+/**
+ * What is free of a machine over time, less what the cycle has reserved. The machine is one of the
+ * snapshot, or one that the cycle requests of the cloud.
+ */
 final class MachineReservations {
+  private static final int NOT_IN_SNAPSHOT = -1;
+  private static final double MS_PER_SECOND = 1_000;
+
   /** A change of what is free. */
-  private record Step(long atMs, Size size) {}
-
-  final MachineCapacity room;
-  final int index;
-  final int type;
-  final int zone;
-  final boolean spot;
-  final double fetchGbPerS;
-  final IntOpenHashSet stopped = new IntOpenHashSet();
+  private record Change(long atMs, Resources resources) {}
+
   private final long nowMs;
+  private final int index;
+  private final InstanceKind kind;
+
+  /** Null: a machine that the cycle requests. */
+  private final MachineCapacity capacity;
 
   /** In order of time. */
-  private final List<Step> steps = new ArrayList<>();
+  private final List<Change> changes = new ArrayList<>();
 
-  /** Free at this moment. */
-  Size now;
+  /** Null: no task of the machine is preempted. */
+  private IntOpenHashSet preempted;
 
-  boolean taken;
+  private Resources freeNow;
+  private boolean reserved;
 
-  /** Something is held for later, so room that is free now may not stay so. */
-  private boolean held;
+  /** Something is reserved for later, so what is free now may not stay so. */
+  private boolean reservedLater;
 
-  MachineReservations(MachineCapacity room, int index, long nowMs) {
-    this.room = room;
+  MachineReservations(MachineCapacity capacity, int index, long nowMs) {
+    this.capacity = capacity;
     this.index = index;
-    this.type = room.type();
-    this.zone = room.zone();
-    this.spot = room.spot();
-    this.fetchGbPerS = room.fetchGbPerS();
+    this.kind = capacity.kind();
     this.nowMs = nowMs;
-    if (room.up()) {
-      this.now = room.free();
-      for (Running r : room.running()) {
-        step(endMs(r), r.size());
+    if (capacity.up()) {
+      this.freeNow = capacity.free();
+      for (RunningTask task : capacity.running()) {
+        addChange(endMs(task), task.resources());
       }
     } else {
-      this.now = Size.NONE;
-      step(Math.max(room.readyMs(), nowMs + 1), room.free());
+      this.freeNow = Resources.NONE;
+      addChange(Math.max(capacity.readyMs(), nowMs + 1), capacity.free());
     }
   }
 
-  MachineReservations(InstanceOffer o, long nowMs) {
-    this.room = null;
-    this.index = -1;
-    this.type = o.type();
-    this.zone = o.zone();
-    this.spot = o.spot();
-    this.fetchGbPerS = o.fetchGbPerS();
+  MachineReservations(InstanceOffer offer, long nowMs) {
+    this.capacity = null;
+    this.index = NOT_IN_SNAPSHOT;
+    this.kind = offer.kind();
     this.nowMs = nowMs;
-    this.now = Size.NONE;
-    step(nowMs + o.bootMs(), o.size());
+    this.freeNow = Resources.NONE;
+    addChange(nowMs + offer.bootMs(), offer.capacity());
+  }
+
+  InstanceKind kind() {
+    return kind;
+  }
+
+  /** The machine's place in the snapshot; only those of the snapshot have one. */
+  int index() {
+    return index;
+  }
+
+  boolean inSnapshot() {
+    return capacity != null;
+  }
+
+  /** Whether tasks can be placed on it now. */
+  boolean up() {
+    return capacity != null && capacity.up();
+  }
+
+  /** The machine in the snapshot; null: the cycle requests it. */
+  MachineCapacity capacity() {
+    return capacity;
+  }
+
+  /** What is free at this moment. */
+  Resources freeNow() {
+    return freeNow;
+  }
+
+  /** Whether the cycle has reserved anything, for now or later. */
+  boolean reserved() {
+    return reserved;
+  }
+
+  /** How long the machine takes to fetch a job's image; 0: it has it. */
+  long fetchMs(PendingJob.Requirements task) {
+    return (capacity != null && capacity.images().contains(task.image()))
+            || kind.fetchGbPerSecond() <= 0
+        ? 0
+        : (long) (MS_PER_SECOND * task.imageGb() / kind.fetchGbPerSecond());
   }
 
-  private long endMs(Running r) {
-    return Math.max(r.endMs(), nowMs + 1);
+  private long endMs(RunningTask task) {
+    return Math.max(task.endMs(), nowMs + 1);
   }
 
-  private void step(long atMs, Size size) {
-    int i = steps.size();
-    while (i > 0 && steps.get(i - 1).atMs() > atMs) {
-      i--;
+  private void addChange(long atMs, Resources resources) {
+    int position = changes.size();
+    while (position > 0 && changes.get(position - 1).atMs() > atMs) {
+      position--;
     }
-    steps.add(i, new Step(atMs, size));
+    changes.add(position, new Change(atMs, resources));
   }
 
-  boolean fitsNow(long runMs, Size need) {
-    return now.holds(need) && (!held || staysFree(0, now, nowMs + runMs, need));
+  /** Whether so much is free from now on for the given time. */
+  boolean fitsNow(long runMs, Resources need) {
+    return freeNow.fits(need) && (!reservedLater || staysFree(0, freeNow, nowMs + runMs, need));
   }
 
-  private boolean staysFree(int from, Size at, long untilMs, Size need) {
-    Size free = at;
-    for (int i = from; i < steps.size() && steps.get(i).atMs() < untilMs; i++) {
-      free = free.plus(steps.get(i).size());
-      boolean last = i + 1 == steps.size() || steps.get(i + 1).atMs() > steps.get(i).atMs();
-      if (last && !free.holds(need)) {
+  private boolean staysFree(int from, Resources freeAtFrom, long untilMs, Resources need) {
+    Resources free = freeAtFrom;
+    for (int i = from; i < changes.size() && changes.get(i).atMs() < untilMs; i++) {
+      free = free.plus(changes.get(i).resources());
+      if (lastOfItsTime(i) && !free.fits(need)) {
         return false;
       }
     }
     return true;
   }
 
+  private boolean lastOfItsTime(int change) {
+    return change + 1 == changes.size()
+        || changes.get(change + 1).atMs() > changes.get(change).atMs();
+  }
+
   /** What is free all through the given time from now on. */
-  Size least(long runMs) {
-    Size free = now;
-    Size least = now;
-    for (int i = 0; held && i < steps.size() && steps.get(i).atMs() < nowMs + runMs; i++) {
-      free = free.plus(steps.get(i).size());
-      if (i + 1 == steps.size() || steps.get(i + 1).atMs() > steps.get(i).atMs()) {
-        least = least.least(free);
+  Resources leastFree(long runMs) {
+    Resources free = freeNow;
+    Resources least = freeNow;
+    for (int i = 0;
+        reservedLater && i < changes.size() && changes.get(i).atMs() < nowMs + runMs;
+        i++) {
+      free = free.plus(changes.get(i).resources());
+      if (lastOfItsTime(i)) {
+        least = least.min(free);
       }
     }
     return least;
   }
 
-  /** When so much gets free and stays so for the given time. */
-  long firstFit(long runMs, Size need) {
-    Size free = now;
+  /** When so much gets free and stays so for the given time; {@code Long.MAX_VALUE}: never. */
+  long firstFitMs(long runMs, Resources need) {
+    Resources free = freeNow;
     int i = 0;
-    while (i < steps.size()) {
-      long at = steps.get(i).atMs();
-      boolean more = false;
-      while (i < steps.size() && steps.get(i).atMs() == at) {
-        Size s = steps.get(i).size();
-        more |= s.cores() > 0;
-        free = free.plus(s);
+    while (i < changes.size()) {
+      long atMs = changes.get(i).atMs();
+      boolean freed = false;
+      while (i < changes.size() && changes.get(i).atMs() == atMs) {
+        Resources change = changes.get(i).resources();
+        freed |= change.cores() > 0;
+        free = free.plus(change);
         i++;
       }
-      if (more && free.holds(need) && (!held || staysFree(i, free, at + runMs, need))) {
-        return at;
+      if (freed && free.fits(need) && (!reservedLater || staysFree(i, free, atMs + runMs, need))) {
+        return atMs;
       }
     }
     return Long.MAX_VALUE;
   }
 
-  void take(long atMs, long runMs, Size need) {
-    taken = true;
+  /** From that time on so much is spoken for, for the given time. */
+  void reserve(long atMs, long runMs, Resources need) {
+    reserved = true;
     if (atMs <= nowMs) {
-      now = now.minus(need);
+      freeNow = freeNow.minus(need);
     } else {
-      held = true;
-      step(atMs, Size.NONE.minus(need));
+      reservedLater = true;
+      addChange(atMs, Resources.NONE.minus(need));
     }
-    step(atMs + Math.max(1, runMs), need);
+    addChange(atMs + Math.max(1, runMs), need);
   }
 
-  /** The task goes now instead of later. */
-  void stop(int i) {
-    Running r = room.running().get(i);
-    stopped.add(i);
-    steps.remove(new Step(endMs(r), r.size()));
-    now = now.plus(r.size());
+  boolean preempted(int task) {
+    return preempted != null && preempted.contains(task);
+  }
+
+  /** The task makes way now, instead of at its end. */
+  void preempt(int task) {
+    RunningTask running = capacity.running().get(task);
+    if (preempted == null) {
+      preempted = new IntOpenHashSet();
+    }
+    preempted.add(task);
+    changes.remove(new Change(endMs(running), running.resources()));
+    freeNow = freeNow.plus(running.resources());
   }
 }
--- /dev/null
+++ b/src/main/java/dev/windbend/plan/Preemption.java
@@ -0,0 +1,110 @@
+package dev.windbend.plan;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.PriorityQueue;
+
+/**
+ * Stops tasks of lower priority for a job, where that loses least, and not if more work would be
+ * lost than gained.
+ */
+final class Preemption {
+  private static final int NO_RANK = -1;
+
+  private final CycleState state;
+  private final int lowestPreemptibleRank;
+
+  Preemption(CycleState state) {
+    this.state = state;
+    this.lowestPreemptibleRank = lowestPreemptibleRank(state.machines());
+  }
+
+  private static int lowestPreemptibleRank(List<MachineReservations> machines) {
+    int lowest = NO_RANK;
+    for (MachineReservations machine : machines) {
+      if (machine.up()) {
+        for (RunningTask task : machine.capacity().running()) {
+          lowest = Math.max(lowest, task.preemptible() ? task.rank() : NO_RANK);
+        }
+      }
+    }
+    return lowest;
+  }
+
+  /** Whether any task has a lower priority than the job; a higher rank is a lower priority. */
+  boolean possibleFor(PendingJob job) {
+    return job.rank() < lowestPreemptibleRank;
+  }
+
+  /**
+   * Places a job's tasks where others make way.
+   *
+   * @param keep how many tasks are left over
+   */
+  void place(JobCursor cursor, int keep) {
+    PriorityQueue<Candidate> candidates = new PriorityQueue<>(Candidate.BEST_FIRST);
+    for (MachineReservations machine : state.machines()) {
+      if (cursor.left() > keep && machine.up() && cursor.mayUse(machine)) {
+        addCandidate(candidates, cursor.job(), machine);
+      }
+    }
+    while (cursor.left() > keep && !candidates.isEmpty()) {
+      Candidate candidate = candidates.poll();
+      MachineReservations machine = candidate.machine();
+      if (cursor.mayUse(machine)) {
+        for (int victim : candidate.victims()) {
+          state.preempt(machine, victim);
+        }
+        state.exhausted().clear();
+        state.place(cursor, machine);
+        addCandidate(candidates, cursor.job(), machine);
+      }
+    }
+  }
+
+  /** Chooses the tasks of which the least work is lost, as few as make enough capacity. */
+  private void addCandidate(
+      PriorityQueue<Candidate> candidates, PendingJob job, MachineReservations machine) {
+    state.examined(1);
+    List<RunningTask> running = machine.capacity().running();
+    List<Integer> preemptible = preemptible(job, machine);
+    if (preemptible.isEmpty()) {
+      return;
+    }
+    preemptible.sort(Comparator.comparingDouble(i -> running.get(i).lostWork()));
+    Resources need = job.requirements().resources();
+    Resources free = machine.leastFree(job.requirements().estimateMs());
+    double lostWork = startDelayMs(job, machine) * need.cores();
+    List<Integer> victims = new ArrayList<>();
+    for (int task : preemptible) {
+      if (free.fits(need)) {
+        break;
+      }
+      free = free.plus(running.get(task).resources());
+      lostWork += running.get(task).lostWork();
+      victims.add(task);
+    }
+    double gainedWork = need.cores() * job.requirements().estimateMs();
+    if (free.fits(need) && lostWork < gainedWork) {
+      candidates.add(Candidate.preempting(machine, lostWork, victims));
+    }
+  }
+
+  private static List<Integer> preemptible(PendingJob job, MachineReservations machine) {
+    List<RunningTask> running = machine.capacity().running();
+    List<Integer> preemptible = new ArrayList<>();
+    for (int i = 0; i < running.size(); i++) {
+      RunningTask task = running.get(i);
+      if (task.preemptible() && task.rank() > job.rank() && !machine.preempted(i)) {
+        preemptible.add(i);
+      }
+    }
+    return preemptible;
+  }
+
+  /** Stops and starts travel in answers to heartbeats, so a machine that reports soon is best. */
+  private static long startDelayMs(PendingJob job, MachineReservations machine) {
+    return machine.fetchMs(job.requirements()) + machine.capacity().nextResponseMs();
+  }
+}
--- a/src/main/java/dev/windbend/plan/SchedulingDecision.java
+++ b/src/main/java/dev/windbend/plan/SchedulingDecision.java
@@ -3,23 +3,47 @@
 import java.util.List;
 
 /**
- * What a round wants; all numbers are indices into its snapshot. {@code shortCores}: what waits for
- * machines that are not up yet, or that nobody rents out. {@code spare}: idle and not spoken for.
- * {@code looks}: how often a machine was looked at, which is what a round costs.
+ * What a scheduling cycle wants done; all numbers are indices into its snapshot.
+ *
+ * @param preemptions tasks to stop for more urgent ones, before any placement
+ * @param placements tasks to start
+ * @param scaleOuts machines to request of the cloud
+ * @param idle machines that are idle and not reserved
+ * @param scaleIns those of them to give back to the cloud
+ * @param lackingCores cores of tasks that wait for machines that are not up yet, or that the cloud
+ *     doesn't offer
+ * @param machinesExamined how often a machine was examined for a job, which is what a cycle costs
  */
 public record SchedulingDecision(
-    List<Stop> stops,
-    List<Place> places,
-    List<Rental> rentals,
-    List<Integer> spare,
-    List<Integer> giveBack,
-    double shortCores,
-    int looks) {
-  /** One task of this work goes to this room now. */
-  public record Place(int work, int room) {}
+    List<Preempt> preemptions,
+    List<Place> placements,
+    List<ScaleOut> scaleOuts,
+    List<Integer> idle,
+    List<Integer> scaleIns,
+    double lackingCores,
+    int machinesExamined) {
 
-  /** The running task with this place in the room's list makes room. */
-  public record Stop(int room, int running) {}
+  /**
+   * One of a job's waiting tasks starts on a machine.
+   *
+   * @param job the job's index
+   * @param machine the machine's index
+   */
+  public record Place(int job, int machine) {}
 
-  public record Rental(int offer, int count) {}
+  /**
+   * A running task makes way.
+   *
+   * @param machine the machine's index
+   * @param task the task's index on its machine
+   */
+  public record Preempt(int machine, int task) {}
+
+  /**
+   * Machines to request of the cloud.
+   *
+   * @param offer the offer's index
+   * @param count how many
+   */
+  public record ScaleOut(int offer, int count) {}
 }
--- a/src/main/java/dev/windbend/shard/CapacityProvisioner.java
+++ b/src/main/java/dev/windbend/shard/CapacityProvisioner.java
@@ -4,8 +4,10 @@
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineType;
 import dev.windbend.peer.MachineTransferMessages;
+import dev.windbend.plan.InstanceKind;
+import dev.windbend.plan.InstanceOffer;
+import dev.windbend.plan.Resources;
 import dev.windbend.plan.SchedulingDecision;
-import dev.windbend.plan.Snapshot;
 import dev.windbend.runtime.EventLoop;
 import java.util.ArrayList;
 import java.util.List;
@@ -42,36 +44,26 @@
   }
 
   /** The machine types that the cloud may be asked for now, by zone, spot instances first. */
-  List<Snapshot.InstanceOffer> offers() {
-    List<Snapshot.InstanceOffer> offers = new ArrayList<>();
+  List<InstanceOffer> offers() {
+    List<InstanceOffer> offers = new ArrayList<>();
     for (MachineType type : state.catalog().all()) {
-      Snapshot.Size size = new Snapshot.Size(type.cores(), type.gpus(), type.memoryGb());
+      Resources capacity = new Resources(type.cores(), type.gpus(), type.memoryGb());
       for (int zone : type.zones()) {
-        addOffer(offers, type, size, zone, true);
-        addOffer(offers, type, size, zone, false);
+        addOffer(offers, type, capacity, zone, true);
+        addOffer(offers, type, capacity, zone, false);
       }
     }
     return offers;
   }
 
   private void addOffer(
-      List<Snapshot.InstanceOffer> offers,
-      MachineType type,
-      Snapshot.Size size,
-      int zone,
-      boolean spot) {
+      List<InstanceOffer> offers, MachineType type, Resources capacity, int zone, boolean spot) {
     if (state.fleet().isRefused(type.index(), zone, spot) || state.zones().rentable(zone) <= 0) {
       return;
     }
-    offers.add(
-        new Snapshot.InstanceOffer(
-            type.index(),
-            zone,
-            spot,
-            size,
-            spot ? type.spotPrice() : type.price(),
-            Units.toMs(type.bootS()),
-            type.fetchGbPerS()));
+    double price = spot ? type.spotPrice() : type.price();
+    InstanceKind kind = new InstanceKind(type.index(), zone, spot, price, type.fetchGbPerS());
+    offers.add(new InstanceOffer(kind, capacity, Units.toMs(type.bootS())));
   }
 
   /** Other shards may get the machines with these indices, which are idle and not reserved. */
@@ -84,26 +76,26 @@
   }
 
   /** Requests the lacking machines of the other shards, and of the cloud what they don't give. */
-  void acquire(SchedulingDecision decision, List<Snapshot.InstanceOffer> offers, long nowMs) {
+  void acquire(SchedulingDecision decision, List<InstanceOffer> offers, long nowMs) {
     // The search for starved jobs goes over all jobs and machines: only when others may be asked.
     boolean mayRequest = transfers.mayRequest();
     MachineTransferMessages.Overdue starved =
         mayRequest && transfers.mayRequestForOverdue()
             ? starvedJobs.tasksWithoutCapacity(nowMs).orElse(null)
             : null;
-    if (mayRequest && (decision.shortCores() > 0 || starved != null)) {
+    if (mayRequest && (decision.lackingCores() > 0 || starved != null)) {
       transfers.request(
-          decision.shortCores(),
+          decision.lackingCores(),
           state.catalog().largestCores(),
           !state.fleet().anyRefused(),
           starved,
           coming -> {
             if (mayAct.getAsBoolean()) {
-              scaleOut(decision.rentals(), offers, coming);
+              scaleOut(decision.scaleOuts(), offers, coming);
             }
           });
     } else if (!transfers.requestPending()) {
-      scaleOut(decision.rentals(), offers, 0);
+      scaleOut(decision.scaleOuts(), offers, 0);
     }
   }
 
@@ -111,7 +103,7 @@
    * @param coming machines that other shards transfer: so many fewer are requested of the cloud
    */
   private void scaleOut(
-      List<SchedulingDecision.Rental> requests, List<Snapshot.InstanceOffer> offers, int coming) {
+      List<SchedulingDecision.ScaleOut> requests, List<InstanceOffer> offers, int coming) {
     long nowMs = loop.nowMs();
     if (requests.isEmpty()
         || state.fleet().pendingScaleOuts().size() > MAX_PENDING_SCALE_OUTS
@@ -120,16 +112,16 @@
     }
     lastScaleOutMs = nowMs;
     int covered = coming;
-    for (SchedulingDecision.Rental request : requests) {
-      Snapshot.InstanceOffer offer = offers.get(request.offer());
+    for (SchedulingDecision.ScaleOut request : requests) {
+      InstanceKind kind = offers.get(request.offer()).kind();
       int machines =
-          Math.min(state.zones().rentable(offer.zone()), Math.max(0, request.count() - covered));
+          Math.min(state.zones().rentable(kind.zone()), Math.max(0, request.count() - covered));
       covered = Math.max(0, covered - request.count());
       if (machines > 0) {
         state
             .fleet()
-            .scaleOut(state.catalog().type(offer.type()), offer.zone(), offer.spot(), machines);
-        state.zones().rented(offer.zone(), machines);
+            .scaleOut(state.catalog().type(kind.type()), kind.zone(), kind.spot(), machines);
+        state.zones().rented(kind.zone(), machines);
       }
     }
   }
@@ -137,7 +129,7 @@
   /** Gives machines back to the cloud that the planner has no more use for. */
   void scaleIn(SchedulingDecision decision, List<Machine> machines) {
     Fleet fleet = state.fleet();
-    for (int index : decision.giveBack()) {
+    for (int index : decision.scaleIns()) {
       fleet.scaleIn(machines.get(index), "idle at the end of its block");
     }
   }
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -38,12 +38,13 @@
 
   /** A task of the job has completed after running for so long. */
   void taskCompleted(Job job, double ranSeconds) {
-    estimates.finished(estimateKey(job), ranSeconds);
+    estimates.recordRunTime(estimateKey(job), ranSeconds);
   }
 
   /** How long a task of the job runs, as estimated. */
   double estimateSeconds(Job job) {
-    return Math.max(MIN_ESTIMATE_SECONDS, estimates.of(estimateKey(job), job.spec().estimateS()));
+    return Math.max(
+        MIN_ESTIMATE_SECONDS, estimates.estimateSeconds(estimateKey(job), job.spec().estimateS()));
   }
 
   @Override
@@ -72,7 +73,7 @@
   @Override
   public long dueMs(Job job, long nowMs) {
     long ageMs = ageMs(job);
-    return nowMs - ageMs + Units.toMs(next(job, ageMs).dueS());
+    return nowMs - ageMs + Units.toMs(next(job, ageMs).dueSeconds());
   }
 
   /** How long the slowest type of machine takes to boot; 0: no type is known. */
--- a/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -6,7 +6,10 @@
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineType;
 import dev.windbend.plan.Estimates;
-import dev.windbend.plan.Snapshot;
+import dev.windbend.plan.InstanceKind;
+import dev.windbend.plan.MachineCapacity;
+import dev.windbend.plan.Resources;
+import dev.windbend.plan.RunningTask;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import java.util.ArrayList;
 import java.util.List;
@@ -42,67 +45,63 @@
   /**
    * @param tasks those that still take capacity of the machine
    */
-  Snapshot.MachineCapacity ofMachine(Machine machine, List<Placement> tasks, long nowMs) {
+  MachineCapacity ofMachine(Machine machine, List<Placement> tasks, long nowMs) {
     MachineType type = machine.type();
-    Snapshot.Size free = size(type);
-    List<Snapshot.Running> running = new ArrayList<>();
+    Resources free = resources(type);
+    List<RunningTask> running = new ArrayList<>();
     for (Placement task : tasks) {
-      Snapshot.Size size = size(task.job());
-      free = free.minus(size);
+      Resources used = resources(task.job());
+      free = free.minus(used);
       running.add(
-          new Snapshot.Running(
+          new RunningTask(
               expectedEndMs(task, type, nowMs),
-              size,
+              used,
               task.job().spec().urgency().rank(),
               lostMs(task, nowMs)));
     }
-    boolean idle = machine.idleSinceMs() >= 0;
-    long idleSinceMs = idle ? machine.idleSinceMs() : nowMs;
-    long blockMs = policy.billingBlockMs();
-    return new Snapshot.MachineCapacity(
-        type.index(),
-        machine.zone(),
-        machine.spot(),
+    long idleSinceMs = machine.idleSinceMs() >= 0 ? machine.idleSinceMs() : nowMs;
+    MachineCapacity.Lifetime lifetime =
+        new MachineCapacity.Lifetime(
+            machine.tasks().isEmpty(),
+            paidUntilMs(machine, idleSinceMs),
+            Math.max(machine.requestedMs() + policy.billingBlockMs(), idleSinceMs + MIN_IDLE_MS));
+    return new MachineCapacity(
+        kind(type, machine.zone(), machine.spot()),
         machine.usable(nowMs),
         nextResponseMs(machine, nowMs),
-        free,
         readyMs(machine, nowMs),
-        machine.tasks().isEmpty(),
-        paidUntilMs(machine, idleSinceMs),
-        Math.max(machine.requestedMs() + blockMs, idleSinceMs + MIN_IDLE_MS),
-        machine.spot() ? type.spotPrice() : type.price(),
-        type.fetchGbPerS(),
+        free,
+        lifetime,
         machine.images(),
         running);
   }
 
   /** A machine that the cloud was asked for and has not named yet. */
-  Snapshot.MachineCapacity ofRequested(Fleet.PendingScaleOut request, long nowMs) {
+  MachineCapacity ofRequested(Fleet.PendingScaleOut request, long nowMs) {
     MachineType type = request.type();
     long readyMs = bootedMs(request.sinceMs(), type, nowMs);
-    return new Snapshot.MachineCapacity(
-        type.index(),
-        request.zone(),
-        request.spot(),
+    return new MachineCapacity(
+        kind(type, request.zone(), request.spot()),
         false,
         0,
-        size(type),
-        readyMs,
-        false,
-        readyMs,
         readyMs,
-        request.spot() ? type.spotPrice() : type.price(),
-        type.fetchGbPerS(),
+        resources(type),
+        new MachineCapacity.Lifetime(false, readyMs, readyMs),
         new IntOpenHashSet(),
         List.of());
   }
 
-  static Snapshot.Size size(Job job) {
-    return new Snapshot.Size(job.spec().cores(), job.spec().gpus(), job.spec().memoryGb());
+  private static InstanceKind kind(MachineType type, int zone, boolean spot) {
+    double price = spot ? type.spotPrice() : type.price();
+    return new InstanceKind(type.index(), zone, spot, price, type.fetchGbPerS());
+  }
+
+  static Resources resources(Job job) {
+    return new Resources(job.spec().cores(), job.spec().gpus(), job.spec().memoryGb());
   }
 
-  private static Snapshot.Size size(MachineType type) {
-    return new Snapshot.Size(type.cores(), type.gpus(), type.memoryGb());
+  private static Resources resources(MachineType type) {
+    return new Resources(type.cores(), type.gpus(), type.memoryGb());
   }
 
   /** How long until the machine can be told to start a task. */
@@ -162,6 +161,6 @@
       return task.placedMs() + Units.toMs(estimateSeconds + fetchSeconds);
     }
     double ranSeconds = Units.toSeconds(nowMs - task.runningMs());
-    return task.runningMs() + Units.toMs(Estimates.corrected(estimateSeconds, ranSeconds));
+    return task.runningMs() + Units.toMs(Estimates.correctedSeconds(estimateSeconds, ranSeconds));
   }
 }
--- a/src/main/java/dev/windbend/shard/PendingJobBuilder.java
+++ b/src/main/java/dev/windbend/shard/PendingJobBuilder.java
@@ -3,7 +3,7 @@
 import dev.windbend.job.Job;
 import dev.windbend.machine.MachineType;
 import dev.windbend.plan.Deadlines;
-import dev.windbend.plan.Snapshot;
+import dev.windbend.plan.PendingJob;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.List;
@@ -32,35 +32,57 @@
    * @param indexOfMachine the place of each machine in the snapshot, by name
    * @param guaranteed the job is within its team's guarantee
    */
-  Snapshot.PendingJob of(
+  PendingJob of(
       Job job, long nowMs, Object2IntOpenHashMap<String> indexOfMachine, boolean guaranteed) {
-    long submittedMs = nowMs - deadlines.ageMs(job);
-    Deadlines due = deadlines.next(job, nowMs - submittedMs);
-    return new Snapshot.PendingJob(
+    long ageMs = deadlines.ageMs(job);
+    return new PendingJob(
         job.team(),
         job.spec().urgency().rank(),
-        MachineCapacityBuilder.size(job),
+        requirements(job),
+        constraints(job, indexOfMachine),
+        progress(job, nowMs, ageMs),
+        objectives(job, guaranteed, nowMs, ageMs));
+  }
+
+  private PendingJob.Requirements requirements(Job job) {
+    return new PendingJob.Requirements(
+        MachineCapacityBuilder.resources(job),
+        state.images().index(job.spec().image()),
+        job.spec().imageGb(),
+        deadlines.estimateMs(job));
+  }
+
+  private PendingJob.Constraints constraints(
+      Job job, Object2IntOpenHashMap<String> indexOfMachine) {
+    return new PendingJob.Constraints(
         allowedTypes(job),
         job.spec().zone() == null ? ANY_ZONE : state.catalog().zones().index(job.spec().zone()),
         job.spec().together(),
         job.spec().spread(),
         job.spec().spot(),
-        state.images().index(job.spec().image()),
-        job.spec().imageGb(),
+        job.notBeforeMs(),
+        avoidedMachines(job, indexOfMachine));
+  }
+
+  private PendingJob.Progress progress(Job job, long nowMs, long ageMs) {
+    return new PendingJob.Progress(
         job.spec().tasks(),
         job.waitingCount(),
         starvedJobs.placedPerZone(job),
-        Units.toMs(deadlines.estimateSeconds(job)),
-        submittedMs + Units.toMs(due.dueS()),
-        due.hopeless(),
-        guaranteed,
-        submittedMs + Units.toMs(startWithinSeconds(job, guaranteed)),
-        nowMs - submittedMs,
+        ageMs,
         job.begun(),
         StarvedJobs.starved(job, nowMs),
-        state.zones().displaced(job),
-        job.notBeforeMs(),
-        avoidedMachines(job, indexOfMachine));
+        state.zones().displaced(job));
+  }
+
+  private PendingJob.Objectives objectives(Job job, boolean guaranteed, long nowMs, long ageMs) {
+    long submittedMs = nowMs - ageMs;
+    Deadlines due = deadlines.next(job, ageMs);
+    return new PendingJob.Objectives(
+        submittedMs + Units.toMs(due.dueSeconds()),
+        due.hopeless(),
+        guaranteed,
+        submittedMs + Units.toMs(startWithinSeconds(job, guaranteed)));
   }
 
   /** By the index of the machine type; null: any. */
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -3,9 +3,9 @@
 import dev.windbend.job.Job;
 import dev.windbend.job.Placement;
 import dev.windbend.machine.Machine;
+import dev.windbend.plan.InstanceOffer;
 import dev.windbend.plan.Planner;
 import dev.windbend.plan.SchedulingDecision;
-import dev.windbend.plan.Snapshot;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.worker.HeartbeatHandler;
 import java.util.ArrayList;
@@ -131,7 +131,7 @@
     List<Job> jobs = rampUp.nextCycleJobs(waiting);
     partial = jobs.size() < waiting.size();
     List<Machine> machines = schedulableMachines(nowMs);
-    List<Snapshot.InstanceOffer> offers = capacity.offers();
+    List<InstanceOffer> offers = capacity.offers();
     List<List<Placement>> running = new ArrayList<>();
     boolean oldestFirst = cycles % OLDEST_FIRST_EVERY == 0;
     SchedulingDecision decision =
@@ -139,7 +139,7 @@
     preempt(decision, running);
     place(decision, nowMs, jobs, machines);
     // Machines that look idle may be needed by jobs that this cycle left out.
-    capacity.offerForTransfer(partial ? List.of() : decision.spare(), machines);
+    capacity.offerForTransfer(partial ? List.of() : decision.idle(), machines);
     capacity.acquire(decision, offers, nowMs);
     if (!partial) {
       capacity.scaleIn(decision, machines);
@@ -190,8 +190,8 @@
   }
 
   private void preempt(SchedulingDecision decision, List<List<Placement>> running) {
-    for (SchedulingDecision.Stop stop : decision.stops()) {
-      Placement placement = running.get(stop.room()).get(stop.running());
+    for (SchedulingDecision.Preempt preempted : decision.preemptions()) {
+      Placement placement = running.get(preempted.machine()).get(preempted.task());
       LOG.info(
           "task preempted: shard={} machine={} task={} token={} cause=\"more urgent job\"",
           state.shard(),
@@ -205,9 +205,9 @@
   private void place(
       SchedulingDecision decision, long nowMs, List<Job> jobs, List<Machine> machines) {
     Set<Job> changed = new LinkedHashSet<>();
-    for (SchedulingDecision.Place place : decision.places()) {
-      Job job = jobs.get(place.work());
-      Machine machine = machines.get(place.room());
+    for (SchedulingDecision.Place place : decision.placements()) {
+      Job job = jobs.get(place.job());
+      Machine machine = machines.get(place.machine());
       machine.add(job.place(job.nextWaiting(), machine.name(), nowMs, state.token(), cycles));
       changed.add(job);
     }
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -4,6 +4,9 @@
 import dev.windbend.job.Placement;
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
+import dev.windbend.plan.InstanceOffer;
+import dev.windbend.plan.MachineCapacity;
+import dev.windbend.plan.PendingJob;
 import dev.windbend.plan.Snapshot;
 import dev.windbend.runtime.EventLoop;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
@@ -60,11 +63,11 @@
       boolean oldestFirst,
       List<Job> jobs,
       List<Machine> machines,
-      List<Snapshot.InstanceOffer> offers,
+      List<InstanceOffer> offers,
       List<List<Placement>> running) {
     List<Snapshot.Team> teams = teams();
     Object2IntOpenHashMap<String> indexOfMachine = new Object2IntOpenHashMap<>();
-    List<Snapshot.MachineCapacity> capacities = new ArrayList<>();
+    List<MachineCapacity> capacities = new ArrayList<>();
     for (Machine machine : machines) {
       indexOfMachine.put(machine.name(), capacities.size());
       List<Placement> tasks = remainingTasks(machine);
@@ -72,23 +75,20 @@
       capacities.add(machineCapacities.ofMachine(machine, tasks, nowMs));
     }
     addRequestedMachines(capacities, nowMs);
-    List<Snapshot.PendingJob> pending = new ArrayList<>();
+    List<PendingJob> pending = new ArrayList<>();
     Set<Job> guaranteed =
         deployment.objectives().guaranteedStartSeconds() > 0 ? guaranteedJobs() : Set.of();
     for (Job job : jobs) {
       pending.add(pendingJobs.of(job, nowMs, indexOfMachine, guaranteed.contains(job)));
     }
     return new Snapshot(
-        nowMs,
-        policy.cyclePeriodMs(),
-        (long) (PATIENCE_INTERVALS * Units.MS_PER_SECOND * deployment.workers().heartbeatSeconds()),
-        maxScaleOutMachines(),
-        oldestFirst,
-        recentlySubmittedCores(),
-        teams,
-        pending,
-        capacities,
-        offers);
+        nowMs, limits(), oldestFirst, recentlySubmittedCores(), teams, pending, capacities, offers);
+  }
+
+  private Snapshot.Limits limits() {
+    double patienceMs =
+        PATIENCE_INTERVALS * Units.MS_PER_SECOND * deployment.workers().heartbeatSeconds();
+    return new Snapshot.Limits(policy.cyclePeriodMs(), (long) patienceMs, maxScaleOutMachines());
   }
 
   private List<Snapshot.Team> teams() {
@@ -109,7 +109,7 @@
     return tasks;
   }
 
-  private void addRequestedMachines(List<Snapshot.MachineCapacity> capacities, long nowMs) {
+  private void addRequestedMachines(List<MachineCapacity> capacities, long nowMs) {
     for (Fleet.PendingScaleOut request : state.fleet().pendingScaleOuts()) {
       // A machine in a zone under evacuation can't be counted on.
       if (!state.zones().evacuates(request.zone())) {
--- a/src/test/java/dev/windbend/plan/PlannerTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerTest.java
@@ -2,11 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.plan.Snapshot.InstanceOffer;
-import dev.windbend.plan.Snapshot.MachineCapacity;
-import dev.windbend.plan.Snapshot.PendingJob;
-import dev.windbend.plan.Snapshot.Running;
-import dev.windbend.plan.Snapshot.Size;
 import dev.windbend.plan.Snapshot.Team;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import java.util.ArrayList;
@@ -20,15 +15,12 @@
 /** The design's loop, step by step. One type of 8 cores, two zones, boots in 30 s. */
 class PlannerTest {
   private static final long NOW = 1_000_000;
-  private static final Size WHOLE = new Size(8, 0, 32);
+  private static final Resources WHOLE = new Resources(8, 0, 32);
 
-  private final List<PendingJob> works = new ArrayList<>();
-  private final List<MachineCapacity> rooms = new ArrayList<>();
+  private final List<PendingJob> jobs = new ArrayList<>();
+  private final List<MachineCapacity> machines = new ArrayList<>();
   private final List<InstanceOffer> offers =
-      new ArrayList<>(
-          List.of(
-              new InstanceOffer(0, 0, true, WHOLE, 1, 30_000, 1),
-              new InstanceOffer(0, 0, false, WHOLE, 2, 30_000, 1)));
+      new ArrayList<>(List.of(offer(0, true), offer(0, false)));
   private double limit = 100;
   private double used = 0;
   private boolean oldestFirst;
@@ -39,24 +31,22 @@
     return Planner.plan(
         new Snapshot(
             NOW,
-            10_000,
-            3_000,
-            20,
+            new Snapshot.Limits(10_000, 3_000, 20),
             oldestFirst,
             reserve,
             List.of(new Team(limit, 0, used, 0)),
-            works,
-            rooms,
+            jobs,
+            machines,
             offers));
   }
 
   /** A job with what most cases leave alone. */
   private static final class Draft {
     int rank = 2;
-    Size size = new Size(1, 0, 1);
+    Resources resources = new Resources(1, 0, 1);
     boolean[] types;
     int zone = -1;
-    boolean together;
+    boolean colocated;
     boolean spread;
     boolean spot = true;
     double imageGb = 1;
@@ -70,49 +60,39 @@
     long startByMs;
     long ageMs;
     boolean begun;
-    boolean overdue;
+    boolean starved;
     boolean displaced;
 
-    PendingJob work() {
+    PendingJob job() {
       return new PendingJob(
           0,
           rank,
-          size,
-          types,
-          zone,
-          together,
-          spread,
-          spot,
-          7,
-          imageGb,
-          tasks,
-          waiting,
-          placed,
-          estimateMs,
-          dueMs,
-          hopeless,
-          guaranteed,
-          startByMs,
-          ageMs,
-          begun,
-          overdue,
-          displaced,
-          0,
-          new IntOpenHashSet());
+          new PendingJob.Requirements(resources, 7, imageGb, estimateMs),
+          new PendingJob.Constraints(types, zone, colocated, spread, spot, 0, new IntOpenHashSet()),
+          new PendingJob.Progress(tasks, waiting, placed, ageMs, begun, starved, displaced),
+          new PendingJob.Objectives(dueMs, hopeless, guaranteed, startByMs));
     }
   }
 
-  private void work(Consumer<Draft> what) {
+  private static InstanceKind kind(int zone, boolean spot) {
+    return new InstanceKind(0, zone, spot, spot ? 1 : 2, 1);
+  }
+
+  private static InstanceOffer offer(int zone, boolean spot) {
+    return new InstanceOffer(kind(zone, spot), WHOLE, 30_000);
+  }
+
+  private void job(Consumer<Draft> what) {
     Draft d = new Draft();
     what.accept(d);
-    works.add(d.work());
+    jobs.add(d.job());
   }
 
-  private void work(int rank, double cores, int waiting, long estimateS, long dueInS) {
-    work(
+  private void job(int rank, double cores, int waiting, long estimateS, long dueInS) {
+    job(
         d -> {
           d.rank = rank;
-          d.size = new Size(cores, 0, 1);
+          d.resources = new Resources(cores, 0, 1);
           d.tasks = waiting;
           d.waiting = waiting;
           d.estimateMs = estimateS * 1000;
@@ -120,47 +100,41 @@
         });
   }
 
-  private void room(int zone, boolean spot, double free, Running... running) {
-    rooms.add(
+  private void machine(int zone, boolean spot, double free, RunningTask... running) {
+    machines.add(
         new MachineCapacity(
-            0,
-            zone,
-            spot,
+            kind(zone, spot),
             true,
             hearsMs,
-            new Size(free, 0, 32),
             0,
-            running.length == 0 && free == 8,
-            NOW + 600_000,
-            NOW,
-            spot ? 1 : 2,
-            1,
+            new Resources(free, 0, 32),
+            new MachineCapacity.Lifetime(running.length == 0 && free == 8, NOW + 600_000, NOW),
             new IntOpenHashSet(new int[] {7}),
             List.of(running)));
   }
 
-  private static Running running(double cores, long endInS, int rank, long lostS) {
-    return new Running(NOW + endInS * 1000, new Size(cores, 0, 1), rank, lostS * 1000);
+  private static RunningTask running(double cores, long endInS, int rank, long lostS) {
+    return new RunningTask(NOW + endInS * 1000, new Resources(cores, 0, 1), rank, lostS * 1000);
   }
 
   @Test
-  void takesIdleRoomFirstAndRentsNothing() {
-    work(2, 4, 2, 30, 40);
-    room(0, true, 8);
+  void takesIdleCapacityFirstAndScalesOutByNothing() {
+    job(2, 4, 2, 30, 40);
+    machine(0, true, 8);
     SchedulingDecision w = plan();
-    assertThat(w.places()).hasSize(2);
-    assertThat(w.rentals()).isEmpty();
+    assertThat(w.placements()).hasSize(2);
+    assertThat(w.scaleOuts()).isEmpty();
   }
 
   @Test
   void prefersTheTighterFit() {
-    work(2, 2, 1, 30, 40);
-    room(0, true, 8);
-    room(0, true, 2, running(6, 10, 2, 5));
-    assertThat(plan().places()).containsExactly(new SchedulingDecision.Place(0, 1));
+    job(2, 2, 1, 30, 40);
+    machine(0, true, 8);
+    machine(0, true, 2, running(6, 10, 2, 5));
+    assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(0, 1));
   }
 
-  @ParameterizedTest(name = "estimate {0} s, due in {1} s: {2} rented")
+  @ParameterizedTest(name = "estimate {0} s, due in {1} s: {2} requested")
   @CsvSource({
     // slack = due - estimate - boot of 30 s; waits while that exceeds estimate + period of 10 s
     "20,81,0",
@@ -169,108 +143,108 @@
     "100,240,1",
     "100,241,0"
   })
-  void waitsWhileTheSlackAllows(long estimate, long due, int rented) {
-    work(2, 4, 1, estimate, due);
-    assertThat(plan().rentals().stream().mapToInt(SchedulingDecision.Rental::count).sum())
-        .isEqualTo(rented);
+  void waitsWhileTheSlackAllows(long estimate, long due, int requested) {
+    job(2, 4, 1, estimate, due);
+    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
+        .isEqualTo(requested);
   }
 
-  @ParameterizedTest(name = "free in {0} s, due in {1} s: {2} rented")
+  @ParameterizedTest(name = "free in {0} s, due in {1} s: {2} requested")
   @CsvSource({"20,30,0", "29,30,0", "40,59,1", "40,60,0"})
-  void queuesBehindAMachineFreeSoonElseRents(long freeIn, long due, int rented) {
-    work(2, 8, 1, 20, due);
-    room(0, true, 0, running(8, freeIn, 2, 5));
-    assertThat(plan().rentals().stream().mapToInt(SchedulingDecision.Rental::count).sum())
-        .isEqualTo(rented);
+  void queuesBehindAMachineFreeSoonElseScalesOut(long freeIn, long due, int requested) {
+    job(2, 8, 1, 20, due);
+    machine(0, true, 0, running(8, freeIn, 2, 5));
+    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
+        .isEqualTo(requested);
   }
 
   @Test
-  void holdsASoonFreeMachineForOneTaskOnly() {
-    work(2, 8, 2, 20, 30);
-    room(0, true, 0, running(8, 20, 2, 5));
-    assertThat(plan().rentals()).containsExactly(new SchedulingDecision.Rental(0, 1));
+  void reservesASoonFreeMachineForOneTaskOnly() {
+    job(2, 8, 2, 20, 30);
+    machine(0, true, 0, running(8, 20, 2, 5));
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 1));
   }
 
   @Test
-  void packsRentedMachinesAndTakesTheCheapest() {
-    work(2, 4, 5, 20, 30);
-    assertThat(plan().rentals()).containsExactly(new SchedulingDecision.Rental(0, 3));
+  void packsNewMachinesAndTakesTheCheapest() {
+    job(2, 4, 5, 20, 30);
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 3));
   }
 
   @Test
-  void rentsOrdinaryMachinesWhereCheapOnesAreRefused() {
+  void scalesOutByOnDemandMachinesWhereSpotInstancesAreRefused() {
     offers.remove(0);
-    work(2, 4, 1, 20, 30);
-    assertThat(plan().rentals()).containsExactly(new SchedulingDecision.Rental(0, 1));
+    job(2, 4, 1, 20, 30);
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 1));
   }
 
   @Test
-  void keepsTheTeamsLimitWithWhatIsNotProvedGone() {
+  void keepsTheTeamsQuotaWithWhatIsNotProvedGone() {
     limit = 10;
     used = 4;
-    work(2, 4, 3, 20, 30);
-    room(0, true, 8);
-    assertThat(plan().places()).hasSize(1);
+    job(2, 4, 3, 20, 30);
+    machine(0, true, 8);
+    assertThat(plan().placements()).hasSize(1);
   }
 
   @Test
-  void stopsLowerWorkOnlyIfItLosesLessThanItGains() {
-    work(1, 4, 1, 20, 60);
-    room(0, true, 0, running(4, 90, 2, 30), running(4, 90, 2, 5));
+  void preemptsLowerWorkOnlyIfItLosesLessThanItGains() {
+    job(1, 4, 1, 20, 60);
+    machine(0, true, 0, running(4, 90, 2, 30), running(4, 90, 2, 5));
     SchedulingDecision w = plan();
-    assertThat(w.stops()).containsExactly(new SchedulingDecision.Stop(0, 1));
-    assertThat(w.places()).containsExactly(new SchedulingDecision.Place(0, 0));
+    assertThat(w.preemptions()).containsExactly(new SchedulingDecision.Preempt(0, 1));
+    assertThat(w.placements()).containsExactly(new SchedulingDecision.Place(0, 0));
   }
 
   @ParameterizedTest(name = "rank {0}, loses {1} s, free in {2} s")
   @CsvSource({"2,5,90", "1,30,90", "1,5,2"})
-  void stopsNothingOtherwise(int rank, long lost, long freeIn) {
-    work(rank, 8, 1, 20, 60);
-    room(0, true, 0, running(8, freeIn, 2, lost));
-    assertThat(plan().stops()).isEmpty();
+  void preemptsNothingOtherwise(int rank, long lost, long freeIn) {
+    job(rank, 8, 1, 20, 60);
+    machine(0, true, 0, running(8, freeIn, 2, lost));
+    assertThat(plan().preemptions()).isEmpty();
   }
 
   /** What it would lose there is the same; only one reports at once. */
   @Test
-  void stopsLowerWorkWhereItIsHeardSoonest() {
-    work(1, 8, 1, 20, 60);
+  void preemptsLowerWorkWhereItIsHeardSoonest() {
+    job(1, 8, 1, 20, 60);
     hearsMs = 4_000;
-    room(0, true, 0, running(8, 90, 2, 5));
+    machine(0, true, 0, running(8, 90, 2, 5));
     hearsMs = 100;
-    room(0, true, 0, running(8, 90, 2, 5));
-    assertThat(plan().stops()).containsExactly(new SchedulingDecision.Stop(1, 0));
+    machine(0, true, 0, running(8, 90, 2, 5));
+    assertThat(plan().preemptions()).containsExactly(new SchedulingDecision.Preempt(1, 0));
   }
 
-  @ParameterizedTest(name = "free in {0} s, to start within {1} s: {2} stopped")
+  @ParameterizedTest(name = "free in {0} s, to start within {1} s: {2} preempted")
   @CsvSource({"2,3,0", "2,1,1", "2,-5,0", "5,-5,1"})
-  void waitsForRoomOnlyWhileTheTimeToStartByIsKept(long freeInS, long startInS, int stopped) {
-    work(
+  void waitsForCapacityOnlyWhileTheTimeToStartByIsKept(long freeInS, long startInS, int preempted) {
+    job(
         d -> {
           d.rank = 1;
-          d.size = WHOLE;
+          d.resources = WHOLE;
           d.estimateMs = 20_000;
           d.dueMs = NOW + 60_000;
           d.startByMs = NOW + 1_000 * startInS;
         });
-    room(0, true, 0, running(8, freeInS, 2, 5));
-    assertThat(plan().stops()).hasSize(stopped);
+    machine(0, true, 0, running(8, freeInS, 2, 5));
+    assertThat(plan().preemptions()).hasSize(preempted);
   }
 
   @Test
   void placesOnlyWhereTheJobAllows() {
-    work(d -> d.zone = 1);
-    work(d -> d.spot = false);
-    work(d -> d.types = new boolean[] {false});
-    work(
+    job(d -> d.zone = 1);
+    job(d -> d.spot = false);
+    job(d -> d.types = new boolean[] {false});
+    job(
         d -> {
-          d.together = true;
+          d.colocated = true;
           d.tasks = 2;
           d.placed = new int[] {0, 1};
         });
-    room(0, true, 8);
-    room(1, true, 8);
-    room(0, false, 8);
-    assertThat(plan().places())
+    machine(0, true, 8);
+    machine(1, true, 8);
+    machine(0, false, 8);
+    assertThat(plan().placements())
         .containsExactlyInAnyOrder(
             new SchedulingDecision.Place(0, 1),
             new SchedulingDecision.Place(1, 2),
@@ -279,22 +253,22 @@
 
   @Test
   void spreadsAtMostHalfRoundedUpOverOneZone() {
-    work(
+    job(
         d -> {
           d.spread = true;
           d.tasks = 5;
           d.waiting = 5;
         });
-    room(0, true, 8);
+    machine(0, true, 8);
     offers.clear();
-    assertThat(plan().places()).hasSize(3);
+    assertThat(plan().placements()).hasSize(3);
   }
 
   private void jobOfAge(int rank, long ageS, boolean begun, int tasks) {
-    work(
+    job(
         d -> {
           d.rank = rank;
-          d.size = new Size(8, 0, 1);
+          d.resources = new Resources(8, 0, 1);
           d.tasks = tasks;
           d.waiting = tasks;
           d.estimateMs = 60_000;
@@ -320,8 +294,8 @@
     jobOfAge(1, 5, false, 1);
     offers.clear();
     oldestFirst = first;
-    room(0, true, 8);
-    assertThat(plan().places()).containsExactly(new SchedulingDecision.Place(served, 0));
+    machine(0, true, 8);
+    assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(served, 0));
   }
 
   @Test
@@ -330,146 +304,135 @@
     jobOfAge(1, 5, false, 1);
     offers.clear();
     for (int i = 0; i < 4; i++) {
-      room(0, true, 8);
+      machine(0, true, 8);
     }
-    assertThat(plan().places().stream().map(SchedulingDecision.Place::work))
+    assertThat(plan().placements().stream().map(SchedulingDecision.Place::job))
         .containsExactly(0, 0, 1, 0);
   }
 
   @Test
   void aJobThatHasToBeginDoesNotWaitForSlack() {
-    work(
+    job(
         d -> {
-          d.size = new Size(8, 0, 1);
+          d.resources = new Resources(8, 0, 1);
           d.dueMs = NOW + 900_000;
           d.ageMs = 120_000;
         });
-    assertThat(plan().rentals()).hasSize(1);
+    assertThat(plan().scaleOuts()).hasSize(1);
   }
 
-  @ParameterizedTest(name = "guaranteed {0}, due in {1} s: {2} rented")
+  @ParameterizedTest(name = "guaranteed {0}, due in {1} s: {2} requested")
   @CsvSource({"false,900,0", "true,900,1", "false,70,0", "true,70,1"})
-  void whatIsGuaranteedNeitherWaitsNorQueuesForLong(boolean is, long due, int rented) {
-    work(
+  void whatIsGuaranteedNeitherWaitsNorQueuesForLong(boolean is, long due, int requested) {
+    job(
         d -> {
-          d.size = new Size(8, 0, 1);
+          d.resources = new Resources(8, 0, 1);
           d.estimateMs = 10_000;
           d.dueMs = NOW + due * 1000;
           d.guaranteed = is;
         });
-    room(0, true, 0, running(8, 40, 2, 5));
-    assertThat(plan().rentals().stream().mapToInt(SchedulingDecision.Rental::count).sum())
-        .isEqualTo(rented);
+    machine(0, true, 0, running(8, 40, 2, 5));
+    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
+        .isEqualTo(requested);
   }
 
   @ParameterizedTest(name = "image at hand in {0} s, an early start counts {1}: placed {2}")
   @CsvSource({"2,true,0", "2,false,1", "9,true,1"})
-  void whereAnEarlyStartCountsAMachineWithTheImageIsHeld(long freeIn, boolean counts, int placed) {
-    work(
+  void whereAnEarlyStartCountsAMachineWithTheImageIsReserved(
+      long freeIn, boolean counts, int placed) {
+    job(
         d -> {
-          d.size = new Size(8, 0, 1);
+          d.resources = new Resources(8, 0, 1);
           d.imageGb = 8;
           d.estimateMs = 10_000;
           d.startByMs = counts ? NOW + 5_000 : 0;
         });
-    room(0, true, 0, running(8, freeIn, 2, 5));
-    room(0, true, 8);
-    rooms.get(1).images().clear();
-    assertThat(plan().places()).hasSize(placed);
+    machine(0, true, 0, running(8, freeIn, 2, 5));
+    machine(0, true, 8);
+    machines.get(1).images().clear();
+    assertThat(plan().placements()).hasSize(placed);
   }
 
   @Test
-  void takesDearRoomLast() {
-    work(2, 4, 1, 30, 40);
-    room(0, false, 8);
-    room(0, true, 8);
-    assertThat(plan().places()).containsExactly(new SchedulingDecision.Place(0, 1));
+  void takesExpensiveCapacityLast() {
+    job(2, 4, 1, 30, 40);
+    machine(0, false, 8);
+    machine(0, true, 8);
+    assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(0, 1));
   }
 
   @Test
   void takesMachinesThatHearItAtOnceFirst() {
-    work(2, 4, 1, 30, 40);
-    room(0, true, 8);
-    MachineCapacity r = rooms.remove(0);
+    job(2, 4, 1, 30, 40);
+    machine(0, true, 8);
+    MachineCapacity machine = machines.remove(0);
     for (long hears : new long[] {5_000, 0}) {
-      rooms.add(
+      machines.add(
           new MachineCapacity(
-              r.type(),
-              r.zone(),
-              r.spot(),
-              r.up(),
+              machine.kind(),
+              machine.up(),
               hears,
-              r.free(),
-              r.readyMs(),
-              r.idle(),
-              r.paidUntilMs(),
-              r.goFromMs(),
-              r.pricePerH(),
-              r.fetchGbPerS(),
-              r.images(),
-              r.running()));
+              machine.readyMs(),
+              machine.free(),
+              machine.lifetime(),
+              machine.images(),
+              machine.running()));
     }
-    assertThat(plan().places()).containsExactly(new SchedulingDecision.Place(0, 1));
+    assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(0, 1));
   }
 
   @Test
-  void rentsFromTheZoneWithFewerMachines() {
-    offers.add(new InstanceOffer(0, 1, true, WHOLE, 1, 30_000, 1));
-    work(2, 8, 4, 20, 30);
-    room(0, true, 0, running(8, 900, 2, 5));
-    assertThat(plan().rentals()).containsExactly(new SchedulingDecision.Rental(2, 4));
+  void scalesOutInTheZoneWithFewerMachines() {
+    offers.add(offer(1, true));
+    job(2, 8, 4, 20, 30);
+    machine(0, true, 0, running(8, 900, 2, 5));
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(2, 4));
   }
 
-  /** What a round costs goes by machines and jobs, not by tasks. */
+  /** What a cycle costs goes by machines and jobs, not by tasks. */
   @Test
-  void looksAtAMachineOnceForAJobAndNotOnceForATask() {
+  void examinesAMachineOnceForAJobAndNotOnceForATask() {
     int machines = 400;
     int jobs = 50;
     int tasks = 1_000;
     for (int i = 0; i < machines; i++) {
-      room(i % 2, true, 0, running(4, 10 + i % 60, 2, 5), running(4, 20 + i % 70, 2, 5));
+      machine(i % 2, true, 0, running(4, 10 + i % 60, 2, 5), running(4, 20 + i % 70, 2, 5));
     }
     offers.clear();
     for (int j = 0; j < jobs; j++) {
-      work(2, 4, tasks, 30, 20);
+      job(2, 4, tasks, 30, 20);
     }
     SchedulingDecision w = plan();
-    assertThat(w.places()).isEmpty();
-    assertThat(w.looks()).isLessThan(3 * machines * jobs).isLessThan(tasks * jobs * 2);
+    assertThat(w.placements()).isEmpty();
+    assertThat(w.machinesExamined()).isLessThan(3 * machines * jobs).isLessThan(tasks * jobs * 2);
   }
 
   @Test
   void givesBackWhatIsIdleAtTheEndOfItsBlock() {
-    room(0, true, 8);
-    rooms.add(
+    machine(0, true, 8);
+    machines.add(
         new MachineCapacity(
-            0,
-            0,
-            true,
+            kind(0, true),
             true,
             0,
-            WHOLE,
             0,
-            true,
-            NOW - 1,
-            NOW,
-            1,
-            1,
+            WHOLE,
+            new MachineCapacity.Lifetime(true, NOW - 1, NOW),
             new IntOpenHashSet(),
             List.of()));
     SchedulingDecision w = plan();
-    assertThat(w.giveBack()).containsExactly(1);
-    assertThat(w.spare()).containsExactly(0, 1);
+    assertThat(w.scaleIns()).containsExactly(1);
+    assertThat(w.idle()).containsExactly(0, 1);
   }
 
   @ParameterizedTest(name = "a reserve of {0} cores")
   @CsvSource({"24,''", "23,''", "16,1", "9,1", "8,1 0", "0,1 0 2"})
-  void givesBackIdleMachinesBeyondTheReserveDearOnesFirst(double keep, String back) {
+  void givesBackIdleMachinesBeyondTheReserveMostExpensiveFirst(double keep, String back) {
     reserve = keep;
-    room(0, true, 8);
-    room(0, false, 8);
-    room(0, true, 8);
-    assertThat(plan().giveBack().stream().map(String::valueOf).collect(Collectors.joining(" ")))
+    machine(0, true, 8);
+    machine(0, false, 8);
+    machine(0, true, 8);
+    assertThat(plan().scaleIns().stream().map(String::valueOf).collect(Collectors.joining(" ")))
         .isEqualTo(back);
   }
 
@@ -481,22 +444,22 @@
   }
 
   /** Neither the price of going on beyond a paid block nor more urgent work keeps it waiting. */
-  @ParameterizedTest(name = "overdue {0}: {1} of its 3 tasks placed")
+  @ParameterizedTest(name = "starved {0}: {1} of its 3 tasks placed")
   @CsvSource({"false,0", "true,1"})
-  void oneTaskOfAnOverdueJobGoesFirst(boolean overdue, long placed) {
-    room(0, false, 8);
-    work(
+  void oneTaskOfAStarvedJobGoesFirst(boolean starved, long placed) {
+    machine(0, false, 8);
+    job(
         d -> {
           d.rank = 3;
-          d.size = new Size(8, 0, 1);
+          d.resources = new Resources(8, 0, 1);
           d.tasks = 3;
           d.waiting = 3;
           d.estimateMs = 5_000_000;
           d.dueMs = NOW + 6_000_000;
-          d.overdue = overdue;
+          d.starved = starved;
         });
-    work(0, 8, 1, 10, 60);
-    assertThat(plan().places().stream().filter(p -> p.work() == 0).count()).isEqualTo(placed);
+    job(0, 8, 1, 10, 60);
+    assertThat(plan().placements().stream().filter(p -> p.job() == 0).count()).isEqualTo(placed);
   }
 
   /** Jobs in the order in which they get the one core that is left, least work and age alike. */
@@ -510,17 +473,19 @@
   })
   void displacedWorkGoesFirstWithinItsRankAndByDueTime(
       boolean first, boolean second, long firstDueS, long secondDueS, int placed) {
-    room(0, true, 1);
-    work(
+    machine(0, true, 1);
+    job(
         d -> {
           d.displaced = first;
           d.dueMs = NOW + 1_000 * firstDueS;
         });
-    work(
+    job(
         d -> {
           d.displaced = second;
           d.dueMs = NOW + 1_000 * secondDueS;
         });
-    assertThat(plan().places()).extracting(SchedulingDecision.Place::work).containsExactly(placed);
+    assertThat(plan().placements())
+        .extracting(SchedulingDecision.Place::job)
+        .containsExactly(placed);
   }
 }
--- a/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
+++ b/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
@@ -2,7 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import dev.windbend.plan.InstanceKind;
+import dev.windbend.plan.MachineCapacity;
+import dev.windbend.plan.PendingJob;
 import dev.windbend.plan.Planner;
+import dev.windbend.plan.Resources;
 import dev.windbend.plan.SchedulingDecision;
 import dev.windbend.plan.Snapshot;
 import dev.windbend.zone.EvacuationPlan.Lost;
@@ -78,32 +82,14 @@
 
   /** A displaced job, and what it asks of room elsewhere. */
   private record Displaced(int rank, int cores, int waiting, long dueInMs, long estimateMs) {
-    private Snapshot.PendingJob work() {
-      return new Snapshot.PendingJob(
+    private PendingJob pending() {
+      return new PendingJob(
           0,
           rank,
-          new Snapshot.Size(cores, 0, 1),
-          null,
-          -1,
-          false,
-          false,
-          true,
-          7,
-          0,
-          waiting,
-          waiting,
-          new int[2],
-          estimateMs,
-          NOW + dueInMs,
-          false,
-          false,
-          0,
-          60_000,
-          true,
-          false,
-          true,
-          0,
-          new IntOpenHashSet());
+          new PendingJob.Requirements(new Resources(cores, 0, 1), 7, 0, estimateMs),
+          new PendingJob.Constraints(null, -1, false, false, true, 0, new IntOpenHashSet()),
+          new PendingJob.Progress(waiting, waiting, new int[2], 60_000, true, false, true),
+          new PendingJob.Objectives(NOW + dueInMs, false, false, 0));
     }
   }
 
@@ -120,20 +106,14 @@
         .ofMaxSize(12);
   }
 
-  private static Snapshot.MachineCapacity room(int freeCores) {
-    return new Snapshot.MachineCapacity(
-        0,
-        0,
-        true,
+  private static MachineCapacity machineWith(int freeCores) {
+    return new MachineCapacity(
+        new InstanceKind(0, 0, true, 1, 1),
         true,
         0,
-        new Snapshot.Size(freeCores, 0, 64),
         0,
-        freeCores == 8,
-        NOW + 600_000,
-        NOW,
-        1,
-        1,
+        new Resources(freeCores, 0, 64),
+        new MachineCapacity.Lifetime(freeCores == 8, NOW + 600_000, NOW),
         new IntOpenHashSet(new int[] {7}),
         List.of());
   }
@@ -145,26 +125,24 @@
   @Property(tries = 400)
   void noLowerTaskIsPlacedWhereAHigherOneThatFitsWaits(
       @ForAll("displaced") List<Displaced> jobs, @ForAll("rooms") List<Integer> freeCores) {
-    List<Snapshot.PendingJob> works = jobs.stream().map(Displaced::work).toList();
-    List<Snapshot.MachineCapacity> rooms =
-        freeCores.stream().map(EvacuationPlanTest::room).toList();
-    SchedulingDecision wanted =
+    List<PendingJob> pending = jobs.stream().map(Displaced::pending).toList();
+    List<MachineCapacity> machines =
+        freeCores.stream().map(EvacuationPlanTest::machineWith).toList();
+    SchedulingDecision decision =
         Planner.plan(
             new Snapshot(
                 NOW,
-                10_000,
-                3_000,
-                0,
+                new Snapshot.Limits(10_000, 3_000, 0),
                 false,
                 0,
                 List.of(new Snapshot.Team(1_000, 0, 0, 0)),
-                works,
-                rooms,
+                pending,
+                machines,
                 List.of()));
-    int[] left = works.stream().mapToInt(Snapshot.PendingJob::waiting).toArray();
-    wanted.places().forEach(p -> left[p.work()]--);
-    for (SchedulingDecision.Place placed : wanted.places()) {
-      Displaced lower = jobs.get(placed.work());
+    int[] left = pending.stream().mapToInt(job -> job.progress().waiting()).toArray();
+    decision.placements().forEach(placed -> left[placed.job()]--);
+    for (SchedulingDecision.Place placed : decision.placements()) {
+      Displaced lower = jobs.get(placed.job());
       for (int i = 0; i < jobs.size(); i++) {
         Displaced higher = jobs.get(i);
         boolean fits = higher.cores() <= lower.cores();
