--- /dev/null
+++ b/src/test/java/dev/windbend/plan/PlannerFixture.java
@@ -0,0 +1,112 @@
+package dev.windbend.plan;
+
+import dev.windbend.plan.Snapshot.Team;
+import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/** A snapshot to plan on. One type of 8 cores, two zones, boots in 30 s. */
+abstract class PlannerFixture {
+  static final long NOW = 1_000_000;
+  static final Resources WHOLE = new Resources(8, 0, 32);
+
+  final List<PendingJob> jobs = new ArrayList<>();
+  final List<MachineCapacity> machines = new ArrayList<>();
+  final List<InstanceOffer> offers = new ArrayList<>(List.of(offer(0, true), offer(0, false)));
+  double limit = 100;
+  double used = 0;
+  boolean oldestFirst;
+  double reserve = 1_000;
+  long hearsMs;
+
+  SchedulingDecision plan() {
+    return Planner.plan(
+        new Snapshot(
+            NOW,
+            new Snapshot.Limits(10_000, 3_000, 20),
+            oldestFirst,
+            reserve,
+            List.of(new Team(limit, 0, used, 0)),
+            jobs,
+            machines,
+            offers));
+  }
+
+  /** A job with what most cases leave alone. */
+  static final class Draft {
+    int rank = 2;
+    Resources resources = new Resources(1, 0, 1);
+    boolean[] types;
+    int zone = -1;
+    boolean colocated;
+    boolean spread;
+    boolean spot = true;
+    double imageGb = 1;
+    int tasks = 1;
+    int waiting = 1;
+    int[] placed = new int[2];
+    long estimateMs = 9;
+    long dueMs = NOW + 30_000;
+    boolean hopeless;
+    boolean guaranteed;
+    long startByMs;
+    long ageMs;
+    boolean begun;
+    boolean starved;
+    boolean displaced;
+
+    PendingJob job() {
+      return new PendingJob(
+          0,
+          rank,
+          new PendingJob.Requirements(resources, 7, imageGb, estimateMs),
+          new PendingJob.Constraints(types, zone, colocated, spread, spot, 0, new IntOpenHashSet()),
+          new PendingJob.Progress(tasks, waiting, placed, ageMs, begun, starved, displaced),
+          new PendingJob.Objectives(dueMs, hopeless, guaranteed, startByMs));
+    }
+  }
+
+  static InstanceKind kind(int zone, boolean spot) {
+    return new InstanceKind(0, zone, spot, spot ? 1 : 2, 1);
+  }
+
+  static InstanceOffer offer(int zone, boolean spot) {
+    return new InstanceOffer(kind(zone, spot), WHOLE, 30_000);
+  }
+
+  void job(Consumer<Draft> what) {
+    Draft d = new Draft();
+    what.accept(d);
+    jobs.add(d.job());
+  }
+
+  void job(int rank, double cores, int waiting, long estimateS, long dueInS) {
+    job(
+        d -> {
+          d.rank = rank;
+          d.resources = new Resources(cores, 0, 1);
+          d.tasks = waiting;
+          d.waiting = waiting;
+          d.estimateMs = estimateS * 1000;
+          d.dueMs = NOW + dueInS * 1000;
+        });
+  }
+
+  void machine(int zone, boolean spot, double free, RunningTask... running) {
+    machines.add(
+        new MachineCapacity(
+            kind(zone, spot),
+            true,
+            hearsMs,
+            0,
+            new Resources(free, 0, 32),
+            new MachineCapacity.Lifetime(running.length == 0 && free == 8, NOW + 600_000, NOW),
+            new IntOpenHashSet(new int[] {7}),
+            List.of(running)));
+  }
+
+  static RunningTask running(double cores, long endInS, int rank, long lostS) {
+    return new RunningTask(NOW + endInS * 1000, new Resources(cores, 0, 1), rank, lostS * 1000);
+  }
+}
--- /dev/null
+++ b/src/test/java/dev/windbend/plan/PlannerScalingTest.java
@@ -0,0 +1,120 @@
+package dev.windbend.plan;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
+import java.util.List;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** When the planner waits, queues, scales out and scales in. */
+class PlannerScalingTest extends PlannerFixture {
+  @ParameterizedTest(name = "estimate {0} s, due in {1} s: {2} requested")
+  @CsvSource({
+    // slack = due - estimate - boot of 30 s; waits while that exceeds estimate + period of 10 s
+    "20,81,0",
+    "20,80,1",
+    "20,40,1",
+    "100,240,1",
+    "100,241,0"
+  })
+  void waitsWhileTheSlackAllows(long estimate, long due, int requested) {
+    job(2, 4, 1, estimate, due);
+    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
+        .isEqualTo(requested);
+  }
+
+  @ParameterizedTest(name = "free in {0} s, due in {1} s: {2} requested")
+  @CsvSource({"20,30,0", "29,30,0", "40,59,1", "40,60,0"})
+  void queuesBehindAMachineFreeSoonElseScalesOut(long freeIn, long due, int requested) {
+    job(2, 8, 1, 20, due);
+    machine(0, true, 0, running(8, freeIn, 2, 5));
+    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
+        .isEqualTo(requested);
+  }
+
+  @Test
+  void reservesASoonFreeMachineForOneTaskOnly() {
+    job(2, 8, 2, 20, 30);
+    machine(0, true, 0, running(8, 20, 2, 5));
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 1));
+  }
+
+  @Test
+  void packsNewMachinesAndTakesTheCheapest() {
+    job(2, 4, 5, 20, 30);
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 3));
+  }
+
+  @Test
+  void scalesOutByOnDemandMachinesWhereSpotInstancesAreRefused() {
+    offers.remove(0);
+    job(2, 4, 1, 20, 30);
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 1));
+  }
+
+  @Test
+  void aJobThatHasToBeginDoesNotWaitForSlack() {
+    job(
+        d -> {
+          d.resources = new Resources(8, 0, 1);
+          d.dueMs = NOW + 900_000;
+          d.ageMs = 120_000;
+        });
+    assertThat(plan().scaleOuts()).hasSize(1);
+  }
+
+  @ParameterizedTest(name = "guaranteed {0}, due in {1} s: {2} requested")
+  @CsvSource({"false,900,0", "true,900,1", "false,70,0", "true,70,1"})
+  void whatIsGuaranteedNeitherWaitsNorQueuesForLong(boolean is, long due, int requested) {
+    job(
+        d -> {
+          d.resources = new Resources(8, 0, 1);
+          d.estimateMs = 10_000;
+          d.dueMs = NOW + due * 1000;
+          d.guaranteed = is;
+        });
+    machine(0, true, 0, running(8, 40, 2, 5));
+    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
+        .isEqualTo(requested);
+  }
+
+  @Test
+  void scalesOutInTheZoneWithFewerMachines() {
+    offers.add(offer(1, true));
+    job(2, 8, 4, 20, 30);
+    machine(0, true, 0, running(8, 900, 2, 5));
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(2, 4));
+  }
+
+  @Test
+  void givesBackWhatIsIdleAtTheEndOfItsBlock() {
+    machine(0, true, 8);
+    machines.add(
+        new MachineCapacity(
+            kind(0, true),
+            true,
+            0,
+            0,
+            WHOLE,
+            new MachineCapacity.Lifetime(true, NOW - 1, NOW),
+            new IntOpenHashSet(),
+            List.of()));
+    SchedulingDecision w = plan();
+    assertThat(w.scaleIns()).containsExactly(1);
+    assertThat(w.idle()).containsExactly(0, 1);
+  }
+
+  @ParameterizedTest(name = "a reserve of {0} cores")
+  @CsvSource({"24,''", "23,''", "16,1", "9,1", "8,1 0", "0,1 0 2"})
+  void givesBackIdleMachinesBeyondTheReserveMostExpensiveFirst(double keep, String back) {
+    reserve = keep;
+    machine(0, true, 8);
+    machine(0, false, 8);
+    machine(0, true, 8);
+    assertThat(plan().scaleIns().stream().map(String::valueOf).collect(Collectors.joining(" ")))
+        .isEqualTo(back);
+  }
+}
--- a/src/test/java/dev/windbend/plan/PlannerTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerTest.java
@@ -2,121 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.plan.Snapshot.Team;
-import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.function.Consumer;
-import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The design's loop, step by step. One type of 8 cores, two zones, boots in 30 s. */
-class PlannerTest {
-  private static final long NOW = 1_000_000;
-  private static final Resources WHOLE = new Resources(8, 0, 32);
-
-  private final List<PendingJob> jobs = new ArrayList<>();
-  private final List<MachineCapacity> machines = new ArrayList<>();
-  private final List<InstanceOffer> offers =
-      new ArrayList<>(List.of(offer(0, true), offer(0, false)));
-  private double limit = 100;
-  private double used = 0;
-  private boolean oldestFirst;
-  private double reserve = 1_000;
-  private long hearsMs;
-
-  private SchedulingDecision plan() {
-    return Planner.plan(
-        new Snapshot(
-            NOW,
-            new Snapshot.Limits(10_000, 3_000, 20),
-            oldestFirst,
-            reserve,
-            List.of(new Team(limit, 0, used, 0)),
-            jobs,
-            machines,
-            offers));
-  }
-
-  /** A job with what most cases leave alone. */
-  private static final class Draft {
-    int rank = 2;
-    Resources resources = new Resources(1, 0, 1);
-    boolean[] types;
-    int zone = -1;
-    boolean colocated;
-    boolean spread;
-    boolean spot = true;
-    double imageGb = 1;
-    int tasks = 1;
-    int waiting = 1;
-    int[] placed = new int[2];
-    long estimateMs = 9;
-    long dueMs = NOW + 30_000;
-    boolean hopeless;
-    boolean guaranteed;
-    long startByMs;
-    long ageMs;
-    boolean begun;
-    boolean starved;
-    boolean displaced;
-
-    PendingJob job() {
-      return new PendingJob(
-          0,
-          rank,
-          new PendingJob.Requirements(resources, 7, imageGb, estimateMs),
-          new PendingJob.Constraints(types, zone, colocated, spread, spot, 0, new IntOpenHashSet()),
-          new PendingJob.Progress(tasks, waiting, placed, ageMs, begun, starved, displaced),
-          new PendingJob.Objectives(dueMs, hopeless, guaranteed, startByMs));
-    }
-  }
-
-  private static InstanceKind kind(int zone, boolean spot) {
-    return new InstanceKind(0, zone, spot, spot ? 1 : 2, 1);
-  }
-
-  private static InstanceOffer offer(int zone, boolean spot) {
-    return new InstanceOffer(kind(zone, spot), WHOLE, 30_000);
-  }
-
-  private void job(Consumer<Draft> what) {
-    Draft d = new Draft();
-    what.accept(d);
-    jobs.add(d.job());
-  }
-
-  private void job(int rank, double cores, int waiting, long estimateS, long dueInS) {
-    job(
-        d -> {
-          d.rank = rank;
-          d.resources = new Resources(cores, 0, 1);
-          d.tasks = waiting;
-          d.waiting = waiting;
-          d.estimateMs = estimateS * 1000;
-          d.dueMs = NOW + dueInS * 1000;
-        });
-  }
-
-  private void machine(int zone, boolean spot, double free, RunningTask... running) {
-    machines.add(
-        new MachineCapacity(
-            kind(zone, spot),
-            true,
-            hearsMs,
-            0,
-            new Resources(free, 0, 32),
-            new MachineCapacity.Lifetime(running.length == 0 && free == 8, NOW + 600_000, NOW),
-            new IntOpenHashSet(new int[] {7}),
-            List.of(running)));
-  }
-
-  private static RunningTask running(double cores, long endInS, int rank, long lostS) {
-    return new RunningTask(NOW + endInS * 1000, new Resources(cores, 0, 1), rank, lostS * 1000);
-  }
-
+/** In which order jobs are served, where their tasks go, and what makes way for them. */
+class PlannerTest extends PlannerFixture {
   @Test
   void takesIdleCapacityFirstAndScalesOutByNothing() {
     job(2, 4, 2, 30, 40);
@@ -134,50 +25,6 @@
     assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(0, 1));
   }
 
-  @ParameterizedTest(name = "estimate {0} s, due in {1} s: {2} requested")
-  @CsvSource({
-    // slack = due - estimate - boot of 30 s; waits while that exceeds estimate + period of 10 s
-    "20,81,0",
-    "20,80,1",
-    "20,40,1",
-    "100,240,1",
-    "100,241,0"
-  })
-  void waitsWhileTheSlackAllows(long estimate, long due, int requested) {
-    job(2, 4, 1, estimate, due);
-    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
-        .isEqualTo(requested);
-  }
-
-  @ParameterizedTest(name = "free in {0} s, due in {1} s: {2} requested")
-  @CsvSource({"20,30,0", "29,30,0", "40,59,1", "40,60,0"})
-  void queuesBehindAMachineFreeSoonElseScalesOut(long freeIn, long due, int requested) {
-    job(2, 8, 1, 20, due);
-    machine(0, true, 0, running(8, freeIn, 2, 5));
-    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
-        .isEqualTo(requested);
-  }
-
-  @Test
-  void reservesASoonFreeMachineForOneTaskOnly() {
-    job(2, 8, 2, 20, 30);
-    machine(0, true, 0, running(8, 20, 2, 5));
-    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 1));
-  }
-
-  @Test
-  void packsNewMachinesAndTakesTheCheapest() {
-    job(2, 4, 5, 20, 30);
-    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 3));
-  }
-
-  @Test
-  void scalesOutByOnDemandMachinesWhereSpotInstancesAreRefused() {
-    offers.remove(0);
-    job(2, 4, 1, 20, 30);
-    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 1));
-  }
-
   @Test
   void keepsTheTeamsQuotaWithWhatIsNotProvedGone() {
     limit = 10;
@@ -310,32 +157,6 @@
         .containsExactly(0, 0, 1, 0);
   }
 
-  @Test
-  void aJobThatHasToBeginDoesNotWaitForSlack() {
-    job(
-        d -> {
-          d.resources = new Resources(8, 0, 1);
-          d.dueMs = NOW + 900_000;
-          d.ageMs = 120_000;
-        });
-    assertThat(plan().scaleOuts()).hasSize(1);
-  }
-
-  @ParameterizedTest(name = "guaranteed {0}, due in {1} s: {2} requested")
-  @CsvSource({"false,900,0", "true,900,1", "false,70,0", "true,70,1"})
-  void whatIsGuaranteedNeitherWaitsNorQueuesForLong(boolean is, long due, int requested) {
-    job(
-        d -> {
-          d.resources = new Resources(8, 0, 1);
-          d.estimateMs = 10_000;
-          d.dueMs = NOW + due * 1000;
-          d.guaranteed = is;
-        });
-    machine(0, true, 0, running(8, 40, 2, 5));
-    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
-        .isEqualTo(requested);
-  }
-
   @ParameterizedTest(name = "image at hand in {0} s, an early start counts {1}: placed {2}")
   @CsvSource({"2,true,0", "2,false,1", "9,true,1"})
   void whereAnEarlyStartCountsAMachineWithTheImageIsReserved(
@@ -381,14 +202,6 @@
     assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(0, 1));
   }
 
-  @Test
-  void scalesOutInTheZoneWithFewerMachines() {
-    offers.add(offer(1, true));
-    job(2, 8, 4, 20, 30);
-    machine(0, true, 0, running(8, 900, 2, 5));
-    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(2, 4));
-  }
-
   /** What a cycle costs goes by machines and jobs, not by tasks. */
   @Test
   void examinesAMachineOnceForAJobAndNotOnceForATask() {
@@ -407,42 +220,6 @@
     assertThat(w.machinesExamined()).isLessThan(3 * machines * jobs).isLessThan(tasks * jobs * 2);
   }
 
-  @Test
-  void givesBackWhatIsIdleAtTheEndOfItsBlock() {
-    machine(0, true, 8);
-    machines.add(
-        new MachineCapacity(
-            kind(0, true),
-            true,
-            0,
-            0,
-            WHOLE,
-            new MachineCapacity.Lifetime(true, NOW - 1, NOW),
-            new IntOpenHashSet(),
-            List.of()));
-    SchedulingDecision w = plan();
-    assertThat(w.scaleIns()).containsExactly(1);
-    assertThat(w.idle()).containsExactly(0, 1);
-  }
-
-  @ParameterizedTest(name = "a reserve of {0} cores")
-  @CsvSource({"24,''", "23,''", "16,1", "9,1", "8,1 0", "0,1 0 2"})
-  void givesBackIdleMachinesBeyondTheReserveMostExpensiveFirst(double keep, String back) {
-    reserve = keep;
-    machine(0, true, 8);
-    machine(0, false, 8);
-    machine(0, true, 8);
-    assertThat(plan().scaleIns().stream().map(String::valueOf).collect(Collectors.joining(" ")))
-        .isEqualTo(back);
-  }
-
-  @ParameterizedTest
-  @CsvSource({"0,100,false", "60,100,false", "61,150,false", "110,150,false", "111,150,true"})
-  void isDueAtTheNextLimitThatCanStillBeMet(double age, double due, boolean hopeless) {
-    assertThat(Deadlines.next(new double[] {100, 150}, age, 40))
-        .isEqualTo(new Deadlines(due, hopeless));
-  }
-
   /** Neither the price of going on beyond a paid block nor more urgent work keeps it waiting. */
   @ParameterizedTest(name = "starved {0}: {1} of its 3 tasks placed")
   @CsvSource({"false,0", "true,1"})
