--- a/src/main/java/dev/windbend/job/Cancellations.java
+++ b/src/main/java/dev/windbend/job/Cancellations.java
@@ -15,7 +15,7 @@
  */
 public final class Cancellations {
   /** More than that is not told: whoever lags so far lets the leases of its workers end. */
-  public static final int MOST_TOLD = 500;
+  public static final int MAX_LISTED = 500;
 
   private final Replica replica;
   private final Consumer<String> known;
@@ -82,7 +82,7 @@
                 }
               }
             });
-    return all.size() > MOST_TOLD ? null : all;
+    return all.size() > MAX_LISTED ? null : all;
   }
 
   /** This node knows of all cancellations up to this revision. */
--- a/src/main/java/dev/windbend/job/Job.java
+++ b/src/main/java/dev/windbend/job/Job.java
@@ -231,7 +231,7 @@
   }
 
   /** How long it has been without a task placed or completed. */
-  public long stalledMs(long nowMs) {
+  public long sinceProgressMs(long nowMs) {
     return nowMs - progressMs;
   }
 
--- a/src/main/java/dev/windbend/peer/CancellationBroadcaster.java
+++ b/src/main/java/dev/windbend/peer/CancellationBroadcaster.java
@@ -56,7 +56,7 @@
       loop.after(Math.max(0, nextBatchMs - loop.nowMs()), this::sendBatch);
     }
     // Others learn of what is over the bound by the replica's next change, or when they ask.
-    if (unsent.size() < Cancellations.MOST_TOLD) {
+    if (unsent.size() < Cancellations.MAX_LISTED) {
       unsent.add(cancelled);
     }
   }
--- a/src/main/java/dev/windbend/shard/CapacityProvisioner.java
+++ b/src/main/java/dev/windbend/shard/CapacityProvisioner.java
@@ -58,7 +58,8 @@
 
   private void addOffer(
       List<InstanceOffer> offers, MachineType type, Resources capacity, int zone, boolean spot) {
-    if (state.fleet().isRefused(type.index(), zone, spot) || state.zones().rentable(zone) <= 0) {
+    if (state.fleet().isRefused(type.index(), zone, spot)
+        || state.zones().scaleOutLimit(zone) <= 0) {
       return;
     }
     double price = spot ? type.spotPrice() : type.price();
@@ -115,13 +116,14 @@
     for (SchedulingDecision.ScaleOut request : requests) {
       InstanceKind kind = offers.get(request.offer()).kind();
       int machines =
-          Math.min(state.zones().rentable(kind.zone()), Math.max(0, request.count() - covered));
+          Math.min(
+              state.zones().scaleOutLimit(kind.zone()), Math.max(0, request.count() - covered));
       covered = Math.max(0, covered - request.count());
       if (machines > 0) {
         state
             .fleet()
             .scaleOut(state.catalog().type(kind.type()), kind.zone(), kind.spot(), machines);
-        state.zones().rented(kind.zone(), machines);
+        state.zones().scaledOut(kind.zone(), machines);
       }
     }
   }
--- a/src/main/java/dev/windbend/shard/ShardState.java
+++ b/src/main/java/dev/windbend/shard/ShardState.java
@@ -4,7 +4,7 @@
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.runtime.NameIndex;
-import dev.windbend.zone.ZoneGate;
+import dev.windbend.zone.ZoneAvailability;
 
 /**
  * What a leader schedules with: its shard's jobs and machines, and what is known of machine types,
@@ -22,4 +22,4 @@
     Fleet fleet,
     MachineTypeCatalog catalog,
     NameIndex images,
-    ZoneGate zones) {}
+    ZoneAvailability zones) {}
--- a/src/main/java/dev/windbend/shard/ShardZones.java
+++ b/src/main/java/dev/windbend/shard/ShardZones.java
@@ -6,7 +6,7 @@
 import dev.windbend.machine.MachineHealth;
 import dev.windbend.runtime.NameIndex;
 import dev.windbend.store.GroupCommitter;
-import dev.windbend.zone.ZoneGate;
+import dev.windbend.zone.ZoneAvailability;
 import dev.windbend.zone.ZoneMonitor;
 import dev.windbend.zone.ZoneStatus;
 import java.util.List;
@@ -15,11 +15,11 @@
 /** A shard's monitoring of zones, which operators may switch off: then all zones are open. */
 final class ShardZones {
   private final Optional<ZoneMonitor> monitor;
-  private final ZoneGate availability;
+  private final ZoneAvailability availability;
 
   private ShardZones(Optional<ZoneMonitor> monitor) {
     this.monitor = monitor;
-    this.availability = monitor.<ZoneGate>map(some -> some).orElse(ZoneGate.OPEN);
+    this.availability = monitor.<ZoneAvailability>map(some -> some).orElse(ZoneAvailability.OPEN);
   }
 
   static ShardZones create(
@@ -58,7 +58,7 @@
   }
 
   /** Which zones machines may be used and created in. */
-  ZoneGate availability() {
+  ZoneAvailability availability() {
     return availability;
   }
 
--- a/src/main/java/dev/windbend/shard/StarvedJobs.java
+++ b/src/main/java/dev/windbend/shard/StarvedJobs.java
@@ -32,7 +32,7 @@
   static boolean starved(Job job, long nowMs) {
     return job.waitingCount() > 0
         && job.notBeforeMs() <= nowMs
-        && job.stalledMs(nowMs) >= STARVED_AFTER_MS;
+        && job.sinceProgressMs(nowMs) >= STARVED_AFTER_MS;
   }
 
   /**
@@ -53,7 +53,8 @@
       }
       used[job.team()] += job.spec().cores();
       cores += job.spec().cores();
-      if (longestWaiting == null || longestWaiting.stalledMs(nowMs) < job.stalledMs(nowMs)) {
+      if (longestWaiting == null
+          || longestWaiting.sinceProgressMs(nowMs) < job.sinceProgressMs(nowMs)) {
         longestWaiting = job;
       }
     }
--- a/src/main/java/dev/windbend/zone/ZoneGate.java
+++ b/src/main/java/dev/windbend/zone/ZoneAvailability.java
@@ -2,18 +2,18 @@
 
 import dev.windbend.job.Job;
 
-/** What planning, renting and machine health ask of the view of zones. */
-public interface ZoneGate {
+/** What scheduling, scale-out and machine health ask of the view of zones. */
+public interface ZoneAvailability {
   /** All zones are open, as where zones are not looked after. */
-  ZoneGate OPEN =
-      new ZoneGate() {
+  ZoneAvailability OPEN =
+      new ZoneAvailability() {
         @Override
-        public int rentable(int zone) {
+        public int scaleOutLimit(int zone) {
           return Integer.MAX_VALUE;
         }
 
         @Override
-        public void rented(int zone, int machines) {
+        public void scaledOut(int zone, int machines) {
           // nothing is counted
         }
 
@@ -33,11 +33,11 @@
         }
       };
 
-  /** How many machines may be rented in a zone now. */
-  int rentable(int zone);
+  /** How many machines may be requested in the zone now. */
+  int scaleOutLimit(int zone);
 
-  /** So many were asked for. */
-  void rented(int zone, int machines);
+  /** So many machines were requested in the zone. */
+  void scaledOut(int zone, int machines);
 
   /** Lost machines of this zone are given up in the order of its evacuation. */
   boolean evacuates(int zone);
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -24,7 +24,7 @@
  * gives up the machines of a lost one in order of priority, and takes a returning one back
  * gradually. It proves nothing: what may start again is decided by proof alone, as everywhere.
  */
-public final class ZoneMonitor implements ZoneGate {
+public final class ZoneMonitor implements ZoneAvailability {
   private static final Logger LOG = LoggerFactory.getLogger(ZoneMonitor.class);
 
   /** The record's list of displaced jobs is renewed at most so often. */
@@ -304,7 +304,7 @@
   // ---- what planning, renting and machine health ask
 
   @Override
-  public int rentable(int zone) {
+  public int scaleOutLimit(int zone) {
     Zone asked = zones.get(zone);
     if (asked == null) {
       return Integer.MAX_VALUE;
@@ -317,7 +317,7 @@
   }
 
   @Override
-  public void rented(int zone, int machines) {
+  public void scaledOut(int zone, int machines) {
     Zone asked = zones.get(zone);
     if (asked != null && asked.state() == ZoneState.RETURNING) {
       asked.ramp.take(machines);
--- a/src/test/java/dev/windbend/daemon/CommandLineTest.java
+++ b/src/test/java/dev/windbend/daemon/CommandLineTest.java
@@ -42,11 +42,11 @@
     command.addAll(
         List.of("-cp", System.getProperty("java.class.path"), "dev.windbend.daemon.Main"));
     command.addAll(List.of(arguments));
-    Process process =
-        new ProcessBuilder(command)
-            .redirectOutput(out.toFile())
-            .redirectError(err.toFile())
-            .start();
+    ProcessBuilder builder =
+        new ProcessBuilder(command).redirectOutput(out.toFile()).redirectError(err.toFile());
+    // The JVM would announce it on standard error, which is compared to the letter.
+    builder.environment().remove("JAVA_TOOL_OPTIONS");
+    Process process = builder.start();
     try {
       assertThat(process.waitFor(60, TimeUnit.SECONDS)).as("ends").isTrue();
     } finally {
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -216,8 +216,8 @@
     assertThat(writes).as("nothing is written while all is well").isZero();
     busy(1, 1_000);
     pass(8_000, 0);
-    assertThat(monitor.rentable(1)).isZero();
-    assertThat(monitor.rentable(0)).isPositive();
+    assertThat(monitor.scaleOutLimit(1)).isZero();
+    assertThat(monitor.scaleOutLimit(0)).isPositive();
     assertThat(closed()).isEqualTo(fleet.machines().stream().filter(m -> m.zone() == 1).count());
     int atOnce = returned.size();
     pass(40_000, 0);
@@ -256,7 +256,7 @@
     assertThat(open).isSorted();
     assertThat(open.get(0)).isBetween(2_001L, 2_030L);
     assertThat(open.get(3)).isBetween(2_030L, 2_200L);
-    assertThat(monitor.rentable(1)).isLessThan(50);
+    assertThat(monitor.scaleOutLimit(1)).isLessThan(50);
     pass(60_000, 0, 1);
     assertThat(closed()).isZero();
     assertThat(returned).isEmpty();
@@ -290,7 +290,7 @@
         monitor(
             new ZonePolicy(true, List.of("b"), 3_000, 2_000, 10_000, 80_000, 100_000, 1, 5_000));
     assertThat(monitor.evacuates(1)).isFalse();
-    assertThat(monitor.rentable(1)).isEqualTo(Integer.MAX_VALUE);
+    assertThat(monitor.scaleOutLimit(1)).isEqualTo(Integer.MAX_VALUE);
     assertThat(monitor.status()).isEmpty();
   }
 
