--- a/src/main/java/dev/windbend/job/JobHandler.java
+++ b/src/main/java/dev/windbend/job/JobHandler.java
@@ -1,6 +1,7 @@
 package dev.windbend.job;
 
 import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.ServerRequest;
 import dev.windbend.runtime.ServerResponse;
 import dev.windbend.store.Replica;
@@ -83,7 +84,7 @@
     } else if (segments.length == 2 && segments[1].equals("cancel")) {
       only("POST", request, done, () -> cancel(segments[0], CANCEL_TRIES, done));
     } else {
-      done.accept(ServerResponse.ofStatus(404));
+      done.accept(ServerResponse.ofStatus(HttpStatus.NOT_FOUND));
     }
   }
 
@@ -92,7 +93,7 @@
     if (request.method().equals(method)) {
       handler.run();
     } else {
-      done.accept(ServerResponse.ofStatus(405));
+      done.accept(ServerResponse.ofStatus(HttpStatus.METHOD_NOT_ALLOWED));
     }
   }
 
@@ -101,7 +102,7 @@
     try {
       spec = SubmissionValidator.read(body);
     } catch (SubmissionValidator.Malformed e) {
-      done.accept(problem(400, e.getMessage()));
+      done.accept(problem(HttpStatus.BAD_REQUEST, e.getMessage()));
       return;
     }
     Admission decision = admission.decide(spec);
@@ -125,7 +126,7 @@
           if (!found.sure()) {
             done.accept(ServerResponse.retryAfter(1));
           } else if (found.live() == null && found.over() == null) {
-            done.accept(problem(422, rejected.reason()));
+            done.accept(problem(HttpStatus.UNPROCESSABLE_CONTENT, rejected.reason()));
           } else {
             done.accept(status(uid, found));
           }
@@ -163,7 +164,7 @@
                       a.done()
                           .accept(
                               ServerResponse.of(
-                                  201,
+                                  HttpStatus.CREATED,
                                   UserMessages.Status.of(
                                       a.record().spec().uid(), Statuses.PENDING, null, null)));
                     });
@@ -186,7 +187,7 @@
 
   private void poll(String uid, Consumer<ServerResponse> done) {
     if (!SubmissionValidator.isUid(uid)) {
-      done.accept(ServerResponse.ofStatus(404));
+      done.accept(ServerResponse.ofStatus(HttpStatus.NOT_FOUND));
       return;
     }
     lookup.find(uid, found -> done.accept(status(uid, found)));
@@ -194,7 +195,7 @@
 
   private void cancel(String uid, int tries, Consumer<ServerResponse> done) {
     if (!SubmissionValidator.isUid(uid)) {
-      done.accept(ServerResponse.ofStatus(404));
+      done.accept(ServerResponse.ofStatus(HttpStatus.NOT_FOUND));
       return;
     }
     lookup.find(
@@ -217,7 +218,8 @@
                   confirm(uid, outcome.revision());
                   done.accept(
                       ServerResponse.of(
-                          200, UserMessages.Status.of(uid, Statuses.CANCELLED, null, null)));
+                          HttpStatus.OK,
+                          UserMessages.Status.of(uid, Statuses.CANCELLED, null, null)));
                 } else if (outcome.kind() == TransactionOutcome.Kind.CONDITION_FAILED
                     && tries > 1) {
                   cancel(uid, tries - 1, done);
@@ -234,10 +236,11 @@
     }
     if (found.over() != null) {
       return ServerResponse.of(
-          200, UserMessages.Status.of(uid, found.over().status(), found.over().done(), 0));
+          HttpStatus.OK,
+          UserMessages.Status.of(uid, found.over().status(), found.over().done(), 0));
     }
     if (found.live() == null) {
-      return ServerResponse.ofStatus(404);
+      return ServerResponse.ofStatus(HttpStatus.NOT_FOUND);
     }
     JobRecord.Live live = found.record();
     if (live == null) {
@@ -253,7 +256,7 @@
             : tasks.running() > 0 ? Statuses.RUNNING : Statuses.PENDING;
     String reason = status.equals(Statuses.PENDING) ? waitsFor.apply(live.spec()) : null;
     return ServerResponse.of(
-        200, new UserMessages.Status(uid, status, tasks.done(), tasks.running(), reason));
+        HttpStatus.OK, new UserMessages.Status(uid, status, tasks.done(), tasks.running(), reason));
   }
 
   private void confirm(String uid, long revision) {
--- a/src/main/java/dev/windbend/machine/CloudClient.java
+++ b/src/main/java/dev/windbend/machine/CloudClient.java
@@ -3,6 +3,7 @@
 import dev.windbend.runtime.ClientResponse;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.Json;
 import dev.windbend.store.TokenBucket;
 import java.nio.charset.StandardCharsets;
@@ -24,10 +25,6 @@
   /** Part of the text by which the cloud says that it lacks machines. */
   private static final String NO_CAPACITY = "no capacity";
 
-  private static final int BAD_REQUEST = 400;
-  private static final int TOO_MANY_REQUESTS = 429;
-  private static final int UNAVAILABLE = 503;
-
   private final EventLoop loop;
   private final HttpClient web;
   private final String address;
@@ -105,11 +102,11 @@
   }
 
   private static CreateResult failure(ClientResponse reply) {
-    if (reply.status() == BAD_REQUEST) {
+    if (reply.status() == HttpStatus.BAD_REQUEST) {
       return CreateResult.MALFORMED;
     }
     boolean lacks =
-        reply.status() == UNAVAILABLE
+        reply.status() == HttpStatus.SERVICE_UNAVAILABLE
             && new String(reply.body(), StandardCharsets.UTF_8).contains(NO_CAPACITY);
     return lacks ? CreateResult.REFUSED : CreateResult.UNKNOWN;
   }
@@ -192,7 +189,7 @@
         body,
         CALL_TIMEOUT_MS,
         reply -> {
-          if (reply.status() == TOO_MANY_REQUESTS) {
+          if (reply.status() == HttpStatus.TOO_MANY_REQUESTS) {
             rate.slowDown();
           }
           done.accept(reply);
--- a/src/main/java/dev/windbend/peer/MachineTransferClient.java
+++ b/src/main/java/dev/windbend/peer/MachineTransferClient.java
@@ -4,6 +4,7 @@
 import dev.windbend.peer.MachineTransferMessages.Request;
 import dev.windbend.peer.MachineTransferMessages.Routed;
 import dev.windbend.runtime.HttpClient;
+import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.Json;
 import dev.windbend.runtime.ServerRequest;
 import dev.windbend.runtime.ServerResponse;
@@ -96,10 +97,10 @@
   public void serve(ServerRequest request, Consumer<ServerResponse> done) {
     Routed routed = Json.read(request.body(), Routed.class);
     if (routed == null || !routed.valid(shards)) {
-      done.accept(ServerResponse.ofStatus(400));
+      done.accept(ServerResponse.ofStatus(HttpStatus.BAD_REQUEST));
       return;
     }
     Reply given = local.transfer(routed.from(), routed.to(), routed.request());
-    done.accept(ServerResponse.of(200, given == null ? Reply.NONE : given));
+    done.accept(ServerResponse.of(HttpStatus.OK, given == null ? Reply.NONE : given));
   }
 }
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -5,6 +5,7 @@
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
 import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.ServerResponse;
 import dev.windbend.worker.HeldHeartbeats.Awaited;
 import dev.windbend.worker.HeldHeartbeats.Held;
@@ -94,7 +95,7 @@
   public void handle(Heartbeat heartbeat, Consumer<ServerResponse> responseTarget) {
     Machine machine = fleet.find(heartbeat.machine());
     if (!admits(machine, heartbeat)) {
-      responseTarget.accept(ServerResponse.ofStatus(503));
+      responseTarget.accept(ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE));
       return;
     }
     long nowMs = loop.nowMs();
@@ -270,7 +271,7 @@
 
   private ServerResponse response(ResponseKind kind, Machine machine, Heartbeat heartbeat) {
     return switch (kind) {
-      case RENEW_NOTHING -> ServerResponse.ofStatus(503);
+      case RENEW_NOTHING -> ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE);
       case STOP_CANCELLED -> renewal(machine, reconciler.stopsOfCancelledTasks(heartbeat));
       case STOP_UNWANTED -> renewal(machine, reconciler.ordersWithoutStarts(machine, heartbeat));
       case STOP_AND_START -> renewal(machine, reconciler.ordersWithStarts(machine, heartbeat));
@@ -278,7 +279,8 @@
   }
 
   private ServerResponse renewal(Machine machine, List<Order> orders) {
-    return ServerResponse.of(200, new WorkerMessages.Orders(machine.token(token), orders));
+    return ServerResponse.of(
+        HttpStatus.OK, new WorkerMessages.Orders(machine.token(token), orders));
   }
 
   private static boolean hasRoom(Machine machine) {
--- a/src/main/java/dev/windbend/worker/HeldHeartbeats.java
+++ b/src/main/java/dev/windbend/worker/HeldHeartbeats.java
@@ -2,6 +2,7 @@
 
 import dev.windbend.machine.Machine;
 import dev.windbend.runtime.EventLoop;
+import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.ServerResponse;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -72,7 +73,12 @@
 
   /** Refuses all that are held. */
   void close() {
-    byMachine.values().forEach(held -> held.responseTarget().accept(ServerResponse.ofStatus(503)));
+    byMachine
+        .values()
+        .forEach(
+            held ->
+                held.responseTarget()
+                    .accept(ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE)));
     byMachine.clear();
   }
 }
