--- a/src/test/java/dev/windbend/ArchitectureTest.java
+++ b/src/test/java/dev/windbend/ArchitectureTest.java
@@ -2,6 +2,7 @@
 
 import static com.tngtech.archunit.base.DescribedPredicate.describe;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.base.DescribedPredicate;
 import com.tngtech.archunit.core.domain.JavaClass;
@@ -41,6 +42,10 @@
           .dependOnClassesThat()
           .resideInAPackage("com.fasterxml.jackson.annotation..");
 
+  @ArchTest
+  static final ArchRule PACKAGES_ARE_FREE_OF_CYCLES =
+      slices().matching("dev.windbend.(*)..").should().beFreeOfCycles();
+
   @ArchTest
   static final ArchRule PLANNER_IS_PURE =
       noClasses()
