--- a/src/main/java/dev/windbend/shard/CapacityProvisioner.java
+++ b/src/main/java/dev/windbend/shard/CapacityProvisioner.java
@@ -19,7 +19,7 @@
  */
 final class CapacityProvisioner {
   /** Cycles on events are many, and each scale-out takes a write and a request to the cloud. */
-  private static final long SCALE_OUT_GAP_MS = 2_000;
+  private static final long MIN_SCALE_OUT_INTERVAL_MS = 2_000;
 
   private static final int MAX_PENDING_SCALE_OUTS = 8;
 
@@ -67,30 +67,30 @@
 
   /** Other shards may get the machines with these indices, which are idle and not reserved. */
   void offerForTransfer(List<Integer> indices, List<Machine> machines) {
-    List<Machine> idle = new ArrayList<>();
+    List<Machine> idleMachines = new ArrayList<>();
     for (int index : indices) {
-      idle.add(machines.get(index));
+      idleMachines.add(machines.get(index));
     }
-    transfers.setIdleMachines(idle);
+    transfers.setIdleMachines(idleMachines);
   }
 
   /** Requests the lacking machines of the other shards, and of the cloud what they don't give. */
   void acquire(SchedulingDecision decision, List<InstanceOffer> offers, long nowMs) {
     // The search for starved jobs goes over all jobs and machines: only when others may be asked.
     boolean mayRequest = transfers.mayRequest();
-    MachineTransferMessages.Overdue starved =
+    MachineTransferMessages.Overdue starvedTasks =
         mayRequest && transfers.mayRequestForOverdue()
             ? starvedJobs.tasksWithoutCapacity(nowMs).orElse(null)
             : null;
-    if (mayRequest && (decision.lackingCores() > 0 || starved != null)) {
+    if (mayRequest && (decision.lackingCores() > 0 || starvedTasks != null)) {
       transfers.request(
           decision.lackingCores(),
           state.catalog().largestCores(),
           !state.fleet().anyRefused(),
-          starved,
-          coming -> {
+          starvedTasks,
+          incomingMachines -> {
             if (mayAct.getAsBoolean()) {
-              scaleOut(decision.scaleOuts(), offers, coming);
+              scaleOut(decision.scaleOuts(), offers, incomingMachines);
             }
           });
     } else if (!transfers.requestPending()) {
@@ -99,24 +99,28 @@
   }
 
   /**
-   * @param coming machines that other shards transfer: so many fewer are requested of the cloud
+   * @param incomingMachines machines that other shards transfer: so many fewer are requested of the
+   *     cloud
    */
   private void scaleOut(
-      List<SchedulingDecision.ScaleOut> requests, List<InstanceOffer> offers, int coming) {
+      List<SchedulingDecision.ScaleOut> requests,
+      List<InstanceOffer> offers,
+      int incomingMachines) {
     long nowMs = loop.nowMs();
     if (requests.isEmpty()
         || state.fleet().pendingScaleOuts().size() > MAX_PENDING_SCALE_OUTS
-        || nowMs - lastScaleOutMs < SCALE_OUT_GAP_MS) {
+        || nowMs - lastScaleOutMs < MIN_SCALE_OUT_INTERVAL_MS) {
       return;
     }
     lastScaleOutMs = nowMs;
-    int covered = coming;
+    int machinesFromTransfers = incomingMachines;
     for (SchedulingDecision.ScaleOut request : requests) {
       InstanceKind kind = offers.get(request.offer()).kind();
       int machines =
           Math.min(
-              state.zones().scaleOutLimit(kind.zone()), Math.max(0, request.count() - covered));
-      covered = Math.max(0, covered - request.count());
+              state.zones().scaleOutLimit(kind.zone()),
+              Math.max(0, request.count() - machinesFromTransfers));
+      machinesFromTransfers = Math.max(0, machinesFromTransfers - request.count());
       if (machines > 0) {
         state
             .fleet()
--- a/src/main/java/dev/windbend/shard/CloudListCheck.java
+++ b/src/main/java/dev/windbend/shard/CloudListCheck.java
@@ -10,12 +10,12 @@
  */
 final class CloudListCheck {
   /** The shard whose leader looks for orphaned machines. */
-  private static final int FIRST_SHARD = 0;
+  private static final int ORPHAN_CHECK_SHARD = 0;
 
   /** Multiples of the list's lag. */
   private static final double INHERITED_CHECK_LAGS = 2.5;
 
-  private static final double CHECK_INTERVAL_LAGS = 2;
+  private static final double RECONCILIATION_INTERVAL_LAGS = 2;
   private static final double ORPHANED_AFTER_LAGS = 8;
 
   private final int shard;
@@ -25,7 +25,7 @@
   private final double listLagMs;
   private boolean inheritedChecked;
   private long startedMs;
-  private long lastCheckMs;
+  private long lastReconciliationMs;
 
   CloudListCheck(
       int shard,
@@ -43,20 +43,21 @@
   /** The shard was taken over now. */
   void start(long nowMs) {
     startedMs = nowMs;
-    lastCheckMs = nowMs;
+    lastReconciliationMs = nowMs;
   }
 
   /** Once all that former leaders had created must be listed. */
-  void checkInherited(long nowMs) {
+  void returnUnlistedInherited(long nowMs) {
     if (!inheritedChecked && nowMs - startedMs >= INHERITED_CHECK_LAGS * listLagMs) {
       inheritedChecked = true;
       fleet.returnUnlistedInherited();
     }
   }
 
-  void checkFailedAndOrphaned(long nowMs) {
-    if (shard == FIRST_SHARD && nowMs - lastCheckMs >= CHECK_INTERVAL_LAGS * listLagMs) {
-      lastCheckMs = nowMs;
+  void reconcileFailedAndOrphaned(long nowMs) {
+    if (shard == ORPHAN_CHECK_SHARD
+        && nowMs - lastReconciliationMs >= RECONCILIATION_INTERVAL_LAGS * listLagMs) {
+      lastReconciliationMs = nowMs;
       fleet.reconcileWithCloud(
           (long) (ORPHANED_AFTER_LAGS * listLagMs), index::knows, orphanedMachines::addCandidate);
     }
--- a/src/main/java/dev/windbend/shard/DeploymentSpec.java
+++ b/src/main/java/dev/windbend/shard/DeploymentSpec.java
@@ -24,11 +24,12 @@
     ServiceObjectives objectives) {
 
   /** The leaders of all shards together take this part of the writes that are allowed. */
-  private static final double SHARE_OF_WRITES = 0.5;
+  private static final double LEADER_WRITE_RATE_SHARE = 0.5;
 
   /** Least time between two writes of a shard's leader. */
-  long writeIntervalMs(int shards) {
-    return (long) (Units.MS_PER_SECOND / SHARE_OF_WRITES * shards / store.writesPerSecond());
+  long minWriteIntervalMs(int shards) {
+    return (long)
+        (Units.MS_PER_SECOND / LEADER_WRITE_RATE_SHARE * shards / store.writesPerSecond());
   }
 
   /** The guaranteed cores of all teams of a shard. */
@@ -67,18 +68,18 @@
   /**
    * What the cloud allows.
    *
-   * @param listLagSeconds how far its list of machines may be behind
+   * @param maxListLagSeconds how far its list of machines may be behind
    * @param requestsPerSecond requests that all controllers together may send
    */
-  public record CloudLimits(double listLagSeconds, double requestsPerSecond) {}
+  public record CloudLimits(double maxListLagSeconds, double requestsPerSecond) {}
 
   /**
    * What the state service allows.
    *
-   * @param valueBytes the size of a stored value at most
+   * @param maxValueBytes the size of a stored value at most
    * @param writesPerSecond changes that all controllers together may make
    */
-  public record StoreLimits(int valueBytes, double writesPerSecond) {}
+  public record StoreLimits(int maxValueBytes, double writesPerSecond) {}
 
   /**
    * Service-level objectives, by kind of job.
@@ -94,26 +95,34 @@
       Map<String, double[]> finishWithinSeconds,
       Map<String, Double> startWithinSeconds,
       double guaranteedStartSeconds) {
-    private static final double[] ONCE = {1};
-    private static final double[] NONE = {};
+    private static final double[] DEFAULT_DEADLINE_FACTORS = {1};
+    private static final double[] NO_TIME_LIMITS = {};
 
     /**
      * The times within which a job should finish.
      *
      * @param deadlineSeconds the job's own deadline; null: it has none
-     * @param impliedSeconds what counts for a job with neither a deadline nor an objective
-     * @param fromObjectives whether objectives count at all
+     * @param impliedDeadlineSeconds what counts for a job with neither a deadline nor an objective
+     * @param useObjectives whether objectives count at all
      * @return seconds from submission, ascending
      */
     double[] timeLimitsSeconds(
-        String kind, Double deadlineSeconds, double impliedSeconds, boolean fromObjectives) {
-      double[] within = fromObjectives ? finishWithinSeconds.getOrDefault(kind, NONE) : NONE;
+        String kind, Double deadlineSeconds, double impliedDeadlineSeconds, boolean useObjectives) {
+      double[] finishLimitsSeconds =
+          useObjectives ? finishWithinSeconds.getOrDefault(kind, NO_TIME_LIMITS) : NO_TIME_LIMITS;
       if (deadlineSeconds != null) {
-        double[] factors = fromObjectives ? deadlineFactors.getOrDefault(kind, ONCE) : ONCE;
+        double[] factors =
+            useObjectives
+                ? deadlineFactors.getOrDefault(kind, DEFAULT_DEADLINE_FACTORS)
+                : DEFAULT_DEADLINE_FACTORS;
         DoubleStream deadlines = Arrays.stream(factors).map(factor -> factor * deadlineSeconds);
-        return DoubleStream.concat(deadlines, Arrays.stream(within)).sorted().toArray();
+        return DoubleStream.concat(deadlines, Arrays.stream(finishLimitsSeconds))
+            .sorted()
+            .toArray();
       }
-      return within.length == 0 ? new double[] {impliedSeconds} : within;
+      return finishLimitsSeconds.length == 0
+          ? new double[] {impliedDeadlineSeconds}
+          : finishLimitsSeconds;
     }
   }
 }
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -10,7 +10,7 @@
 
 /** How long the tasks of jobs run, as estimated, and when the jobs are due. */
 final class JobDeadlines implements ZoneMonitor.JobTimes {
-  private static final double MIN_ESTIMATE_SECONDS = 1;
+  private static final double MIN_ESTIMATED_RUN_TIME_SECONDS = 1;
 
   private final EventLoop loop;
   private final MachineTypeCatalog catalog;
@@ -37,19 +37,20 @@
   }
 
   /** A task of the job has completed after running for so long. */
-  void taskCompleted(Job job, double ranSeconds) {
-    estimates.recordRunTime(estimateKey(job), ranSeconds);
+  void recordCompletedTask(Job job, double runTimeSeconds) {
+    estimates.recordRunTime(estimateKey(job), runTimeSeconds);
   }
 
   /** How long a task of the job runs, as estimated. */
-  double estimateSeconds(Job job) {
+  double estimatedRunTimeSeconds(Job job) {
     return Math.max(
-        MIN_ESTIMATE_SECONDS, estimates.estimateSeconds(estimateKey(job), job.spec().estimateS()));
+        MIN_ESTIMATED_RUN_TIME_SECONDS,
+        estimates.estimateSeconds(estimateKey(job), job.spec().estimateS()));
   }
 
   @Override
   public long estimateMs(Job job) {
-    return Units.toMs(estimateSeconds(job));
+    return Units.toMs(estimatedRunTimeSeconds(job));
   }
 
   /** Time since the job's submission. */
@@ -58,8 +59,8 @@
   }
 
   /** The next of its time limits that the job can still meet. */
-  Deadlines next(Job job, long ageMs) {
-    double[] limits =
+  Deadlines nextDeadline(Job job, long ageMs) {
+    double[] timeLimitsSeconds =
         deployment
             .objectives()
             .timeLimitsSeconds(
@@ -67,13 +68,13 @@
                 job.spec().dueS(),
                 policy.impliedDeadlineFactor() * job.spec().estimateS(),
                 policy.deadlinesFromObjectives());
-    return Deadlines.next(limits, Units.toSeconds(ageMs), estimateSeconds(job));
+    return Deadlines.next(timeLimitsSeconds, Units.toSeconds(ageMs), estimatedRunTimeSeconds(job));
   }
 
   @Override
   public long dueMs(Job job, long nowMs) {
     long ageMs = ageMs(job);
-    return nowMs - ageMs + Units.toMs(next(job, ageMs).dueSeconds());
+    return nowMs - ageMs + Units.toMs(nextDeadline(job, ageMs).dueSeconds());
   }
 
   /** How long the slowest type of machine takes to boot; 0: no type is known. */
--- a/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -17,16 +17,16 @@
 /** Describes machines to the planner: what is free, what will be, and when they may go. */
 final class MachineCapacityBuilder {
   /** A machine beyond the reserve goes once it has been idle for so long. */
-  private static final long MIN_IDLE_MS = 10_000;
+  private static final long MIN_IDLE_BEFORE_SCALE_IN_MS = 10_000;
 
   /** What should have happened by now is expected this soon. */
-  private static final long IMMINENT_MS = 1_000;
+  private static final long MIN_EXPECTED_DELAY_MS = 1_000;
 
   /** A machine that has taken so many times its boot time may not come at all. */
   private static final double LATE_BOOT_FACTOR = 1.5;
 
   /** Such a machine is expected after so many times its boot time from now. */
-  private static final double LATE_BOOT_WAIT_FACTOR = 2.5;
+  private static final double LATE_BOOT_REMAINING_FACTOR = 2.5;
 
   private static final double MIN_FETCH_GB_PER_SECOND = 0.01;
 
@@ -45,7 +45,7 @@
   /**
    * @param tasks those that still take capacity of the machine
    */
-  MachineCapacity ofMachine(Machine machine, List<Placement> tasks, long nowMs) {
+  MachineCapacity fromMachine(Machine machine, List<Placement> tasks, long nowMs) {
     MachineType type = machine.type();
     Resources free = resources(type);
     List<RunningTask> running = new ArrayList<>();
@@ -57,18 +57,20 @@
               expectedEndMs(task, type, nowMs),
               used,
               task.job().spec().urgency().rank(),
-              lostMs(task, nowMs)));
+              lostRunTimeMs(task, nowMs)));
     }
     long idleSinceMs = machine.idleSinceMs() >= 0 ? machine.idleSinceMs() : nowMs;
     MachineCapacity.Lifetime lifetime =
         new MachineCapacity.Lifetime(
             machine.tasks().isEmpty(),
             paidUntilMs(machine, idleSinceMs),
-            Math.max(machine.requestedMs() + policy.billingBlockMs(), idleSinceMs + MIN_IDLE_MS));
+            Math.max(
+                machine.requestedMs() + policy.billingBlockMs(),
+                idleSinceMs + MIN_IDLE_BEFORE_SCALE_IN_MS));
     return new MachineCapacity(
         kind(type, machine.zone(), machine.spot()),
         machine.usable(nowMs),
-        nextResponseMs(machine, nowMs),
+        timeToNextResponseMs(machine, nowMs),
         readyMs(machine, nowMs),
         free,
         lifetime,
@@ -77,9 +79,9 @@
   }
 
   /** A machine that the cloud was asked for and has not named yet. */
-  MachineCapacity ofRequested(Fleet.PendingScaleOut request, long nowMs) {
+  MachineCapacity fromPendingScaleOut(Fleet.PendingScaleOut request, long nowMs) {
     MachineType type = request.type();
-    long readyMs = bootedMs(request.sinceMs(), type, nowMs);
+    long readyMs = expectedBootEndMs(request.sinceMs(), type, nowMs);
     return new MachineCapacity(
         kind(type, request.zone(), request.spot()),
         false,
@@ -105,7 +107,7 @@
   }
 
   /** How long until the machine can be told to start a task. */
-  private long nextResponseMs(Machine machine, long nowMs) {
+  private long timeToNextResponseMs(Machine machine, long nowMs) {
     return machine.liveness().awaitingResponse()
         ? 0
         : Math.max(
@@ -118,17 +120,17 @@
   /** When a machine that is not up should be. */
   private static long readyMs(Machine machine, long nowMs) {
     if (machine.lastHeartbeatMs() >= 0) {
-      return nowMs + IMMINENT_MS;
+      return nowMs + MIN_EXPECTED_DELAY_MS;
     }
     MachineType type = machine.type();
-    long sinceSeconds = (nowMs - machine.requestedMs()) / 1_000;
-    return sinceSeconds > LATE_BOOT_FACTOR * type.bootS()
-        ? nowMs + (long) (Units.MS_PER_SECOND * LATE_BOOT_WAIT_FACTOR * type.bootS())
-        : bootedMs(machine.requestedMs(), type, nowMs);
+    long bootingSeconds = (nowMs - machine.requestedMs()) / 1_000;
+    return bootingSeconds > LATE_BOOT_FACTOR * type.bootS()
+        ? nowMs + (long) (Units.MS_PER_SECOND * LATE_BOOT_REMAINING_FACTOR * type.bootS())
+        : expectedBootEndMs(machine.requestedMs(), type, nowMs);
   }
 
-  private static long bootedMs(long requestedMs, MachineType type, long nowMs) {
-    return Math.max(requestedMs + Units.toMs(type.bootS()), nowMs + IMMINENT_MS);
+  private static long expectedBootEndMs(long requestedMs, MachineType type, long nowMs) {
+    return Math.max(requestedMs + Units.toMs(type.bootS()), nowMs + MIN_EXPECTED_DELAY_MS);
   }
 
   /** The end of the billing block in which the machine went idle, or of the present one. */
@@ -140,27 +142,28 @@
   }
 
   /** The run time that stopping a task at once would lose; -1: it must not be stopped. */
-  private static long lostMs(Placement task, long nowMs) {
+  private static long lostRunTimeMs(Placement task, long nowMs) {
     boolean stateUnknown = task.inherited() && !task.seen();
     if (task.stopping() || stateUnknown) {
       return NOT_STOPPABLE;
     }
-    long ranMs = task.runningMs() < 0 ? 0 : nowMs - task.runningMs();
-    long checkpointMs = Units.toMs(task.job().spec().checkpointS());
-    return checkpointMs > 0 ? ranMs % checkpointMs : ranMs;
+    long runTimeMs = task.runningMs() < 0 ? 0 : nowMs - task.runningMs();
+    long checkpointIntervalMs = Units.toMs(task.job().spec().checkpointS());
+    return checkpointIntervalMs > 0 ? runTimeMs % checkpointIntervalMs : runTimeMs;
   }
 
   private long expectedEndMs(Placement task, MachineType type, long nowMs) {
     if (task.stopping()) {
-      return nowMs + Units.toMs(task.stopGraceS()) + IMMINENT_MS;
+      return nowMs + Units.toMs(task.stopGraceS()) + MIN_EXPECTED_DELAY_MS;
     }
-    double estimateSeconds = deadlines.estimateSeconds(task.job());
+    double estimatedRunTimeSeconds = deadlines.estimatedRunTimeSeconds(task.job());
     if (task.runningMs() < 0) {
       double fetchSeconds =
           task.job().spec().imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, type.fetchGbPerS());
-      return task.placedMs() + Units.toMs(estimateSeconds + fetchSeconds);
+      return task.placedMs() + Units.toMs(estimatedRunTimeSeconds + fetchSeconds);
     }
-    double ranSeconds = Units.toSeconds(nowMs - task.runningMs());
-    return task.runningMs() + Units.toMs(Estimates.correctedSeconds(estimateSeconds, ranSeconds));
+    double runTimeSeconds = Units.toSeconds(nowMs - task.runningMs());
+    return task.runningMs()
+        + Units.toMs(Estimates.correctedSeconds(estimatedRunTimeSeconds, runTimeSeconds));
   }
 }
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -24,25 +24,25 @@
  */
 final class MachineTransfers {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTransfers.class);
-  private static final long REQUEST_INTERVAL_MS = 2_000;
-  private static final int MAX_MACHINES_A_REQUEST = 100;
+  private static final long MIN_REQUEST_INTERVAL_MS = 2_000;
+  private static final int MAX_MACHINES_PER_REQUEST = 100;
 
   /** A shard with less than this share of its guarantee is starved. */
-  private static final double STARVED_SHARE = 0.5;
+  private static final double STARVED_GUARANTEE_SHARE = 0.5;
 
   /** Tasks that are still on a machine for an overdue task after this time are stopped. */
   private static final long EVICTION_GRACE_MS = 10_000;
 
   /** A machine that came from another shard stays for so long, so that none goes back and forth. */
-  private static final long KEEP_RECEIVED_MS = 90_000;
+  private static final long MIN_RECEIVED_RETENTION_MS = 90_000;
 
   /** Capacity counts as unused once no task has had it for this time. */
   private static final long FREE_CAPACITY_WINDOW_MS = 5_000;
 
   /** Once a machine is coming for an overdue task, no other shard is asked for so long. */
-  private static final long OVERDUE_REQUEST_INTERVAL_MS = 20_000;
+  private static final long MIN_OVERDUE_REQUEST_INTERVAL_MS = 20_000;
 
-  private static final long LONG_AGO_MS = Long.MIN_VALUE / 2;
+  private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
   private final int shard;
   private final EventLoop loop;
@@ -51,9 +51,9 @@
   private final MachineRequester requester;
   private final List<Machine> idleMachines = new ArrayList<>();
   private boolean requestPending;
-  private long lastRequestMs = LONG_AGO_MS;
-  private long overdueServedMs = LONG_AGO_MS;
-  private long windowStartMs;
+  private long lastRequestMs = NEVER_MS;
+  private long lastOverdueServedMs = NEVER_MS;
+  private long freeCapacityWindowStartMs;
 
   /**
    * Makes the transfers from and to one shard.
@@ -75,12 +75,12 @@
   }
 
   boolean mayRequest() {
-    return !requestPending && loop.nowMs() - lastRequestMs >= REQUEST_INTERVAL_MS;
+    return !requestPending && loop.nowMs() - lastRequestMs >= MIN_REQUEST_INTERVAL_MS;
   }
 
   /** No machine is on its way for an overdue task. */
   boolean mayRequestForOverdue() {
-    return loop.nowMs() - overdueServedMs >= OVERDUE_REQUEST_INTERVAL_MS;
+    return loop.nowMs() - lastOverdueServedMs >= MIN_OVERDUE_REQUEST_INTERVAL_MS;
   }
 
   /** The machines that the last scheduling cycle left idle. */
@@ -92,46 +92,47 @@
   /**
    * Asks the other shards for machines: what they can spare is paid for and need not be created.
    *
-   * @param missingCores cores that waiting tasks lack
+   * @param lackingCores cores that waiting tasks lack
    * @param largestCores the cores of the largest type of machine
-   * @param cloudHasMore whether the cloud refused no kind of machine a moment ago
+   * @param cloudAvailable whether the cloud refused no kind of machine a moment ago
    * @param overdue tasks to get capacity for in any case; null: none
    * @param done called with the number of machines that are coming
    */
   void request(
-      double missingCores,
+      double lackingCores,
       double largestCores,
-      boolean cloudHasMore,
+      boolean cloudAvailable,
       Overdue overdue,
       IntConsumer done) {
-    int count = (int) Math.ceil(missingCores / largestCores);
-    double belowGuarantee = guaranteedCores - cores(machine -> true);
+    int count = (int) Math.ceil(lackingCores / largestCores);
+    double coresBelowGuarantee = guaranteedCores - retainedCores(machine -> true);
     // What the cloud still has is not taken from others.
-    boolean entitled = belowGuarantee > 0 && !cloudHasMore;
-    double guaranteeShare = entitled ? 1 - belowGuarantee / guaranteedCores : 1;
-    if (entitled) {
-      count = Math.min(count, (int) Math.ceil(belowGuarantee / largestCores));
+    boolean requestsGuarantee = coresBelowGuarantee > 0 && !cloudAvailable;
+    double guaranteeShare = requestsGuarantee ? 1 - coresBelowGuarantee / guaranteedCores : 1;
+    if (requestsGuarantee) {
+      count = Math.min(count, (int) Math.ceil(coresBelowGuarantee / largestCores));
     }
     requestPending = true;
     lastRequestMs = loop.nowMs();
-    Request request = new Request(Math.min(MAX_MACHINES_A_REQUEST, count), guaranteeShare, overdue);
-    requester.request(shard, request, reply -> settleRequest(request, reply, done));
+    Request request =
+        new Request(Math.min(MAX_MACHINES_PER_REQUEST, count), guaranteeShare, overdue);
+    requester.request(shard, request, reply -> handleReply(request, reply, done));
   }
 
-  private void settleRequest(Request request, Reply reply, IntConsumer done) {
+  private void handleReply(Request request, Reply reply, IntConsumer done) {
     requestPending = false;
     if (request.overdueServed(reply)) {
-      overdueServedMs = loop.nowMs();
+      lastOverdueServedMs = loop.nowMs();
     }
     done.accept(reply.count());
   }
 
   /** The cores of the machines that stay with this shard. */
-  private double cores(Predicate<Machine> counted) {
+  private double retainedCores(Predicate<Machine> filter) {
     double cores = 0;
     for (Machine machine : fleet.machines()) {
       cores +=
-          machine.returning() || machine.promisedTo() >= 0 || !counted.test(machine)
+          machine.returning() || machine.promisedTo() >= 0 || !filter.test(machine)
               ? 0
               : machine.type().cores();
     }
@@ -144,21 +145,21 @@
    * that has capacity for it, busy or not.
    */
   Reply transfer(int toShard, Request request) {
-    List<Machine> transferred = transferIdle(toShard, request.count());
-    int coming = transferred.size();
-    if (request.guaranteeShare() < 1 && coming < request.count()) {
-      reserveBusy(toShard, request.count() - coming, request.guaranteeShare());
+    List<Machine> transferred = transferIdleMachines(toShard, request.count());
+    int incoming = transferred.size();
+    if (request.guaranteeShare() < 1 && incoming < request.count()) {
+      reserveBusyMachines(toShard, request.count() - incoming, request.guaranteeShare());
       // Those reserved count as coming. Otherwise every other shard would reserve as many too, and
       // the one that asks would end up with machines that it has no work for.
-      coming = Math.min(request.count(), coming + reservedFor(toShard));
+      incoming = Math.min(request.count(), incoming + reservedCount(toShard));
     }
-    return new Reply(coming, transferForOverdue(toShard, request.overdue(), transferred));
+    return new Reply(incoming, transferForOverdue(toShard, request.overdue(), transferred));
   }
 
-  private List<Machine> transferIdle(int toShard, int count) {
+  private List<Machine> transferIdleMachines(int toShard, int count) {
     List<Machine> transferred = new ArrayList<>();
     for (Machine machine : idleMachines) {
-      if (transferred.size() < count && transferableNow(machine)) {
+      if (transferred.size() < count && isTransferable(machine)) {
         transferred.add(machine);
       }
     }
@@ -168,7 +169,7 @@
   }
 
   /** What was idle in the last cycle may have changed since. */
-  private boolean transferableNow(Machine machine) {
+  private boolean isTransferable(Machine machine) {
     return machine.mayBeTransferred()
         && machine.usable(loop.nowMs())
         && machine.tasks().isEmpty()
@@ -180,15 +181,15 @@
     if (overdue == null) {
       return 0;
     }
-    int coming = (int) transferred.stream().filter(overdue.task()::allows).count();
-    int evicted = evictForOverdue(toShard, overdue.task(), overdue.count() - coming);
-    return Math.min(overdue.count(), coming + evicted);
+    int incoming = (int) transferred.stream().filter(overdue.task()::allows).count();
+    int evicted = evictForOverdue(toShard, overdue.task(), overdue.count() - incoming);
+    return Math.min(overdue.count(), incoming + evicted);
   }
 
   /** Called at a steady interval: stops the tasks whose grace has ended. */
   void tick(long now) {
-    if (now - windowStartMs >= FREE_CAPACITY_WINDOW_MS) {
-      windowStartMs = now;
+    if (now - freeCapacityWindowStartMs >= FREE_CAPACITY_WINDOW_MS) {
+      freeCapacityWindowStartMs = now;
       fleet.machines().forEach(Machine::beginWindow);
     }
     for (Machine machine : fleet.machines()) {
@@ -210,18 +211,18 @@
     List<Machine> candidates = new ArrayList<>(fleet.machines());
     candidates.sort(
         Comparator.<Machine, Boolean>comparing(machine -> machine.promisedTo() != toShard)
-            .thenComparingDouble(this::workLostByStopping));
-    int coming = 0;
+            .thenComparingDouble(this::lostWorkOnEviction));
+    int incoming = 0;
     for (Machine machine : candidates) {
-      boolean suits =
-          coming < count
+      boolean suitable =
+          incoming < count
               && (machine.promisedTo() == toShard ? task.allows(machine) : mayEvict(machine, task));
-      if (suits) {
+      if (suitable) {
         evict(machine, toShard);
-        coming++;
+        incoming++;
       }
     }
-    return coming;
+    return incoming;
   }
 
   private void evict(Machine machine, int toShard) {
@@ -242,23 +243,24 @@
    */
   private boolean mayEvict(Machine machine, TaskRequirements task) {
     long now = loop.nowMs();
-    boolean justReceived = machine.received() && now - machine.requestedMs() < KEEP_RECEIVED_MS;
+    boolean recentlyReceived =
+        machine.received() && now - machine.requestedMs() < MIN_RECEIVED_RETENTION_MS;
     if (!machine.usable(now)
-        || justReceived
+        || recentlyReceived
         || machine.steadilyFreeCores() < task.cores()
         || !task.hasRoomOn(machine)) {
       return false;
     }
-    double coresLeft = cores(other -> other != machine && other.usable(now));
-    double freeElsewhere = 0;
+    double remainingCores = retainedCores(other -> other != machine && other.usable(now));
+    double freeCoresElsewhere = 0;
     for (Machine other : fleet.machines()) {
-      freeElsewhere += other != machine && other.usable(now) ? other.freeCores() : 0;
+      freeCoresElsewhere += other != machine && other.usable(now) ? other.freeCores() : 0;
     }
-    return coresLeft >= guaranteedCores
-        || freeElsewhere >= machine.type().cores() - machine.freeCores();
+    return remainingCores >= guaranteedCores
+        || freeCoresElsewhere >= machine.type().cores() - machine.freeCores();
   }
 
-  private int reservedFor(int toShard) {
+  private int reservedCount(int toShard) {
     int reserved = 0;
     for (Machine machine : fleet.machines()) {
       reserved += machine.promisedTo() == toShard ? 1 : 0;
@@ -270,19 +272,19 @@
    * Reserves machines for a shard below its guarantee: what this shard has above its own, and, for
    * a starved one, half of what this one has more, as shares of the guarantees.
    */
-  private void reserveBusy(int toShard, int count, double guaranteeShare) {
+  private void reserveBusyMachines(int toShard, int count, double guaranteeShare) {
     // A machine that is booting may take long: only those that are up are reserved.
-    double coresUp = cores(machine -> machine.usable(loop.nowMs()));
-    double spareCores = coresUp - guaranteedCores;
-    if (guaranteeShare < STARVED_SHARE) {
+    double usableCores = retainedCores(machine -> machine.usable(loop.nowMs()));
+    double spareCores = usableCores - guaranteedCores;
+    if (guaranteeShare < STARVED_GUARANTEE_SHARE) {
       // Not all guarantees can be met, so they are met alike: no shard is left with nothing.
-      spareCores = Math.max(spareCores, (coresUp - guaranteeShare * guaranteedCores) / 2);
+      spareCores = Math.max(spareCores, (usableCores - guaranteeShare * guaranteedCores) / 2);
     }
-    int missing = count - reservedFor(toShard);
+    int remaining = count - reservedCount(toShard);
     List<Machine> candidates = new ArrayList<>(fleet.machines());
-    candidates.sort(Comparator.comparingDouble(this::workLostByStopping));
+    candidates.sort(Comparator.comparingDouble(this::lostWorkOnEviction));
     for (Machine machine : candidates) {
-      if (missing > 0 && spareCores >= machine.type().cores() && machine.usable(loop.nowMs())) {
+      if (remaining > 0 && spareCores >= machine.type().cores() && machine.usable(loop.nowMs())) {
         LOG.info(
             "machine reserved for transfer: shard={} machine={} to_shard={}",
             shard,
@@ -290,7 +292,7 @@
             toShard);
         reserve(machine, toShard);
         spareCores -= machine.type().cores();
-        missing--;
+        remaining--;
       }
     }
   }
@@ -309,7 +311,7 @@
   }
 
   /** Core milliseconds, roughly: tasks that write checkpoints lose hardly anything. */
-  private double workLostByStopping(Machine machine) {
+  private double lostWorkOnEviction(Machine machine) {
     double lost = 0;
     long now = loop.nowMs();
     for (Placement placement : machine.tasks().values()) {
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -19,7 +19,11 @@
 
   /** Empty if no job waits. */
   static Optional<OldestWaitingJob> find(
-      ShardState state, DeploymentSpec deployment, StarvedJobs jobs, long nowMs, long wallMs) {
+      ShardState state,
+      DeploymentSpec deployment,
+      StarvedJobs starvedJobs,
+      long nowMs,
+      long wallMs) {
     Job oldest = oldest(state.jobs());
     if (oldest == null) {
       return Optional.empty();
@@ -30,7 +34,7 @@
             unreachableZone(oldest, state),
             oldest.notBeforeMs() - nowMs,
             exhaustedQuota(oldest, state, deployment),
-            Capacity.of(state.fleet(), jobs.requirements(oldest), nowMs));
+            Capacity.of(state.fleet(), starvedJobs.nextTaskRequirements(oldest), nowMs));
     return Optional.of(new OldestWaitingJob(oldest.spec().uid(), ageSeconds, reason));
   }
 
@@ -86,32 +90,33 @@
     if (quota.isPresent()) {
       return quota.get();
     }
-    return capacity.free() ? new WaitReason.CapacityReserved() : capacity.lacking();
+    return capacity.available() ? new WaitReason.CapacityReserved() : capacity.shortage();
   }
 
   /**
    * What the shard's machines have for a task.
    *
-   * @param free whether some machine has capacity for it now
-   * @param lacking what stands in the way if none has
+   * @param available whether some machine has capacity for it now
+   * @param shortage what stands in the way if none has
    */
-  record Capacity(boolean free, WaitReason.NoCapacity lacking) {
+  record Capacity(boolean available, WaitReason.NoCapacity shortage) {
 
     private static Capacity of(Fleet fleet, TaskRequirements task, long nowMs) {
       int booting = 0;
       int unavailable = 0;
-      boolean free = false;
+      boolean available = false;
       for (Machine machine : fleet.machines()) {
         boolean usable = machine.usable(nowMs);
-        boolean reported = machine.lastHeartbeatMs() >= 0;
-        booting += reported ? 0 : 1;
-        unavailable += reported && !usable ? 1 : 0;
-        free |= usable && task.hasRoomOn(machine);
+        boolean heartbeatReceived = machine.lastHeartbeatMs() >= 0;
+        booting += heartbeatReceived ? 0 : 1;
+        unavailable += heartbeatReceived && !usable ? 1 : 0;
+        available |= usable && task.hasRoomOn(machine);
       }
       int requested =
           fleet.pendingScaleOuts().stream().mapToInt(Fleet.PendingScaleOut::count).sum();
       return new Capacity(
-          free, new WaitReason.NoCapacity(booting, requested, unavailable, fleet.anyRefused()));
+          available,
+          new WaitReason.NoCapacity(booting, requested, unavailable, fleet.anyRefused()));
     }
   }
 }
--- a/src/main/java/dev/windbend/shard/PendingJobBuilder.java
+++ b/src/main/java/dev/windbend/shard/PendingJobBuilder.java
@@ -29,17 +29,17 @@
   }
 
   /**
-   * @param indexOfMachine the place of each machine in the snapshot, by name
+   * @param machineIndexByName the place of each machine in the snapshot, by name
    * @param guaranteed the job is within its team's guarantee
    */
-  PendingJob of(
-      Job job, long nowMs, Object2IntOpenHashMap<String> indexOfMachine, boolean guaranteed) {
+  PendingJob build(
+      Job job, long nowMs, Object2IntOpenHashMap<String> machineIndexByName, boolean guaranteed) {
     long ageMs = deadlines.ageMs(job);
     return new PendingJob(
         job.team(),
         job.spec().urgency().rank(),
         requirements(job),
-        constraints(job, indexOfMachine),
+        constraints(job, machineIndexByName),
         progress(job, nowMs, ageMs),
         objectives(job, guaranteed, nowMs, ageMs));
   }
@@ -53,7 +53,7 @@
   }
 
   private PendingJob.Constraints constraints(
-      Job job, Object2IntOpenHashMap<String> indexOfMachine) {
+      Job job, Object2IntOpenHashMap<String> machineIndexByName) {
     return new PendingJob.Constraints(
         allowedTypes(job),
         job.spec().zone() == null ? ANY_ZONE : state.catalog().zones().index(job.spec().zone()),
@@ -61,26 +61,26 @@
         job.spec().spread(),
         job.spec().spot(),
         job.notBeforeMs(),
-        avoidedMachines(job, indexOfMachine));
+        avoidedMachines(job, machineIndexByName));
   }
 
   private PendingJob.Progress progress(Job job, long nowMs, long ageMs) {
     return new PendingJob.Progress(
         job.spec().tasks(),
         job.waitingCount(),
-        starvedJobs.placedPerZone(job),
+        starvedJobs.placedTasksPerZone(job),
         ageMs,
         job.begun(),
-        StarvedJobs.starved(job, nowMs),
+        StarvedJobs.isStarved(job, nowMs),
         state.zones().displaced(job));
   }
 
   private PendingJob.Objectives objectives(Job job, boolean guaranteed, long nowMs, long ageMs) {
     long submittedMs = nowMs - ageMs;
-    Deadlines due = deadlines.next(job, ageMs);
+    Deadlines deadline = deadlines.nextDeadline(job, ageMs);
     return new PendingJob.Objectives(
-        submittedMs + Units.toMs(due.dueSeconds()),
-        due.hopeless(),
+        submittedMs + Units.toMs(deadline.dueSeconds()),
+        deadline.hopeless(),
         guaranteed,
         submittedMs + Units.toMs(startWithinSeconds(job, guaranteed)));
   }
@@ -100,11 +100,11 @@
 
   /** Machines on which tasks of the job have failed. */
   private static IntOpenHashSet avoidedMachines(
-      Job job, Object2IntOpenHashMap<String> indexOfMachine) {
+      Job job, Object2IntOpenHashMap<String> machineIndexByName) {
     IntOpenHashSet avoided = new IntOpenHashSet();
     for (String machine : job.failedMachines()) {
-      if (indexOfMachine.containsKey(machine)) {
-        avoided.add(indexOfMachine.getInt(machine));
+      if (machineIndexByName.containsKey(machine)) {
+        avoided.add(machineIndexByName.getInt(machine));
       }
     }
     return avoided;
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -80,8 +80,8 @@
     duties.scheduling.tick(SCHEDULING_INTERVAL_MS);
     duties.committer.commitDue();
     statusLog.tick(now);
-    duties.cloudList.checkInherited(now);
-    duties.cloudList.checkFailedAndOrphaned(now);
+    duties.cloudList.returnUnlistedInherited(now);
+    duties.cloudList.reconcileFailedAndOrphaned(now);
   }
 
   private void yieldIfUnreached(long now) {
--- a/src/main/java/dev/windbend/shard/ShardLeader.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -36,7 +36,7 @@
   }
 
   private void lead(long nowMs) {
-    services.zones.takeOver(context.machines().catalog().zones());
+    services.zones.recover(context.machines().catalog().zones());
     services.leadership.recordsTakenOver();
     LOG.info(
         "shard taken over: shard={} token={} jobs={} machines={}",
--- a/src/main/java/dev/windbend/shard/ShardServices.java
+++ b/src/main/java/dev/windbend/shard/ShardServices.java
@@ -86,7 +86,7 @@
         context.coordination().store(),
         ShardLeaderRecord.key(leadership.shard()),
         leadership.token(),
-        context.deployment().writeIntervalMs(context.layout().shards()),
+        context.deployment().minWriteIntervalMs(context.layout().shards()),
         leadership::stepDown,
         this::afterWrite);
   }
@@ -94,7 +94,7 @@
   private PagedStore newPages() {
     return new PagedStore(
         JobRecord.pages(leadership.shard()),
-        context.deployment().store().valueBytes(),
+        context.deployment().store().maxValueBytes(),
         context.coordination().store().maxWritesPerTransaction());
   }
 
@@ -211,7 +211,7 @@
             fleet,
             context.machines().index(),
             orphanedMachines,
-            context.deployment().cloud().listLagSeconds());
+            context.deployment().cloud().maxListLagSeconds());
     return new ReconciliationLoop(
         leadership,
         context.loop(),
--- a/src/main/java/dev/windbend/shard/ShardStatusLog.java
+++ b/src/main/java/dev/windbend/shard/ShardStatusLog.java
@@ -118,6 +118,6 @@
                 state.shard(),
                 job.uid(),
                 oldestWaitSeconds,
-                job.reason().toLog()));
+                job.reason().toLogFields()));
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardZones.java
+++ b/src/main/java/dev/windbend/shard/ShardZones.java
@@ -19,7 +19,8 @@
 
   private ShardZones(Optional<ZoneMonitor> monitor) {
     this.monitor = monitor;
-    this.availability = monitor.<ZoneAvailability>map(some -> some).orElse(ZoneAvailability.OPEN);
+    this.availability =
+        monitor.<ZoneAvailability>map(zoneMonitor -> zoneMonitor).orElse(ZoneAvailability.OPEN);
   }
 
   static ShardZones create(
@@ -27,7 +28,7 @@
       int shard,
       Fleet fleet,
       MachineHealth health,
-      JobRegistry registry,
+      JobRegistry jobs,
       ZoneMonitor.JobTimes times,
       GroupCommitter committer) {
     if (!context.policy().zones().enabled()) {
@@ -51,7 +52,7 @@
                 context.loop(),
                 fleet,
                 health,
-                registry,
+                jobs,
                 times,
                 records,
                 context.zones().metrics())));
@@ -62,8 +63,8 @@
     return availability;
   }
 
-  void takeOver(NameIndex zoneNames) {
-    monitor.ifPresent(some -> some.takeOver(zoneNames));
+  void recover(NameIndex zoneNames) {
+    monitor.ifPresent(zoneMonitor -> zoneMonitor.takeOver(zoneNames));
   }
 
   /**
@@ -72,11 +73,11 @@
    * @param leaseValidSinceMs since when the leader's lease has surely been valid
    */
   void check(long nowMs, long leaseValidSinceMs) {
-    monitor.ifPresent(some -> some.look(nowMs, leaseValidSinceMs));
+    monitor.ifPresent(zoneMonitor -> zoneMonitor.look(nowMs, leaseValidSinceMs));
   }
 
   void machineGone(Machine machine) {
-    monitor.ifPresent(some -> some.gone(machine));
+    monitor.ifPresent(zoneMonitor -> zoneMonitor.gone(machine));
   }
 
   /** One entry for each zone that is monitored. */
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -19,10 +19,10 @@
 /** Builds what a scheduling cycle decides on from the shard's jobs and machines. */
 final class SnapshotBuilder {
   /** Machines that one request to the cloud may ask for. */
-  private static final int MACHINES_PER_REQUEST = 50;
+  private static final int MAX_MACHINES_PER_REQUEST = 50;
 
   /** What is free within so many heartbeat intervals is waited for rather than preempted. */
-  private static final double PATIENCE_INTERVALS = 2;
+  private static final double PREEMPTION_WAIT_HEARTBEATS = 2;
 
   /** Jobs that came within this time or a boot's, whichever is longer, size the reserve. */
   private static final double MIN_RESERVE_WINDOW_SECONDS = 60;
@@ -56,7 +56,8 @@
    * @param oldestFirst the longest waiting jobs are served first
    * @param jobs with waiting tasks, in the order that the snapshot has
    * @param machines likewise
-   * @param running filled with the tasks of each machine, in the order that the snapshot has
+   * @param runningByMachine filled with the tasks of each machine, in the order that the snapshot
+   *     has
    */
   Snapshot build(
       long nowMs,
@@ -64,31 +65,32 @@
       List<Job> jobs,
       List<Machine> machines,
       List<InstanceOffer> offers,
-      List<List<Placement>> running) {
+      List<List<Placement>> runningByMachine) {
     List<Snapshot.Team> teams = teams();
-    Object2IntOpenHashMap<String> indexOfMachine = new Object2IntOpenHashMap<>();
+    Object2IntOpenHashMap<String> machineIndexByName = new Object2IntOpenHashMap<>();
     List<MachineCapacity> capacities = new ArrayList<>();
     for (Machine machine : machines) {
-      indexOfMachine.put(machine.name(), capacities.size());
-      List<Placement> tasks = remainingTasks(machine);
-      running.add(tasks);
-      capacities.add(machineCapacities.ofMachine(machine, tasks, nowMs));
+      machineIndexByName.put(machine.name(), capacities.size());
+      List<Placement> tasks = tasksUsingCapacity(machine);
+      runningByMachine.add(tasks);
+      capacities.add(machineCapacities.fromMachine(machine, tasks, nowMs));
     }
-    addRequestedMachines(capacities, nowMs);
+    addPendingScaleOuts(capacities, nowMs);
     List<PendingJob> pending = new ArrayList<>();
     Set<Job> guaranteed =
-        deployment.objectives().guaranteedStartSeconds() > 0 ? guaranteedJobs() : Set.of();
+        deployment.objectives().guaranteedStartSeconds() > 0 ? jobsWithinGuarantee() : Set.of();
     for (Job job : jobs) {
-      pending.add(pendingJobs.of(job, nowMs, indexOfMachine, guaranteed.contains(job)));
+      pending.add(pendingJobs.build(job, nowMs, machineIndexByName, guaranteed.contains(job)));
     }
     return new Snapshot(
         nowMs, limits(), oldestFirst, recentlySubmittedCores(), teams, pending, capacities, offers);
   }
 
   private Snapshot.Limits limits() {
-    double patienceMs =
-        PATIENCE_INTERVALS * Units.MS_PER_SECOND * deployment.workers().heartbeatSeconds();
-    return new Snapshot.Limits(policy.cyclePeriodMs(), (long) patienceMs, maxScaleOutMachines());
+    double preemptionWaitMs =
+        PREEMPTION_WAIT_HEARTBEATS * Units.MS_PER_SECOND * deployment.workers().heartbeatSeconds();
+    return new Snapshot.Limits(
+        policy.cyclePeriodMs(), (long) preemptionWaitMs, maxScaleOutMachines());
   }
 
   private List<Snapshot.Team> teams() {
@@ -103,18 +105,18 @@
   }
 
   /** A task that is stopped without grace is gone before the next start on its machine. */
-  private static List<Placement> remainingTasks(Machine machine) {
+  private static List<Placement> tasksUsingCapacity(Machine machine) {
     List<Placement> tasks = new ArrayList<>(machine.tasks().values());
     tasks.removeIf(placement -> placement.stopGraceS() == 0);
     return tasks;
   }
 
-  private void addRequestedMachines(List<MachineCapacity> capacities, long nowMs) {
+  private void addPendingScaleOuts(List<MachineCapacity> capacities, long nowMs) {
     for (Fleet.PendingScaleOut request : state.fleet().pendingScaleOuts()) {
       // A machine in a zone under evacuation can't be counted on.
       if (!state.zones().evacuates(request.zone())) {
         for (int i = 0; i < request.count(); i++) {
-          capacities.add(machineCapacities.ofRequested(request, nowMs));
+          capacities.add(machineCapacities.fromPendingScaleOut(request, nowMs));
         }
       }
     }
@@ -122,12 +124,12 @@
 
   /** The cloud limits requests, and one request asks for many machines. */
   private int maxScaleOutMachines() {
-    double requests =
+    double requestsPerCycle =
         deployment.cloud().requestsPerSecond()
             * policy.cyclePeriodMs()
             / Units.MS_PER_SECOND
             / deployment.controllers();
-    return MACHINES_PER_REQUEST * (int) Math.max(1, requests);
+    return MAX_MACHINES_PER_REQUEST * (int) Math.max(1, requestsPerCycle);
   }
 
   /** The cores of the jobs that came within the time that a machine takes to boot. */
@@ -143,7 +145,7 @@
   }
 
   /** Jobs that fit into their team's guarantee together with the team's earlier ones. */
-  private Set<Job> guaranteedJobs() {
+  private Set<Job> jobsWithinGuarantee() {
     List<Job> jobs = new ArrayList<>(state.jobs().all());
     jobs.sort(Comparator.comparingLong(Job::submittedWallMs));
     double[] cores = new double[deployment.teams().size()];
--- a/src/main/java/dev/windbend/shard/StarvedJobs.java
+++ b/src/main/java/dev/windbend/shard/StarvedJobs.java
@@ -29,7 +29,7 @@
     this.deployment = deployment;
   }
 
-  static boolean starved(Job job, long nowMs) {
+  static boolean isStarved(Job job, long nowMs) {
     return job.waitingCount() > 0
         && job.notBeforeMs() <= nowMs
         && job.sinceProgressMs(nowMs) >= STARVED_AFTER_MS;
@@ -41,18 +41,18 @@
    */
   Optional<MachineTransferMessages.Overdue> tasksWithoutCapacity(long nowMs) {
     Job longestWaiting = null;
-    double cores = 0;
-    double[] used = TeamUsage.cores(state.jobs().all(), deployment.teams().size());
+    double lackingCores = 0;
+    double[] usedCores = TeamUsage.cores(state.jobs().all(), deployment.teams().size());
     for (Job job : state.jobs().all()) {
       double maxCores = deployment.teams().get(job.team()).maxCores();
-      if (!starved(job, nowMs)
-          || failsEverywhere(job)
-          || used[job.team()] + job.spec().cores() > maxCores
-          || hasCapacity(requirements(job), nowMs)) {
+      if (!isStarved(job, nowMs)
+          || failsOnAllMachines(job)
+          || usedCores[job.team()] + job.spec().cores() > maxCores
+          || anyMachineHasCapacity(nextTaskRequirements(job), nowMs)) {
         continue;
       }
-      used[job.team()] += job.spec().cores();
-      cores += job.spec().cores();
+      usedCores[job.team()] += job.spec().cores();
+      lackingCores += job.spec().cores();
       if (longestWaiting == null
           || longestWaiting.sinceProgressMs(nowMs) < job.sinceProgressMs(nowMs)) {
         longestWaiting = job;
@@ -61,22 +61,23 @@
     if (longestWaiting == null) {
       return Optional.empty();
     }
-    int machines = (int) Math.ceil(cores / state.catalog().largestCores());
-    return Optional.of(new MachineTransferMessages.Overdue(requirements(longestWaiting), machines));
+    int machines = (int) Math.ceil(lackingCores / state.catalog().largestCores());
+    return Optional.of(
+        new MachineTransferMessages.Overdue(nextTaskRequirements(longestWaiting), machines));
   }
 
   /** No machine is vacated for a job that was most likely submitted with a mistake. */
-  private static boolean failsEverywhere(Job job) {
+  private static boolean failsOnAllMachines(Job job) {
     return job.backOffs() > 0 && job.doneCount() == 0;
   }
 
-  private boolean hasCapacity(TaskRequirements task, long nowMs) {
+  private boolean anyMachineHasCapacity(TaskRequirements task, long nowMs) {
     return state.fleet().machines().stream()
         .anyMatch(machine -> machine.usable(nowMs) && task.hasRoomOn(machine));
   }
 
   /** What the next task of a job needs, given the tasks that are placed. */
-  TaskRequirements requirements(Job job) {
+  TaskRequirements nextTaskRequirements(Job job) {
     return new TaskRequirements(
         job.spec().cores(),
         job.spec().gpus(),
@@ -90,12 +91,13 @@
     if (job.spec().zone() != null) {
       return List.of(job.spec().zone());
     }
-    int[] placed = placedPerZone(job);
-    boolean anyPlaced = Arrays.stream(placed).anyMatch(count -> count > 0);
+    int[] tasksPerZone = placedTasksPerZone(job);
+    boolean anyPlaced = Arrays.stream(tasksPerZone).anyMatch(count -> count > 0);
     List<String> zones = new ArrayList<>();
-    for (int zone = 0; zone < placed.length; zone++) {
-      boolean breaksColocation = job.spec().together() && anyPlaced && placed[zone] == 0;
-      boolean breaksSpread = job.spec().spread() && placed[zone] + 1 > (job.spec().tasks() + 1) / 2;
+    for (int zone = 0; zone < tasksPerZone.length; zone++) {
+      boolean breaksColocation = job.spec().together() && anyPlaced && tasksPerZone[zone] == 0;
+      boolean breaksSpread =
+          job.spec().spread() && tasksPerZone[zone] + 1 > (job.spec().tasks() + 1) / 2;
       if (!breaksColocation && !breaksSpread) {
         zones.add(state.catalog().zones().name(zone));
       }
@@ -104,16 +106,16 @@
   }
 
   /** Placed tasks by zone, counted only for jobs that are co-located or spread. */
-  int[] placedPerZone(Job job) {
-    int[] perZone = new int[state.catalog().zones().size()];
+  int[] placedTasksPerZone(Job job) {
+    int[] tasksPerZone = new int[state.catalog().zones().size()];
     if (job.spec().spread() || job.spec().together()) {
       for (Placement placement : job.placements()) {
         Machine machine = state.fleet().find(placement.machineName());
         if (machine != null) {
-          perZone[machine.zone()]++;
+          tasksPerZone[machine.zone()]++;
         }
       }
     }
-    return perZone;
+    return tasksPerZone;
   }
 }
--- a/src/main/java/dev/windbend/shard/TaskOutcomes.java
+++ b/src/main/java/dev/windbend/shard/TaskOutcomes.java
@@ -50,7 +50,8 @@
   @Override
   public void taskCompleted(Placement placement, long nowMs) {
     if (placement.runningMs() >= 0) {
-      deadlines.taskCompleted(placement.job(), Units.toSeconds(nowMs - placement.runningMs()));
+      deadlines.recordCompletedTask(
+          placement.job(), Units.toSeconds(nowMs - placement.runningMs()));
     }
   }
 
--- a/src/main/java/dev/windbend/shard/TeamUsage.java
+++ b/src/main/java/dev/windbend/shard/TeamUsage.java
@@ -19,10 +19,10 @@
     return sum(jobs, teams, job -> job.spec().gpus());
   }
 
-  private static double[] sum(Collection<Job> jobs, int teams, ToDoubleFunction<Job> ofOneTask) {
+  private static double[] sum(Collection<Job> jobs, int teams, ToDoubleFunction<Job> perTask) {
     double[] used = new double[teams];
     for (Job job : jobs) {
-      used[job.team()] += job.placements().size() * ofOneTask.applyAsDouble(job);
+      used[job.team()] += job.placements().size() * perTask.applyAsDouble(job);
     }
     return used;
   }
--- a/src/main/java/dev/windbend/shard/WaitReason.java
+++ b/src/main/java/dev/windbend/shard/WaitReason.java
@@ -4,12 +4,12 @@
 sealed interface WaitReason {
 
   /** The reason as it is logged: {@code cause=} and its values. */
-  String toLog();
+  String toLogFields();
 
   /** The job may run in one zone only, which is unreachable. */
   record ZoneUnreachable(String zone) implements WaitReason {
     @Override
-    public String toLog() {
+    public String toLogFields() {
       return "cause=zone_unreachable zone=" + zone;
     }
   }
@@ -23,16 +23,16 @@
     private static final long MS_PER_SECOND = 1_000;
 
     @Override
-    public String toLog() {
-      long roundedUp = (retryInMs + MS_PER_SECOND - 1) / MS_PER_SECOND;
-      return "cause=backoff retry_in_s=" + roundedUp;
+    public String toLogFields() {
+      long retryInSeconds = (retryInMs + MS_PER_SECOND - 1) / MS_PER_SECOND;
+      return "cause=backoff retry_in_s=" + retryInSeconds;
     }
   }
 
   /** With another task the job's team would be over its quota. */
   record TeamQuota(double usedCores, double maxCores) implements WaitReason {
     @Override
-    public String toLog() {
+    public String toLogFields() {
       return "cause=team_quota used_cores=%.0f max_cores=%.0f".formatted(usedCores, maxCores);
     }
   }
@@ -40,7 +40,7 @@
   /** There is capacity, kept for jobs that go first or closed to this one by zone or spread. */
   record CapacityReserved() implements WaitReason {
     @Override
-    public String toLog() {
+    public String toLogFields() {
       return "cause=capacity_reserved";
     }
   }
@@ -56,7 +56,7 @@
   record NoCapacity(int booting, int requested, int unavailable, boolean cloudExhausted)
       implements WaitReason {
     @Override
-    public String toLog() {
+    public String toLogFields() {
       return "cause=no_capacity booting=%d requested=%d unavailable=%d cloud_exhausted=%b"
           .formatted(booting, requested, unavailable, cloudExhausted);
     }
--- a/src/test/java/dev/windbend/shard/DeploymentSpecTest.java
+++ b/src/test/java/dev/windbend/shard/DeploymentSpecTest.java
@@ -29,11 +29,12 @@
     "none,100,true,100",
     "none,,true,400",
   })
-  void isDueAtEachLimitOfItsClass(String kind, Double due, boolean fromAims, String limits) {
-    String got =
-        Arrays.stream(OBJECTIVES.timeLimitsSeconds(kind, due, 400, fromAims))
+  void timeLimitsIncludeEachLimitOfTheClass(
+      String kind, Double deadlineSeconds, boolean useObjectives, String expected) {
+    String actual =
+        Arrays.stream(OBJECTIVES.timeLimitsSeconds(kind, deadlineSeconds, 400, useObjectives))
             .mapToObj(l -> Long.toString(Math.round(l)))
             .collect(Collectors.joining(" "));
-    assertThat(got).isEqualTo(limits);
+    assertThat(actual).isEqualTo(expected);
   }
 }
--- a/src/test/java/dev/windbend/shard/MachineTransfersTest.java
+++ b/src/test/java/dev/windbend/shard/MachineTransfersTest.java
@@ -55,11 +55,11 @@
   private MachineTransfers transfers;
 
   @BeforeEach
-  void tenMachines() {
-    HttpClient web =
+  void createFleetOfTenMachines() {
+    HttpClient httpClient =
         (address, method, path, body, limitMs, done) ->
             done.accept(new ClientResponse(200, TYPES.getBytes(StandardCharsets.UTF_8)));
-    cloud = new CloudClient(loop, web, "cloud:1", 10, 1);
+    cloud = new CloudClient(loop, httpClient, "cloud:1", 10, 1);
     catalog = new MachineTypeCatalog(loop, cloud, List.of("a"));
     catalog.start();
     fleet = new Fleet(loop, cloud, catalog, 0, 7, listener);
@@ -67,32 +67,33 @@
     for (int i = 0; i < 10; i++) {
       names.add("m" + i);
     }
-    ScaleOutRecord hire = new ScaleOutRecord("t", "a", true, 10, names, null);
-    MachineIndex directory = new MachineIndex();
+    ScaleOutRecord scaleOut = new ScaleOutRecord("t", "a", true, 10, names, null);
+    MachineIndex machineIndex = new MachineIndex();
     String key = ScaleOutRecord.prefix(0) + "h";
-    directory.changed(key, new VersionedValue(Json.tree(hire), 5));
-    fleet.restore("h", hire, 5, directory, false);
-    fleet.machines().forEach(MachineTransfersTest::confirm);
+    machineIndex.changed(key, new VersionedValue(Json.tree(scaleOut), 5));
+    fleet.restore("h", scaleOut, 5, machineIndex, false);
+    fleet.machines().forEach(MachineTransfersTest::confirmUnderToken);
     transfers = new MachineTransfers(0, loop, fleet, 40, (shard, request, done) -> {});
   }
 
-  private static void confirm(Machine m) {
-    m.liveness()
+  private static void confirmUnderToken(Machine machine) {
+    machine
+        .liveness()
         .recordHeartbeat(
-            m.liveness().incarnation(),
-            m.liveness().heartbeatSequence(),
-            m.liveness().address(),
+            machine.liveness().incarnation(),
+            machine.liveness().heartbeatSequence(),
+            machine.liveness().address(),
             true,
-            m.lastHeartbeatMs());
+            machine.lastHeartbeatMs());
   }
 
-  private int transfer(int count, double guaranteeShare) {
+  private int transferredCount(int count, double guaranteeShare) {
     return transfers
         .transfer(1, new MachineTransferMessages.Request(count, guaranteeShare, null))
         .count();
   }
 
-  private long promisedTo(int shard) {
+  private long reservedCount(int shard) {
     return fleet.machines().stream().filter(m -> m.promisedTo() == shard).count();
   }
 
@@ -102,24 +103,24 @@
     "3,0.9,3", "8,0.9,5", // what is above the own guarantee, and no more
     "8,0.4,5", "8,0.0,5",
   })
-  void promisesWhatIsAboveItsOwnGuarantee(int count, double has, int promised) {
-    assertThat(transfer(count, has)).isEqualTo(promised);
-    assertThat(promisedTo(1)).isEqualTo(promised);
+  void reservesMachinesAboveItsOwnGuarantee(int count, double guaranteeShare, int reserved) {
+    assertThat(transferredCount(count, guaranteeShare)).isEqualTo(reserved);
+    assertThat(reservedCount(1)).isEqualTo(reserved);
   }
 
   /** Asked again before they are empty, it names the same ones as coming and promises no more. */
   @Test
-  void whatIsPromisedCountsAsComing() {
-    assertThat(transfer(3, 0.9)).isEqualTo(3);
-    assertThat(transfer(3, 0.9)).isEqualTo(3);
-    assertThat(promisedTo(1)).isEqualTo(3);
+  void reservedMachinesCountTowardsLaterRequests() {
+    assertThat(transferredCount(3, 0.9)).isEqualTo(3);
+    assertThat(transferredCount(3, 0.9)).isEqualTo(3);
+    assertThat(reservedCount(1)).isEqualTo(3);
   }
 
   @Test
-  void aStarvedPartGetsAShareOfWhatIsNotEnoughForEither() {
+  void starvedShardGetsShareWhenNeitherGuaranteeIsMet() {
     transfers = new MachineTransfers(0, loop, fleet, 100, (shard, request, done) -> {});
-    assertThat(transfer(9, 0.9)).isZero();
-    assertThat(transfer(9, 0.2)).isEqualTo(3);
+    assertThat(transferredCount(9, 0.9)).isZero();
+    assertThat(transferredCount(9, 0.2)).isEqualTo(3);
   }
 
   /** Ten machines with room for it: as many as are needed are vacated, if they fit the task. */
@@ -132,31 +133,31 @@
     "2,,false,1,0", // spot machines
     "9,,true,1,0", // larger than any machine
   })
-  void vacatesMachinesForOverdueTasks(
-      double cores, String zone, boolean spot, int needed, int vacated) {
-    MachineTransferMessages.Request request = overdue(cores, zone, spot, needed);
-    assertThat(transfers.transfer(1, request).overdueCount()).isEqualTo(vacated);
-    assertThat(promisedTo(1)).isEqualTo(vacated);
+  void evictsTasksFromMachinesForOverdueTasks(
+      double cores, String zone, boolean spot, int requested, int reserved) {
+    MachineTransferMessages.Request request = overdueRequest(cores, zone, spot, requested);
+    assertThat(transfers.transfer(1, request).overdueCount()).isEqualTo(reserved);
+    assertThat(reservedCount(1)).isEqualTo(reserved);
     // Asked again, as its answer may have been lost: the same ones are coming, and no more.
-    assertThat(transfers.transfer(1, request).overdueCount()).isEqualTo(vacated);
-    assertThat(promisedTo(1)).isEqualTo(vacated);
+    assertThat(transfers.transfer(1, request).overdueCount()).isEqualTo(reserved);
+    assertThat(reservedCount(1)).isEqualTo(reserved);
   }
 
   /** A shard that has just got a machine for an overdue task does not lose it to the next one. */
   @Test
-  void keepsAMachineThatItHasJustReceived() {
+  void keepsRecentlyReceivedMachine() {
     ScaleOutRecord record = new ScaleOutRecord("t", "a", true, 1, List.of("received"), 6L);
-    MachineIndex directory = new MachineIndex();
+    MachineIndex machineIndex = new MachineIndex();
     String key = ScaleOutRecord.prefix(0) + "g";
-    directory.changed(key, new VersionedValue(Json.tree(record), 6));
-    Fleet one = new Fleet(loop, cloud, catalog, 0, 7, listener);
-    one.restore("g", record, 6, directory, false);
-    one.machines().forEach(MachineTransfersTest::confirm);
-    transfers = new MachineTransfers(0, loop, one, 0, (shard, request, done) -> {});
-    assertThat(transfers.transfer(1, overdue(2, null, true, 1)).overdueCount()).isZero();
+    machineIndex.changed(key, new VersionedValue(Json.tree(record), 6));
+    Fleet receivedFleet = new Fleet(loop, cloud, catalog, 0, 7, listener);
+    receivedFleet.restore("g", record, 6, machineIndex, false);
+    receivedFleet.machines().forEach(MachineTransfersTest::confirmUnderToken);
+    transfers = new MachineTransfers(0, loop, receivedFleet, 0, (shard, request, done) -> {});
+    assertThat(transfers.transfer(1, overdueRequest(2, null, true, 1)).overdueCount()).isZero();
   }
 
-  private static MachineTransferMessages.Request overdue(
+  private static MachineTransferMessages.Request overdueRequest(
       double cores, String zone, boolean spot, int machines) {
     List<String> zones = zone == null ? null : List.of(zone);
     TaskRequirements task = new TaskRequirements(cores, 0, 1, null, zones, spot);
--- a/src/test/java/dev/windbend/shard/OldestWaitingJobTest.java
+++ b/src/test/java/dev/windbend/shard/OldestWaitingJobTest.java
@@ -19,25 +19,28 @@
         "0   |-1|100|false|3|50|2|true |cause=no_capacity booting=3 requested=50 unavailable=2"
             + " cloud_exhausted=true",
       })
-  void logsTheFirstReasonThatApplies(
+  void logsFirstApplicableReason(
       long backoffMs,
-      double usedAtQuota,
+      double usedCores,
       double maxCores,
-      boolean free,
+      boolean capacityAvailable,
       int booting,
       int requested,
       int unavailable,
       boolean cloudExhausted,
-      String logged) {
+      String expected) {
     Optional<WaitReason.TeamQuota> quota =
-        usedAtQuota < 0
+        usedCores < 0
             ? Optional.empty()
-            : Optional.of(new WaitReason.TeamQuota(usedAtQuota, maxCores));
-    WaitReason.NoCapacity lacking =
+            : Optional.of(new WaitReason.TeamQuota(usedCores, maxCores));
+    WaitReason.NoCapacity shortage =
         new WaitReason.NoCapacity(booting, requested, unavailable, cloudExhausted);
     WaitReason reason =
         OldestWaitingJob.reason(
-            Optional.empty(), backoffMs, quota, new OldestWaitingJob.Capacity(free, lacking));
-    assertThat(reason.toLog()).isEqualTo(logged);
+            Optional.empty(),
+            backoffMs,
+            quota,
+            new OldestWaitingJob.Capacity(capacityAvailable, shortage));
+    assertThat(reason.toLogFields()).isEqualTo(expected);
   }
 }
