--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -87,7 +87,7 @@
     this.transfers =
         new MachineTransferClient(
             http,
-            layout.shards(),
+            layout.shardCount(),
             election::leaderOf,
             members.peerAddressByNode(),
             leaders::transfer);
--- a/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
+++ b/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
@@ -77,7 +77,7 @@
       return;
     }
     if (unrecorded && !machines.knew(machine)) {
-      leader.noteOrphan(heartbeat);
+      leader.handleOrphanHeartbeat(heartbeat);
     }
     done.accept(ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE));
   }
