--- a/src/main/java/dev/windbend/shard/ControllerLease.java
+++ b/src/main/java/dev/windbend/shard/ControllerLease.java
@@ -9,23 +9,23 @@
 
 /**
  * This controller's lease in the state service, which its leadership of shards is bound to.
- * Renewals go out at a steady rate and never wait for the answers to earlier ones: a controller
- * that is so busy that it reads answers seconds late would otherwise send the next renewal too
- * late, and be deposed from all its shards.
+ * Renewals are sent at a fixed rate and do not wait for the responses to earlier ones. Otherwise an
+ * overloaded controller that reads responses seconds late would also send the next renewal too
+ * late, and lose all its shards.
  */
 final class ControllerLease {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerLease.class);
 
-  /** Taken off the time for which the lease is taken to be valid. */
+  /** Safety margin by which the lease is considered expired early. */
   private static final long VALIDITY_MARGIN_MS = 150;
 
   private static final long ACQUIRE_RETRY_MS = 500;
   private static final long RENEW_RETRY_MS = 300;
 
-  /** Renewals sent within the time the lease is granted for. */
+  /** How many renewals are sent in one term of the lease. */
   private static final int RENEWALS_PER_TERM = 4;
 
-  /** The id while there is no lease. */
+  /** The value of {@link #id} while there is no lease. */
   static final long NO_LEASE = -1;
 
   private final EventLoop loop;
@@ -38,10 +38,10 @@
   private EventLoop.Timer nextRenewal;
 
   /**
-   * Makes a lease that is not there before {@link #acquire}.
+   * Creates a lease that is not held until {@link #acquire}.
    *
-   * @param termMs for how long the state service is to grant it at a time
-   * @param onExpiry called when the state service says that the lease has expired
+   * @param termMs the term to request from the state service
+   * @param onExpiry called when the state service reports that the lease has expired
    */
   ControllerLease(EventLoop loop, StoreClient store, long termMs, Runnable onExpiry) {
     this.loop = loop;
@@ -50,7 +50,7 @@
     this.onExpiry = onExpiry;
   }
 
-  /** Asks for a lease until there is one. */
+  /** Requests a lease, and retries until one is granted. */
   void acquire() {
     if (acquiring) {
       return;
@@ -71,17 +71,20 @@
     renewAfter(termMs / RENEWALS_PER_TERM);
   }
 
-  /** The state service's id of the lease; {@link #NO_LEASE} while there is none. */
+  /** The id that the state service gave the lease; {@link #NO_LEASE} while there is none. */
   long id() {
     return leaseId;
   }
 
-  /** The lease can't have expired, whatever the clocks do. */
+  /** Whether the lease is certain to be unexpired, allowing for clock drift. */
   boolean isValid() {
     return loop.nowMs() < validUntilMs;
   }
 
-  /** The lease runs from when the state service granted it, which was after it was asked. */
+  /**
+   * The end of the term, counted from when the request was sent: the state service grants the lease
+   * later than that, so the lease cannot expire earlier.
+   */
   private long validUntil(long sentMs) {
     return sentMs + (long) (termMs * (1 - EventLoop.CLOCK_DRIFT)) - VALIDITY_MARGIN_MS;
   }
@@ -100,7 +103,7 @@
     store.renewLease(
         renewedLeaseId,
         renewal -> {
-          // Answers may come out of order, and those for a former lease say nothing about this one.
+          // Responses may arrive out of order; one for a previous lease does not apply to this one.
           if (renewedLeaseId == leaseId) {
             handleRenewalOutcome(renewal, sentMs);
           }
--- a/src/main/java/dev/windbend/shard/FailoverRampUp.java
+++ b/src/main/java/dev/windbend/shard/FailoverRampUp.java
@@ -8,21 +8,22 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Keeps the first scheduling cycles after a failover from holding up what is more urgent.
- * Heartbeats are answered first, as workers' leases expire and the state of tasks is rebuilt from
- * them; cycles then consider few jobs, and twice as many each time. A controller that has just
- * started runs code that is not compiled yet, so a cycle over all jobs could outlast its lease.
+ * Limits the first scheduling cycles after a failover, so that they do not delay more urgent work.
+ * Heartbeats are handled first, because workers' leases would expire otherwise and because the
+ * state of tasks is rebuilt from heartbeats. The first cycle then considers few jobs, and each
+ * later one twice as many. A controller that has just started runs code that is not JIT-compiled
+ * yet, so a cycle over all jobs could take longer than the term of its lease.
  */
 final class FailoverRampUp {
   /**
-   * How long machines are waited for, in heartbeat intervals. Heartbeats come up to a quarter early
-   * or late; a machine that has not sent one by then may be lost.
+   * Maximum time to wait for heartbeats, in heartbeat intervals. A heartbeat may be early or late
+   * by a quarter of the interval; a machine that has sent none within this time may be lost.
    */
   private static final double MAX_WAIT_HEARTBEAT_INTERVALS = 1.5;
 
   private static final int FIRST_CYCLE_JOBS = 8;
 
-  /** More jobs than there can be: the limit grows no further. */
+  /** Upper bound of the job limit; a shard never has this many jobs. */
   private static final int MAX_JOB_LIMIT = 1 << 29;
 
   private static final Comparator<Job> MOST_URGENT_FIRST =
@@ -40,16 +41,17 @@
     this.maxWaitMs = (long) (Units.MS_PER_SECOND * MAX_WAIT_HEARTBEAT_INTERVALS * heartbeatSeconds);
   }
 
-  /** The shard's records have been read: from now on its machines' heartbeats are waited for. */
+  /** Starts to wait for the machines' heartbeats. Called when the shard's records are restored. */
   void start() {
     startedMs = loop.nowMs();
   }
 
   /**
-   * Whether cycles may run: once all machines taken over have sent a heartbeat, or have been waited
-   * for long enough, and from then on for good.
+   * Whether scheduling cycles may run. They may once every inherited machine is confirmed by a
+   * heartbeat or the maximum wait has passed; after that the result stays true.
    *
-   * @param allMachinesConfirmed asked only while that is open
+   * @param allMachinesConfirmed whether every inherited machine is confirmed; not evaluated once
+   *     the result is known to be true
    */
   boolean maySchedule(BooleanSupplier allMachinesConfirmed) {
     schedulingAllowed =
@@ -59,7 +61,7 @@
     return schedulingAllowed;
   }
 
-  /** The jobs that the next cycle considers: the most urgent, up to the limit, which doubles. */
+  /** Returns the most urgent of the waiting jobs, up to the job limit, and doubles the limit. */
   List<Job> nextCycleJobs(List<Job> waiting) {
     int limit = jobLimit;
     jobLimit = Math.min(MAX_JOB_LIMIT, 2 * jobLimit);
--- a/src/main/java/dev/windbend/shard/LeaderElection.java
+++ b/src/main/java/dev/windbend/shard/LeaderElection.java
@@ -13,25 +13,25 @@
 
 /**
  * Elects a leader for each shard. A controller campaigns by writing a {@link ShardLeaderRecord}
- * under its lease, on condition that there is none; the record's version is the fencing token of
- * all orders and writes of that leader.
+ * bound to its lease, on condition that the shard has no record. The revision at which the record
+ * was written is the fencing token of all orders and writes of that leader.
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
   private static final long CHECK_INTERVAL_MS = 250;
 
-  /** How much later each next controller in a shard's order of preference campaigns. */
+  /** Campaign delay for each controller that precedes this one in the shard's preference order. */
   private static final long RANK_DELAY_MS = 600;
 
-  /** How much later a controller campaigns for each shard that it leads already. */
+  /** Campaign delay for each shard that this controller already leads. */
   private static final long LED_SHARD_DELAY_MS = 900;
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
   private static final long NOT_VACANT = -1;
   private static final long NOT_LEADER = 0;
 
-  /** The version that a record must have which must not exist. */
+  /** The expected version in a condition that a record does not exist. */
   private static final long ABSENT_VERSION = 0;
 
   private final EventLoop loop;
@@ -43,33 +43,36 @@
   private final long workerLeaseMs;
   private final Listener listener;
 
-  /** By shard: the fencing token, or {@link #NOT_LEADER}. */
+  /** By shard: the fencing token of this controller, or {@link #NOT_LEADER}. */
   private final long[] tokens;
 
-  /** By shard: since when it has no leader, or {@link #NOT_VACANT}. */
+  /**
+   * By shard: when this controller first found no leader record (monotonic clock), or {@link
+   * #NOT_VACANT}.
+   */
   private final long[] vacantSinceMs;
 
-  /** By shard: a transaction on its record is under way. */
+  /** By shard: whether a transaction on its leader record is in flight. */
   private final boolean[] writePending;
 
   private long lastWorkerContactMs = NEVER_MS;
   private long yieldedMs = NEVER_MS;
 
-  /** Hears which shards this controller leads. */
+  /** Is notified when this controller becomes or stops being the leader of a shard. */
   public interface Listener {
-    /** This controller leads the shard now, under this fencing token. */
+    /** This controller was elected leader of the shard, with this fencing token. */
     void elected(int shard, long token);
 
-    /** It doesn't lead the shard any more. */
+    /** This controller is no longer the leader of the shard. */
     void deposed(int shard);
   }
 
   /**
-   * Makes an election that begins with {@link #start}.
+   * Creates an election that does nothing until {@link #start}.
    *
    * @param controllerName this controller's name
-   * @param leaseTermMs for how long the state service grants the lease that leadership is bound to
-   * @param workerLeaseMs for how long the lease of a worker's agent lasts
+   * @param leaseTermMs the term of the controller's lease, which its leadership is bound to
+   * @param workerLeaseMs the term of a worker's lease
    */
   public LeaderElection(
       EventLoop loop,
@@ -94,26 +97,29 @@
     Arrays.fill(vacantSinceMs, NOT_VACANT);
   }
 
-  /** Acquires the lease, and campaigns from then on wherever a leader is lacking. */
+  /** Acquires the lease and starts to campaign for shards without a leader. */
   public void start() {
     lease.acquire();
     checkShards();
   }
 
-  /** The lease can't have expired, whatever the clocks do. */
+  /** Whether the lease is certain to be unexpired, allowing for clock drift. */
   public boolean isLeaseValid() {
     return lease.isValid();
   }
 
-  /** Whether this controller was elected for the shard, and has not been deposed since. */
+  /**
+   * Whether this controller was elected leader of the shard and has not stepped down since. The
+   * lease may have expired meanwhile; see {@link #isLeaseValid}.
+   */
   public boolean isLeader(int shard) {
     return tokens[shard] != NOT_LEADER;
   }
 
   /**
-   * The name of the shard's leader, as far as this controller knows.
+   * The name of the shard's leader according to the replica.
    *
-   * @return null: none is known
+   * @return null if the replica has no valid leader record
    */
   public String leaderOf(int shard) {
     return readLeader(replica.get(ShardLeaderRecord.key(shard)));
@@ -125,7 +131,10 @@
     return leader == null ? null : leader.leader();
   }
 
-  /** Called when a write of the leader failed because its election is not valid any more. */
+  /**
+   * Ends this controller's leadership of the shard. Also called when a write was rejected because
+   * the leader record has changed. Does nothing if this controller is not the leader.
+   */
   public void stepDown(int shard) {
     if (isLeader(shard)) {
       tokens[shard] = NOT_LEADER;
@@ -141,27 +150,29 @@
   }
 
   /**
-   * Leaves the shard to another controller: its workers do not reach this one, though the state
-   * service does, and may reach another. This one campaigns for no shard until a worker reaches it
-   * again, or for the time of a worker's lease.
+   * Gives up leadership of a shard whose workers cannot reach this controller, although the state
+   * service can be reached, so that a controller that the workers can reach may be elected. This
+   * controller then campaigns for no shard until a worker reaches it again, or until the term of a
+   * worker's lease has passed. Does nothing if this controller is not the leader, or is the only
+   * controller.
    */
   public void yieldLeadership(int shard) {
     long token = tokens[shard];
     if (token != NOT_LEADER && layout.controllerCount() > 1) {
       LOG.warn(
-          "leadership yielded: shard={} token={} cause=\"no worker reaches us\"", shard, token);
+          "leadership yielded: shard={} token={} cause=\"no heartbeats received\"", shard, token);
       yieldedMs = loop.nowMs();
       stepDown(shard);
       resign(shard, token);
     }
   }
 
-  /** When any worker reached this controller last (steady clock). */
+  /** When a worker last reached this controller (monotonic clock, ms). */
   public long lastWorkerContactMs() {
     return lastWorkerContactMs;
   }
 
-  /** A worker has reached this controller. */
+  /** Records that a worker has reached this controller now. */
   public void recordWorkerContact() {
     lastWorkerContactMs = loop.nowMs();
   }
@@ -208,7 +219,10 @@
     }
   }
 
-  /** A record of ours is from before a restart, or its commit was never answered. */
+  /**
+   * Campaigns again if the record names this controller although it is not the leader. Such a
+   * record was written before a restart, or by a commit whose response was lost.
+   */
   private void reclaim(int shard, VersionedValue stored) {
     vacantSinceMs[shard] = NOT_VACANT;
     if (controllerName.equals(readLeader(stored))) {
@@ -216,7 +230,7 @@
     }
   }
 
-  /** Controllers campaign one after the other, so that shards spread evenly over them. */
+  /** Delays the campaign by rank and number of shards led, to spread shards over controllers. */
   private void campaignAfterDelay(int shard) {
     long now = loop.nowMs();
     if (vacantSinceMs[shard] == NOT_VACANT) {
--- a/src/main/java/dev/windbend/shard/Policy.java
+++ b/src/main/java/dev/windbend/shard/Policy.java
@@ -3,17 +3,19 @@
 import dev.windbend.zone.ZonePolicy;
 
 /**
- * What operators may set of how shards are led.
+ * Scheduling policy of shard leaders, as set by operators.
  *
- * @param cyclePeriodMs longest time between two scheduling cycles
- * @param eventDrivenCycles whether a cycle also follows each change soon
- * @param billingBlockMs the span of time that the cloud bills a machine in
- * @param impliedDeadlineFactor a job without a deadline is due after its estimate times this
- * @param leaseTermMs for how long the state service grants a controller's lease
- * @param deadlinesFromObjectives whether service-level objectives set deadlines too
- * @param idleHoldFraction part of the heartbeat interval for which the answer to a worker without
- *     work is held back, so that new work reaches it sooner
- * @param zones how the loss of a zone is dealt with
+ * @param cyclePeriodMs the interval of scheduling cycles that are not event-driven, and of the
+ *     shard status log
+ * @param eventDrivenCycles whether events such as freed capacity trigger scheduling cycles
+ * @param billingBlockMs the unit of time by which the cloud bills a machine
+ * @param impliedDeadlineFactor a job without a deadline is due after its estimated run time times
+ *     this factor
+ * @param leaseTermMs the term of a controller's lease in the state service
+ * @param deadlinesFromObjectives whether service-level objectives also set deadlines
+ * @param idleHoldFraction the fraction of the heartbeat interval for which the response to an idle
+ *     worker is held, so that new work reaches the worker sooner
+ * @param zones the policy for the loss of a zone
  */
 public record Policy(
     long cyclePeriodMs,
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -7,8 +7,9 @@
 import dev.windbend.store.StoreClient;
 
 /**
- * Compares wanted and actual state of a shard at a steady interval and acts on the differences, for
- * as long as the controller is its leader. While the lease is not surely valid nothing is done.
+ * Periodically compares the desired and actual state of a shard and acts on the differences, until
+ * the term of its leader ends. While the leader may not act, as when its lease may have expired,
+ * the loop only logs that scheduling is suspended.
  */
 final class ReconciliationLoop {
   private static final long INTERVAL_MS = 500;
@@ -22,7 +23,7 @@
   private final Components components;
   private long leaseValidSinceMs = LEASE_NOT_VALID;
 
-  /** What the loop looks after. */
+  /** The components that the loop runs. */
   record Components(
       ShardZones zones,
       MachineHealth health,
@@ -46,7 +47,7 @@
     this.components = components;
   }
 
-  /** Begins when the shard's records are taken over. */
+  /** Starts the loop. Called when the shard's records are restored. */
   void start(long nowMs) {
     components.cloudList.start(nowMs);
     tick();
@@ -66,7 +67,9 @@
     loop.after(INTERVAL_MS, this::tick);
   }
 
-  /** The order counts: what an earlier step finds out, a later one acts on and writes. */
+  /**
+   * The order of the steps matters: later steps act on the results of earlier ones and write them.
+   */
   private void reconcile(long now) {
     if (leaseValidSinceMs == LEASE_NOT_VALID) {
       leaseValidSinceMs = now;
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -19,21 +19,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs a shard's scheduling cycles: takes a snapshot of its jobs and machines, has the planner
- * decide, and carries the decision out.
+ * Runs a shard's scheduling cycles. A cycle builds a snapshot of the shard's jobs and machines,
+ * passes it to the planner, and applies the planner's decision.
  */
 final class SchedulingLoop implements HeartbeatHandler.SchedulingTrigger {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
-  /** Least time between two cycles on events, and from an event to its cycle. */
+  /** Minimum time between two event-driven cycles, and from an event to its cycle. */
   private static final long MIN_EVENT_CYCLE_INTERVAL_MS = 150;
 
   private static final long MAX_EVENT_CYCLE_INTERVAL_MS = 2_000;
 
-  /** Cycles on events take at most one part in so many of the processor's time. */
+  /**
+   * Minimum ratio of the interval between event-driven cycles to the duration of the last cycle.
+   * Limits the share of processor time that cycles take.
+   */
   private static final int CYCLE_DURATION_MULTIPLIER = 15;
 
-  /** One cycle in so many serves the longest waiting jobs first. */
+  /** One in this number of cycles serves the jobs that have waited longest first. */
   private static final int OLDEST_FIRST_CYCLE_INTERVAL = 4;
 
   private final EventLoop loop;
@@ -48,7 +51,7 @@
   private long cycleCount;
   private boolean cycleRequested;
 
-  /** The last cycle left jobs out. */
+  /** Whether the last cycle omitted jobs because of the limit after a failover. */
   private boolean lastCyclePartial;
 
   SchedulingLoop(
@@ -88,7 +91,7 @@
     }
   }
 
-  /** Events are batched when cycles cost much, unless the last cycle left jobs out. */
+  /** Batches events for longer if cycles are slow, unless the last cycle omitted jobs. */
   private long eventCycleIntervalMs() {
     long multiplier = lastCyclePartial ? 1 : CYCLE_DURATION_MULTIPLIER;
     return Math.min(
@@ -106,9 +109,10 @@
   }
 
   /**
-   * Called at a steady interval: runs the cycle that is due without any event.
+   * Runs a cycle if the time since the last one has reached the maximum. Called periodically.
    *
-   * @param maxIntervalMs time between two cycles at most, where cycles run on events
+   * @param maxIntervalMs maximum time between two cycles if cycles are event-driven; extended if
+   *     cycles are slow
    */
   void runIfDue(long maxIntervalMs) {
     long intervalMs =
@@ -120,7 +124,7 @@
     }
   }
 
-  /** How long the last cycle took. */
+  /** How long the last cycle took, in milliseconds; 0 before the first one. */
   long lastCycleDurationMs() {
     return lastCycleDurationMs;
   }
@@ -146,7 +150,7 @@
     logLeftWaiting(trace.leftWaiting(snapshot, decision), jobs);
     preempt(decision, running);
     place(decision, nowMs, jobs, machines);
-    // Machines that look idle may be needed by jobs that this cycle left out.
+    // Machines that are idle in this decision may be needed by jobs that this cycle omitted.
     capacity.offerForTransfer(lastCyclePartial ? List.of() : decision.idle(), machines);
     capacity.acquire(decision, offers, nowMs);
     if (!lastCyclePartial) {
@@ -161,7 +165,7 @@
   private void logLeftWaiting(List<DecisionTrace.LeftWaiting> leftWaiting, List<Job> jobs) {
     for (DecisionTrace.LeftWaiting waiting : leftWaiting) {
       LOG.debug(
-          "tasks left waiting: shard={} job={} obstacles={} outlooks={}",
+          "tasks not placed: shard={} job={} obstacles={} outlooks={}",
           state.shard(),
           jobs.get(waiting.job()).spec().uid(),
           waiting.obstacles(),
@@ -193,7 +197,10 @@
     return machines;
   }
 
-  /** One that boots in a zone that is opened again counts, so that it is not requested twice. */
+  /**
+   * Whether the zone permits tasks on the machine. A booting machine also counts in a zone that is
+   * being reopened (closed, but no longer evacuated), so that it is not requested a second time.
+   */
   private boolean inUsableZone(Machine machine) {
     return !machine.zoneClosed()
         || (machine.lastHeartbeatMs() < 0 && !state.zones().evacuates(machine.zone()));
--- a/src/main/java/dev/windbend/shard/ShardContext.java
+++ b/src/main/java/dev/windbend/shard/ShardContext.java
@@ -15,16 +15,16 @@
 import dev.windbend.zone.ZoneMetrics;
 
 /**
- * What all shards that a controller leads have in common.
+ * Services and settings shared by all shards that a controller leads.
  *
- * @param loop the controller's only thread
- * @param layout which team is of which shard
- * @param deployment what the settings file says
- * @param policy what operators have set
- * @param coordination the state service and the other controllers
- * @param machines the cloud and the workers
- * @param estimates of how long tasks run, learned from all shards' tasks
- * @param zones what the monitoring of zones needs
+ * @param loop the event loop, which runs on the controller's only thread
+ * @param layout the assignment of teams to shards
+ * @param deployment the deployment as described in the settings file
+ * @param policy scheduling policy set by operators
+ * @param coordination access to the state service and the other controllers
+ * @param machines access to the cloud and the workers
+ * @param estimates estimated run times of tasks, learned from the tasks of all shards
+ * @param zones dependencies of zone monitoring
  */
 public record ShardContext(
     EventLoop loop,
@@ -37,14 +37,15 @@
     ZoneServices zones) {
 
   /**
-   * The state service and the other controllers.
+   * Access to the state service and the other controllers.
    *
-   * @param store writes and reads the state service
-   * @param replica this controller's copy of the state service
-   * @param election decides which shards this controller leads
-   * @param outageDetector how long workers may be kept in an outage of the state service
-   * @param cancellations all that this controller knows of
-   * @param machineRequester asks the leaders of other shards for machines
+   * @param store client of the state service
+   * @param replica this controller's replica of the live keys in the state service
+   * @param election elects the leaders of shards
+   * @param outageDetector decides whether workers' leases may be renewed in an outage of the state
+   *     service
+   * @param cancellations the cancellations known to this controller
+   * @param machineRequester requests machines from the leaders of other shards
    */
   public record Coordination(
       StoreClient store,
@@ -55,13 +56,13 @@
       MachineRequester machineRequester) {}
 
   /**
-   * The cloud and the workers.
+   * Access to the cloud and the workers.
    *
-   * @param cloud creates and deletes machines
-   * @param catalog the types of machines and the zones
-   * @param index which machine is of which shard
-   * @param directStops sends stops to workers without waiting for their next heartbeat
-   * @param images the indexes of container images
+   * @param cloud client of the cloud, which creates and deletes machines
+   * @param catalog the machine types and the zones
+   * @param index maps machines to shards
+   * @param directStops sends stop orders to workers without waiting for their next heartbeat
+   * @param images maps names of container images to dense indexes
    */
   public record MachineServices(
       CloudClient cloud,
@@ -71,10 +72,10 @@
       NameIndex images) {}
 
   /**
-   * What the monitoring of zones needs.
+   * Dependencies of zone monitoring.
    *
-   * @param ownZone the zone of this controller
-   * @param metrics of all shards together
+   * @param ownZone the zone in which this controller runs
+   * @param metrics zone metrics, summed over all shards
    */
   public record ZoneServices(String ownZone, ZoneMetrics metrics) {}
 }
--- a/src/main/java/dev/windbend/shard/ShardFailover.java
+++ b/src/main/java/dev/windbend/shard/ShardFailover.java
@@ -13,8 +13,8 @@
 import java.util.function.LongConsumer;
 
 /**
- * Takes a shard over after an election: rebuilds its machines and jobs from the records that former
- * leaders have left in the state service.
+ * Recovers a shard after an election: rebuilds its machines and jobs from the records that previous
+ * leaders stored in the state service.
  */
 final class ShardFailover {
   private static final long RECHECK_INTERVAL_MS = 20;
@@ -45,9 +45,11 @@
   }
 
   /**
-   * Waits until the replica shows all that former leaders can have written, and rebuilds.
+   * Rebuilds jobs and machines once the replica contains every write that previous leaders can have
+   * made, and the machine types are known. Does nothing if the term has ended.
    *
-   * @param onRecovered called with the time once jobs and machines are complete
+   * @param onRecovered called with the time of recovery (monotonic clock, ms) once jobs and
+   *     machines are complete
    */
   void run(LongConsumer onRecovered) {
     if (leadership.ended()) {
--- a/src/main/java/dev/windbend/shard/ShardJobs.java
+++ b/src/main/java/dev/windbend/shard/ShardJobs.java
@@ -18,7 +18,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A shard's live jobs, from when their record appears until the record of their end is written. */
+/** Manages a shard's live jobs from when their record appears until their end is recorded. */
 final class ShardJobs {
   private static final Logger LOG = LoggerFactory.getLogger(ShardJobs.class);
 
@@ -48,10 +48,11 @@
   }
 
   /**
-   * Takes in a job by its record, with the tasks that are placed.
+   * Restores a job and the placements of its tasks from its record.
    *
-   * @param entries what the shard's pages hold of the tasks of all jobs, by the entries' names
-   * @return whether it is a live job of this shard
+   * @param entries the entries of all jobs in the shard's pages, by entry id
+   * @param nowMs the current time (monotonic clock)
+   * @return whether the record is that of a live job of this shard
    */
   boolean restore(VersionedValue record, SortedMap<String, JsonNode> entries, long nowMs) {
     Job job = registry.take(record, entries, nowMs);
@@ -63,7 +64,8 @@
       if (machine != null) {
         machine.add(placement);
       } else {
-        // The machine's record goes only once the cloud has confirmed its end, or it is empty.
+        // A machine's record is deleted only once the cloud has confirmed the machine's termination
+        // or the machine is empty, so the task is not running.
         job.gone(placement);
       }
     }
@@ -75,9 +77,9 @@
   }
 
   /**
-   * A live job's record has changed in the state service.
+   * Handles a change of a live job's record in the state service.
    *
-   * @param record null: it is gone
+   * @param record null if the record was deleted
    */
   void recordChanged(String uid, VersionedValue record) {
     if (!leadership.ready()) {
@@ -89,8 +91,8 @@
         scheduling.requestCycle();
       }
     } else if (record == null) {
-      // The job has ended, and never comes back. A delayed change may have restored it after its
-      // end was written: if it stayed, its writes would fail for ever.
+      // The job has ended for good. A delayed change may have restored it after its end was
+      // recorded; if it were kept, all its writes would fail.
       remove(job);
     } else {
       update(job, record);
@@ -109,7 +111,7 @@
     }
   }
 
-  /** A cancellation was confirmed to the user, though the replica may not show it yet. */
+  /** Cancels a job whose cancellation was confirmed to the user; the replica may lag behind. */
   void cancel(String uid) {
     Job job = leadership.ready() ? registry.find(uid) : null;
     if (job != null && !job.cancelled()) {
@@ -125,7 +127,7 @@
     scheduling.requestCycle();
   }
 
-  /** Has the end written of cancelled jobs of which no task is left. */
+  /** Enqueues the write of the end of each cancelled job that has no placed task left. */
   void finishCancelled() {
     for (Job job : registry.all()) {
       if (job.cancelled() && job.over()) {
@@ -134,7 +136,7 @@
     }
   }
 
-  /** Forgets the jobs of which the end has been written. */
+  /** Removes the jobs whose end has been recorded. */
   void removeEnded() {
     registry.archived().forEach(this::remove);
   }
--- a/src/main/java/dev/windbend/shard/ShardLayout.java
+++ b/src/main/java/dev/windbend/shard/ShardLayout.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Which team is of which shard, and which controller is to lead it. Every controller works it out
- * alike from the settings.
+ * The assignment of teams to shards, and each shard's preference order of controllers as leaders.
+ * All controllers derive the same layout from the settings.
  */
 public final class ShardLayout {
-  /** The index of a team that there isn't, or that is of another shard. */
+  /** The index of a team that does not exist or belongs to another shard. */
   public static final int NO_TEAM = -1;
 
   private final NameIndex teams = new NameIndex();
@@ -16,9 +16,9 @@
   private final int shardCount;
 
   /**
-   * Makes one shard a controller, but not more than there are teams.
+   * Creates a layout with as many shards as controllers, but no more than teams, and at least one.
    *
-   * @param teamNames in the order of the settings file
+   * @param teamNames the names of all teams, in the order of the settings file
    * @param controllerNames the names of all controllers, in any order
    */
   public ShardLayout(List<String> teamNames, List<String> controllerNames) {
@@ -27,17 +27,17 @@
     this.shardCount = Math.max(1, Math.min(controllers.size(), teams.size()));
   }
 
-  /** How many shards there are; they are numbered from 0. */
+  /** The number of shards; their indexes start at 0. */
   public int shardCount() {
     return shardCount;
   }
 
-  /** How many controllers there are. */
+  /** The number of controllers. */
   public int controllerCount() {
     return controllers.size();
   }
 
-  /** The index of the team, or {@link #NO_TEAM}. */
+  /** The index of the team with this name, or {@link #NO_TEAM}. */
   public int teamIndex(String name) {
     return teams.find(name);
   }
@@ -47,13 +47,13 @@
     return team % shardCount;
   }
 
-  /** The index of the team if it is of this shard, else {@link #NO_TEAM}. */
+  /** The index of the team if it belongs to this shard, otherwise {@link #NO_TEAM}. */
   int teamIndexInShard(String name, int shard) {
     int team = teamIndex(name);
     return team != NO_TEAM && shardOf(team) == shard ? team : NO_TEAM;
   }
 
-  /** How many controllers come before this one in campaigning for a shard without a leader. */
+  /** The number of controllers that precede this one in the shard's preference order. */
   public int rank(int shard, String controller) {
     int count = controllers.size();
     return Math.floorMod(controllers.indexOf(controller) - shard, count);
--- a/src/main/java/dev/windbend/shard/ShardLeader.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A shard that this controller leads, for one term, as seen from outside: takes the shard over, and
- * takes to its services what comes in.
+ * The entry point to a shard that this controller leads, for one term: recovers the shard and
+ * forwards heartbeats, record changes and requests to its services.
  */
 public final class ShardLeader {
   private static final Logger LOG = LoggerFactory.getLogger(ShardLeader.class);
@@ -21,16 +21,18 @@
   private final ShardServices services;
 
   /**
-   * Makes a leader that begins with {@link #start}.
+   * Creates a leader that does nothing until {@link #start}.
    *
-   * @param token the fencing token that the controller was elected with
+   * @param token the fencing token with which the controller was elected
    */
   public ShardLeader(int shard, long token, ShardContext context) {
     this.context = context;
     this.services = new ShardServices(shard, token, context);
   }
 
-  /** Takes the shard over as soon as the replica shows all that former leaders can have written. */
+  /**
+   * Recovers the shard once the replica contains all writes that previous leaders can have made.
+   */
   public void start() {
     services.failover.run(this::onRecovered);
   }
@@ -39,7 +41,7 @@
     services.zones.recover(context.machines().catalog().zones());
     services.leadership.markRecovered();
     LOG.info(
-        "shard taken over: shard={} token={} jobs={} machines={}",
+        "shard recovered: shard={} token={} jobs={} machines={}",
         services.leadership.shard(),
         services.leadership.token(),
         liveJobCount(),
@@ -48,7 +50,7 @@
     services.reconciliation.start(nowMs);
   }
 
-  /** Ends the term: nothing is written or ordered any more, and answers held back are 503. */
+  /** Ends the term: writes and orders stop, and held heartbeats are answered with status 503. */
   public void close() {
     services.leadership.end();
     services.committer.close();
@@ -57,75 +59,81 @@
     services.heartbeats.close();
   }
 
-  /** Whether the shard's jobs and machines are known, and the term has not ended. */
+  /** Whether the shard is recovered and the term has not ended. */
   public boolean ready() {
     return services.leadership.ready();
   }
 
-  /** How many live jobs the shard has. */
+  /** The number of live jobs of the shard. */
   public int liveJobCount() {
     return services.registry.all().size();
   }
 
-  /** The age of the oldest job of which tasks wait, when it was last logged; 0: none waits. */
+  /** The age in seconds of the oldest job with waiting tasks, when last logged; 0 if none. */
   public int oldestWaitSeconds() {
     return services.statusLog.oldestWaitSeconds();
   }
 
-  /** How many machines the shard has, those that are booting or leaving included. */
+  /** The number of machines of the shard, including those booting or being returned. */
   public int machineCount() {
     return services.fleet.machines().size();
   }
 
-  /** The state of each zone that is monitored. */
+  /** The status of each monitored zone; empty if zone monitoring is disabled. */
   public List<ZoneStatus> zoneStatuses() {
     return services.zones.status();
   }
 
   /**
-   * A live job's record has changed in the state service.
+   * Handles a change of a live job's record in the state service.
    *
-   * @param record null: it is gone
+   * @param record null if the record was deleted
    */
   public void jobRecordChanged(String uid, VersionedValue record) {
     services.jobs.recordChanged(uid, record);
   }
 
-  /** A cancellation was confirmed to the user, though the replica may not show it yet. */
+  /** Cancels a job whose cancellation was confirmed to the user; the replica may lag behind. */
   public void cancel(String uid) {
     services.jobs.cancel(uid);
   }
 
   /**
-   * A record of machines has changed in the state service.
+   * Handles a change of a machine record in the state service.
    *
-   * @param record null: it is gone
+   * @param record null if the record was deleted
    */
   public void machineRecordChanged(String key, VersionedValue record) {
     services.machines.recordChanged(key, record);
   }
 
-  /** Whether the machine is of this shard. */
+  /** Whether the machine with this name belongs to this shard. */
   public boolean hasMachine(String machine) {
     return services.machines.hasMachine(machine);
   }
 
-  /** A heartbeat came from a machine that no shard has on record; only the first shard adopts. */
+  /**
+   * Handles a heartbeat of a machine that is in no shard's records. Called for the first shard
+   * only, whose leader adopts such machines.
+   */
   public void handleOrphanHeartbeat(WorkerMessages.Heartbeat heartbeat) {
     services.machines.handleOrphanHeartbeat(heartbeat);
   }
 
   /**
-   * Takes in a heartbeat of one of the shard's machines.
+   * Handles a heartbeat of one of the shard's machines.
    *
-   * @param onResponse called once with the answer, which may wait for work or for a write
+   * @param onResponse called once with the response, which may be held until there is work for the
+   *     machine or a write is committed
    */
   public void handleHeartbeat(
       WorkerMessages.Heartbeat heartbeat, Consumer<ServerResponse> onResponse) {
     services.heartbeats.handle(heartbeat, onResponse);
   }
 
-  /** Transfers machines to another shard, as many as can be spared. */
+  /**
+   * Handles another shard's request for machines; transfers and reserves those that can be spared.
+   */
   public MachineTransferMessages.Reply transfer(
       int toShard, MachineTransferMessages.Request request) {
     return services.leadership.mayAct()
--- a/src/main/java/dev/windbend/shard/ShardLeadership.java
+++ b/src/main/java/dev/windbend/shard/ShardLeadership.java
@@ -4,8 +4,8 @@
 import dev.windbend.worker.HeartbeatHandler;
 
 /**
- * One term of this controller as the leader of a shard: it begins with the election, is usable once
- * the shard's records are taken over, and ends when the controller is deposed.
+ * One term of this controller as leader of a shard. The term begins with the election and ends when
+ * the controller is deposed. The leader may act only once the shard is recovered.
  */
 final class ShardLeadership implements HeartbeatHandler.Leadership {
   private final int shard;
@@ -44,7 +44,7 @@
     return ended;
   }
 
-  /** The shard's jobs and machines are known, and the term has not ended. */
+  /** Whether the shard is recovered and the term has not ended. */
   boolean ready() {
     return recovered && !ended;
   }
@@ -59,17 +59,17 @@
     return outageDetector.mayKeepWorkers();
   }
 
-  /** When any worker reached this controller last (steady clock). */
+  /** When a worker last reached this controller (monotonic clock, ms). */
   long lastWorkerContactMs() {
     return election.lastWorkerContactMs();
   }
 
-  /** A write failed as the election is not valid any more. */
+  /** Steps down because a write was rejected: the leader record has changed. */
   void stepDown() {
     election.stepDown(shard);
   }
 
-  /** Leaves the shard to a controller that its workers may reach. */
+  /** Gives up leadership so that a controller that the workers can reach may be elected. */
   void yieldLeadership() {
     election.yieldLeadership(shard);
   }
--- a/src/main/java/dev/windbend/shard/ShardMachines.java
+++ b/src/main/java/dev/windbend/shard/ShardMachines.java
@@ -15,7 +15,10 @@
 import dev.windbend.worker.WorkerMessages;
 import java.util.List;
 
-/** How a shard's machines come and go: by their records, from other shards, and by their end. */
+/**
+ * Adds machines to a shard from records, of previous leaders or of transfers, and handles the
+ * termination of machines.
+ */
 final class ShardMachines {
   private final ShardLeadership leadership;
   private final EventLoop loop;
@@ -46,10 +49,10 @@
   }
 
   /**
-   * Takes in the machines of a record.
+   * Adds the machines of a scale-out or transfer record to the fleet. Ignores an invalid record.
    *
    * @param name the record's key without the shard's prefix
-   * @param inherited whether a former leader wrote it for itself
+   * @param inherited true if the record was found at failover, false if it appeared later
    */
   void restore(String name, VersionedValue stored, boolean inherited) {
     ScaleOutRecord record = Json.read(stored.value(), ScaleOutRecord.class);
@@ -58,7 +61,12 @@
     }
   }
 
-  /** A record of machines has changed: another shard may have transferred some to this one. */
+  /**
+   * Handles a change of a machine record in the state service: another shard may have transferred
+   * machines to this one.
+   *
+   * @param stored null if the record was deleted
+   */
   void recordChanged(String key, VersionedValue stored) {
     String prefix = ScaleOutRecord.prefix(leadership.shard());
     if (leadership.ready() && stored != null && key.startsWith(prefix)) {
@@ -71,7 +79,7 @@
     return fleet.find(machine) != null;
   }
 
-  /** A heartbeat came from a machine that no shard has on record. */
+  /** Handles a heartbeat of a machine that is in no shard's records: it may be orphaned. */
   void handleOrphanHeartbeat(WorkerMessages.Heartbeat heartbeat) {
     if (leadership.ready() && leadership.mayAct()) {
       orphanedMachines.addCandidate(
@@ -80,7 +88,7 @@
     }
   }
 
-  /** The cloud has confirmed the machine's end: its tasks go back to wait. */
+  /** Handles the cloud's confirmation that a machine is terminated: its tasks are queued again. */
   void onMachineTerminated(Machine machine) {
     long now = loop.nowMs();
     zones.machineGone(machine);
--- a/src/main/java/dev/windbend/shard/ShardServices.java
+++ b/src/main/java/dev/windbend/shard/ShardServices.java
@@ -15,8 +15,9 @@
 import dev.windbend.worker.TaskReconciler;
 
 /**
- * The services by which one shard is led, wired together. A service is made after those that it
- * calls; what writes and the fleet report comes to later ones through callbacks of this class.
+ * Creates and connects the services that lead one shard. A service is created after the services
+ * that it calls. Results of writes and events of the fleet reach services created later through
+ * callbacks of this class.
  */
 final class ShardServices {
   private final ShardContext context;
@@ -39,9 +40,9 @@
   final ShardFailover failover;
 
   /**
-   * Wires the services of a term; nothing runs yet.
+   * Creates the services for one term; none is started yet.
    *
-   * @param token the fencing token that the controller was elected with
+   * @param token the fencing token with which the controller was elected
    */
   ShardServices(int shard, long token, ShardContext context) {
     this.context = context;
@@ -238,7 +239,7 @@
     heartbeats.respondToHeld();
   }
 
-  /** Takes the fleet's events to where they count. */
+  /** Forwards the fleet's events to the services that handle them. */
   private final class FleetListener implements Fleet.Listener {
     @Override
     public void recordChanged(PendingWrite record) {
--- a/src/main/java/dev/windbend/shard/ShardState.java
+++ b/src/main/java/dev/windbend/shard/ShardState.java
@@ -7,12 +7,15 @@
 import dev.windbend.zone.ZoneAvailability;
 
 /**
- * What a leader schedules with: its shard's jobs and machines, and what is known of machine types,
+ * The state that a leader schedules with: the shard's jobs and machines, machine types, container
  * images and zones.
  *
- * @param shard the shard's number
+ * @param shard the index of the shard
  * @param token the leader's fencing token
- * @param images image names as the dense numbers that machines report their cached images by
+ * @param jobs the live jobs of the shard
+ * @param fleet the machines of the shard
+ * @param catalog the machine types and the zones
+ * @param images maps image names to the dense indexes by which a machine's cached images are kept
  * @param zones which zones may be used
  */
 record ShardState(
--- a/src/main/java/dev/windbend/shard/ShardStatusLog.java
+++ b/src/main/java/dev/windbend/shard/ShardStatusLog.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs once a period how a shard stands, and why its oldest waiting job waits. */
+/** Periodically logs the status of a shard, and the reason why its oldest waiting job waits. */
 final class ShardStatusLog {
   private static final Logger LOG = LoggerFactory.getLogger(ShardStatusLog.class);
   private static final long MS_PER_SECOND = 1_000;
@@ -41,7 +41,7 @@
     this.lastLogMs = loop.nowMs();
   }
 
-  /** The age of the oldest waiting job when it was last logged; 0: none waited. */
+  /** The age in seconds of the oldest waiting job when last logged; 0 if none was waiting. */
   int oldestWaitSeconds() {
     return oldestWaitSeconds;
   }
@@ -55,9 +55,11 @@
   }
 
   /**
-   * Called at a steady interval while the leader may not act.
+   * Logs that scheduling is suspended, if a period has passed. Called periodically while the leader
+   * may not act.
    *
-   * @param storeFailingMs for how long the state service has not answered
+   * @param nowMs the current time (monotonic clock)
+   * @param storeFailingMs how long the state service has not responded
    */
   void logSuspendedIfDue(long nowMs, long storeFailingMs) {
     if (startPeriodIfDue(nowMs)) {
@@ -69,7 +71,7 @@
     }
   }
 
-  /** Called at a steady interval while the leader may act. */
+  /** Logs the status, if a period has passed. Called periodically while the leader may act. */
   void logIfDue(long nowMs) {
     if (startPeriodIfDue(nowMs)) {
       logStatus(nowMs);
--- a/src/main/java/dev/windbend/shard/TaskFailures.java
+++ b/src/main/java/dev/windbend/shard/TaskFailures.java
@@ -10,16 +10,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Assigns the blame for failed tasks: a machine on which tasks of several jobs fail is quarantined,
- * a job whose tasks fail on several machines waits, for longer each time.
+ * Attributes task failures to machines or jobs. A machine on which tasks of several jobs fail is
+ * quarantined; a job whose tasks fail on several machines is delayed with exponential backoff.
  */
 final class TaskFailures {
   private static final Logger LOG = LoggerFactory.getLogger(TaskFailures.class);
 
-  /** A machine on which tasks of so many jobs failed is faulty. */
+  /** A machine on which tasks of this number of jobs have failed is considered faulty. */
   private static final int FAILED_JOBS_FOR_QUARANTINE = 2;
 
-  /** A job whose tasks failed on so many machines was submitted with a mistake, most likely. */
+  /** A job whose tasks have failed on this number of machines is most likely faulty itself. */
   private static final int FAILED_MACHINES_FOR_BACKOFF = 3;
 
   private static final long INITIAL_BACKOFF_MS = 5_000;
@@ -32,7 +32,7 @@
   private final Runnable requestCycle;
 
   /**
-   * Makes an assignment of blame for one shard.
+   * Creates the handling of task failures for one shard.
    *
    * @param requestCycle called when a machine is quarantined
    */
@@ -44,6 +44,7 @@
     this.requestCycle = requestCycle;
   }
 
+  /** Records that a task failed on a machine; quarantines the machine or delays the job. */
   void taskFailed(Placement placement, Machine machine) {
     Job job = placement.job();
     LOG.info(
@@ -59,9 +60,9 @@
   }
 
   /**
-   * A failure is the machine's fault only if tasks of the job have succeeded elsewhere: jobs
-   * submitted with a mistake fail on every machine, and two of them would have good machines
-   * quarantined, most of all after a failover.
+   * Whether failures of the job's tasks count against machines: only if other tasks of the job have
+   * succeeded. Faulty jobs fail on every machine, and two of them would cause healthy machines to
+   * be quarantined, especially after a failover.
    */
   private boolean countsAgainstMachines(String uid) {
     Job job = jobs.find(uid);
@@ -80,7 +81,7 @@
     }
   }
 
-  /** Machines are not blamed any more for a job that fails everywhere. */
+  /** Delays the job, and no longer counts its failures against machines. */
   private void backOff(Job job) {
     job.backOffUntil(
         loop.nowMs() + (INITIAL_BACKOFF_MS << Math.min(job.backOffs(), MAX_BACKOFF_DOUBLINGS)));
--- a/src/main/java/dev/windbend/shard/TaskOutcomes.java
+++ b/src/main/java/dev/windbend/shard/TaskOutcomes.java
@@ -9,7 +9,8 @@
 import dev.windbend.worker.TaskReconciler;
 
 /**
- * Takes what heartbeats say of tasks to where it counts: records, estimates, blame for failures.
+ * Applies the task events found in heartbeats to the job records, the estimated run times and the
+ * handling of failures.
  */
 final class TaskOutcomes implements TaskReconciler.TaskEvents {
   private final JobRegistry registry;
--- a/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
+++ b/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
@@ -38,8 +38,9 @@
   }
 
   /**
-   * A controller that had just started read answers seconds late, and sent each renewal only after
-   * the answer to the one before: its lease ended with the answer waiting in its socket.
+   * Guards against a lease that expires on an overloaded controller: a controller that had just
+   * started read responses seconds late and sent each renewal only after the previous response, so
+   * its lease expired while that response was still unread in the socket.
    */
   @Test
   void renewalsDoNotWaitForResponses() {
@@ -76,11 +77,11 @@
     assertThat(expirations).isEqualTo(1);
     assertThat(lease.id()).isEqualTo(ControllerLease.NO_LEASE);
     grant(2, 7);
-    assertThat(lease.isValid()).as("renewed before it ended").isFalse();
+    assertThat(lease.isValid()).as("renewal of the expired lease").isFalse();
     grant(3, 8);
     assertThat(lease.id()).isEqualTo(8);
     respond(2, 404, "{}");
-    assertThat(expirations).as("the former one once more").isEqualTo(1);
+    assertThat(expirations).as("expiry of the former lease reported again").isEqualTo(1);
     assertThat(lease.isValid()).isTrue();
   }
 
@@ -90,7 +91,7 @@
     grant(0, 7);
     advance(RENEWAL_MS);
     respond(1, 503, "{}");
-    assertThat(loop.waiting).as("one timer only").hasSize(1);
+    assertThat(loop.waiting).as("one renewal timer").hasSize(1);
     advance(300);
     assertThat(httpClient.paths).containsExactly("/holds", "/holds/7/renew", "/holds/7/renew");
   }
--- a/src/test/java/dev/windbend/shard/FailoverRampUpTest.java
+++ b/src/test/java/dev/windbend/shard/FailoverRampUpTest.java
@@ -10,7 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The first cycles after a failover hold up neither heartbeats nor the renewal of the lease. */
+/**
+ * The first scheduling cycles after a failover delay neither heartbeats nor renewals of the lease.
+ */
 class FailoverRampUpTest {
   private static final double HEARTBEAT_SECONDS = 2;
 
@@ -22,16 +24,16 @@
     rampUp.start();
     assertThat(rampUp.maySchedule(() -> false)).isFalse();
     loop.nowMs += (long) (1_000 * HEARTBEAT_SECONDS);
-    assertThat(rampUp.maySchedule(() -> false)).as("some are late").isFalse();
+    assertThat(rampUp.maySchedule(() -> false)).as("heartbeats may still arrive").isFalse();
     loop.nowMs += (long) (500 * HEARTBEAT_SECONDS);
-    assertThat(rampUp.maySchedule(() -> false)).as("some are gone").isTrue();
+    assertThat(rampUp.maySchedule(() -> false)).as("maximum wait has passed").isTrue();
   }
 
   @Test
   void cyclesBeginOnceAllMachinesAreConfirmed() {
     rampUp.start();
     assertThat(rampUp.maySchedule(() -> true)).isTrue();
-    assertThat(rampUp.maySchedule(() -> false)).as("begun once and for all").isTrue();
+    assertThat(rampUp.maySchedule(() -> false)).as("stays allowed").isTrue();
   }
 
   @Test
@@ -49,6 +51,6 @@
     for (int cycle = 0; cycle < 100; cycle++) {
       rampUp.nextCycleJobs(List.of());
     }
-    assertThat(rampUp.nextCycleJobs(waiting)).as("without limit for good").isEqualTo(waiting);
+    assertThat(rampUp.nextCycleJobs(waiting)).as("limit grown beyond all jobs").isEqualTo(waiting);
   }
 }
--- a/src/test/java/dev/windbend/shard/ShardLeaderRecordTest.java
+++ b/src/test/java/dev/windbend/shard/ShardLeaderRecordTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the state service keeps of who leads a shard. */
+/** The stored form of the record of a shard's leader. */
 class ShardLeaderRecordTest {
   @Test
   void storedFormIsUnchanged() {
