--- a/src/main/java/dev/windbend/shard/ControllerLease.java
+++ b/src/main/java/dev/windbend/shard/ControllerLease.java
@@ -16,7 +16,7 @@
 final class ControllerLease {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerLease.class);
 
-  /** Safety margin by which the lease is considered expired early. */
+  /** Safety margin: the lease is considered expired this long before the computed end. */
   private static final long VALIDITY_MARGIN_MS = 150;
 
   private static final long ACQUIRE_RETRY_MS = 500;
--- a/src/main/java/dev/windbend/shard/LeaderElection.java
+++ b/src/main/java/dev/windbend/shard/LeaderElection.java
@@ -232,13 +232,13 @@
 
   /** Delays the campaign by rank and number of shards led, to spread shards over controllers. */
   private void campaignAfterDelay(int shard) {
-    long now = loop.nowMs();
+    long nowMs = loop.nowMs();
     if (vacantSinceMs[shard] == NOT_VACANT) {
-      vacantSinceMs[shard] = now;
+      vacantSinceMs[shard] = nowMs;
     }
     long delayMs =
         RANK_DELAY_MS * layout.rank(shard, controllerName) + LED_SHARD_DELAY_MS * ledShardCount();
-    if (now - vacantSinceMs[shard] >= delayMs) {
+    if (nowMs - vacantSinceMs[shard] >= delayMs) {
       campaign(shard, ABSENT_VERSION);
     }
   }
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -8,7 +8,7 @@
 
 /**
  * Periodically compares the desired and actual state of a shard and acts on the differences, until
- * the term of its leader ends. While the leader may not act, as when its lease may have expired,
+ * the term of its leader ends. While the leader may not act, for example because its lease may have expired,
  * the loop only logs that scheduling is suspended.
  */
 final class ReconciliationLoop {
@@ -57,12 +57,12 @@
     if (leadership.ended()) {
       return;
     }
-    long now = loop.nowMs();
+    long nowMs = loop.nowMs();
     if (leadership.mayAct()) {
-      reconcile(now);
+      reconcile(nowMs);
     } else {
       leaseValidSinceMs = LEASE_NOT_VALID;
-      statusLog.logSuspendedIfDue(now, store.failingForMs());
+      statusLog.logSuspendedIfDue(nowMs, store.failingForMs());
     }
     loop.after(INTERVAL_MS, this::tick);
   }
@@ -70,31 +70,31 @@
   /**
    * The order of the steps matters: later steps act on the results of earlier ones and write them.
    */
-  private void reconcile(long now) {
+  private void reconcile(long nowMs) {
     if (leaseValidSinceMs == LEASE_NOT_VALID) {
-      leaseValidSinceMs = now;
+      leaseValidSinceMs = nowMs;
     }
-    yieldIfNoWorkerContact(now);
-    components.zones.check(now, leaseValidSinceMs);
-    checkMachines(now);
+    yieldIfNoWorkerContact(nowMs);
+    components.zones.check(nowMs, leaseValidSinceMs);
+    checkMachines(nowMs);
     components.jobs.finishCancelled();
-    components.transfers.tick(now);
+    components.transfers.tick(nowMs);
     components.fleet.pursue();
     components.scheduling.runIfDue(SCHEDULING_INTERVAL_MS);
     components.committer.commitDue();
-    statusLog.logIfDue(now);
-    components.cloudList.returnUnlistedInherited(now);
-    components.cloudList.reconcileFailedAndOrphaned(now);
+    statusLog.logIfDue(nowMs);
+    components.cloudList.returnUnlistedInherited(nowMs);
+    components.cloudList.reconcileFailedAndOrphaned(nowMs);
   }
 
-  private void yieldIfNoWorkerContact(long now) {
+  private void yieldIfNoWorkerContact(long nowMs) {
     long lastContactMs = Math.max(leaseValidSinceMs, leadership.lastWorkerContactMs());
-    if (components.health.lostWorkers(now, lastContactMs)) {
+    if (components.health.lostWorkers(nowMs, lastContactMs)) {
       leadership.yieldLeadership();
     }
   }
 
-  private void checkMachines(long now) {
-    components.health.check(now, leaseValidSinceMs, components.zones.availability()::evacuates);
+  private void checkMachines(long nowMs) {
+    components.health.check(nowMs, leaseValidSinceMs, components.zones.availability()::evacuates);
   }
 }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -31,8 +31,8 @@
   private static final long MAX_EVENT_CYCLE_INTERVAL_MS = 2_000;
 
   /**
-   * Minimum ratio of the interval between event-driven cycles to the duration of the last cycle.
-   * Limits the share of processor time that cycles take.
+   * The interval between event-driven cycles is at least this multiple of the last cycle's duration,
+   * up to the maximum interval, which limits the share of processor time that cycles take.
    */
   private static final int CYCLE_DURATION_MULTIPLIER = 15;
 
@@ -147,7 +147,7 @@
     Snapshot snapshot = snapshots.build(nowMs, oldestFirst, jobs, machines, offers, running);
     DecisionTrace trace = LOG.isDebugEnabled() ? DecisionTrace.recording() : DecisionTrace.NONE;
     SchedulingDecision decision = Planner.plan(snapshot, trace);
-    logLeftWaiting(trace.leftWaiting(snapshot, decision), jobs);
+    logUnplacedTasks(trace.leftWaiting(snapshot, decision), jobs);
     preempt(decision, running);
     place(decision, nowMs, jobs, machines);
     // Machines that are idle in this decision may be needed by jobs that this cycle omitted.
@@ -162,7 +162,7 @@
     }
   }
 
-  private void logLeftWaiting(List<DecisionTrace.LeftWaiting> leftWaiting, List<Job> jobs) {
+  private void logUnplacedTasks(List<DecisionTrace.LeftWaiting> leftWaiting, List<Job> jobs) {
     for (DecisionTrace.LeftWaiting waiting : leftWaiting) {
       LOG.debug(
           "tasks not placed: shard={} job={} obstacles={} outlooks={}",
--- a/src/main/java/dev/windbend/shard/ShardFailover.java
+++ b/src/main/java/dev/windbend/shard/ShardFailover.java
@@ -59,10 +59,10 @@
       loop.after(RECHECK_INTERVAL_MS, () -> run(onRecovered));
       return;
     }
-    long now = loop.nowMs();
+    long nowMs = loop.nowMs();
     restoreMachines();
-    restoreJobs(now);
-    onRecovered.accept(now);
+    restoreJobs(nowMs);
+    onRecovered.accept(nowMs);
   }
 
   private void restoreMachines() {
@@ -72,11 +72,11 @@
     }
   }
 
-  private void restoreJobs(long now) {
+  private void restoreJobs(long nowMs) {
     SortedMap<String, JsonNode> entries =
         pages.restore(replica.withPrefix(JobRecord.pages(leadership.shard())));
     for (VersionedValue record : replica.withPrefix(JobRecord.LIVE).values()) {
-      jobs.restore(record, entries, now);
+      jobs.restore(record, entries, nowMs);
     }
     pages.finishRestore();
   }
--- a/src/main/java/dev/windbend/shard/ShardMachines.java
+++ b/src/main/java/dev/windbend/shard/ShardMachines.java
@@ -90,10 +90,10 @@
 
   /** Handles the cloud's confirmation that a machine is terminated: its tasks are queued again. */
   void onMachineTerminated(Machine machine) {
-    long now = loop.nowMs();
+    long nowMs = loop.nowMs();
     zones.machineGone(machine);
     for (Placement placement : List.copyOf(machine.tasks().values())) {
-      machine.remove(placement, now);
+      machine.remove(placement, nowMs);
       placement.job().gone(placement);
       registry.touched(placement.job());
     }
--- a/src/main/java/dev/windbend/shard/TaskFailures.java
+++ b/src/main/java/dev/windbend/shard/TaskFailures.java
@@ -32,7 +32,7 @@
   private final Runnable requestCycle;
 
   /**
-   * Creates the handling of task failures for one shard.
+   * Creates a handler of task failures for one shard.
    *
    * @param requestCycle called when a machine is quarantined
    */
--- a/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
+++ b/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void responsesForAFormerLeaseAreIgnored() {
+  void responsesForAPreviousLeaseAreIgnored() {
     lease.acquire();
     grant(0, 7);
     advance(RENEWAL_MS);
@@ -81,7 +81,7 @@
     grant(3, 8);
     assertThat(lease.id()).isEqualTo(8);
     respond(2, 404, "{}");
-    assertThat(expirations).as("expiry of the former lease reported again").isEqualTo(1);
+    assertThat(expirations).as("expiry of the previous lease reported again").isEqualTo(1);
     assertThat(lease.isValid()).isTrue();
   }
 
