--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -8,8 +8,8 @@
 
 /**
  * Periodically compares the desired and actual state of a shard and acts on the differences, until
- * the term of its leader ends. While the leader may not act, for example because its lease may have expired,
- * the loop only logs that scheduling is suspended.
+ * the term of its leader ends. While the leader may not act, for example because its lease may have
+ * expired, the loop only logs that scheduling is suspended.
  */
 final class ReconciliationLoop {
   private static final long INTERVAL_MS = 500;
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -31,8 +31,9 @@
   private static final long MAX_EVENT_CYCLE_INTERVAL_MS = 2_000;
 
   /**
-   * The interval between event-driven cycles is at least this multiple of the last cycle's duration,
-   * up to the maximum interval, which limits the share of processor time that cycles take.
+   * The interval between event-driven cycles is at least this multiple of the last cycle's
+   * duration, up to the maximum interval, which limits the share of processor time that cycles
+   * take.
    */
   private static final int CYCLE_DURATION_MULTIPLIER = 15;
 
@@ -151,7 +152,7 @@
     preempt(decision, running);
     place(decision, nowMs, jobs, machines);
     // Machines that are idle in this decision may be needed by jobs that this cycle omitted.
-    capacity.offerForTransfer(lastCyclePartial ? List.of() : decision.idle(), machines);
+    capacity.offerForTransfer(lastCyclePartial ? List.of() : decision.idleMachines(), machines);
     capacity.acquire(decision, offers, nowMs);
     if (!lastCyclePartial) {
       capacity.scaleIn(decision, machines);
@@ -216,7 +217,7 @@
   }
 
   private void preempt(SchedulingDecision decision, List<List<Placement>> running) {
-    for (SchedulingDecision.Preempt preempted : decision.preemptions()) {
+    for (SchedulingDecision.PreemptedTask preempted : decision.preemptions()) {
       Placement placement = running.get(preempted.machine()).get(preempted.task());
       LOG.info(
           "task preempted: shard={} machine={} task={} token={} cause=\"more urgent job\"",
@@ -231,7 +232,7 @@
   private void place(
       SchedulingDecision decision, long nowMs, List<Job> jobs, List<Machine> machines) {
     Set<Job> changed = new LinkedHashSet<>();
-    for (SchedulingDecision.Place place : decision.placements()) {
+    for (SchedulingDecision.PlacedTask place : decision.placements()) {
       Job job = jobs.get(place.job());
       Machine machine = machines.get(place.machine());
       machine.add(job.place(job.nextWaiting(), machine.name(), nowMs, state.token(), cycleCount));
--- a/src/main/java/dev/windbend/shard/ShardLeadership.java
+++ b/src/main/java/dev/windbend/shard/ShardLeadership.java
@@ -55,8 +55,8 @@
   }
 
   @Override
-  public boolean mayKeepWorkers() {
-    return outageDetector.mayKeepWorkers();
+  public boolean mayRenewWorkerLeases() {
+    return outageDetector.mayRenewWorkerLeases();
   }
 
   /** When a worker last reached this controller (monotonic clock, ms). */
--- a/src/main/java/dev/windbend/shard/ShardServices.java
+++ b/src/main/java/dev/windbend/shard/ShardServices.java
@@ -236,7 +236,7 @@
   private void afterWrite() {
     jobs.removeEnded();
     fleet.afterWrite();
-    heartbeats.respondToHeld();
+    heartbeats.respondToHeldHeartbeats();
   }
 
   /** Forwards the fleet's events to the services that handle them. */
