--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -155,10 +155,10 @@
 
   private StoreOutageDetector newOutageDetector(Members members) {
     Settings.Workers workers = settings.deployment().workers();
-    long workerRetentionMs =
-        StoreOutageDetector.workerRetentionMs(workers.leaseSeconds(), workers.cancelSeconds());
+    long leaseRenewalWindowMs =
+        StoreOutageDetector.leaseRenewalWindowMs(workers.leaseSeconds(), workers.cancelSeconds());
     return new StoreOutageDetector(
-        loop, http, store, members.peerAddresses(), workerRetentionMs, cancellations);
+        loop, http, store, members.peerAddresses(), leaseRenewalWindowMs, cancellations);
   }
 
   private ShardContext newContext(CloudClient cloud, int controllers) {
@@ -207,7 +207,7 @@
         .post(
             CancellationBroadcaster.PATH,
             (request, done) -> done.accept(cancellationBroadcaster.handle(request)))
-        .post(MachineTransferClient.PATH, transfers::serve)
+        .post(MachineTransferClient.PATH, transfers::handle)
         .get("/metrics", metrics)
         .get(
             "/zones",
--- a/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
+++ b/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
@@ -87,6 +87,6 @@
     return leaderNode == null || leaderNode.equals(node)
         ? ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE)
         : ServerResponse.of(
-            HttpStatus.MISDIRECTED_REQUEST, new WorkerMessages.Elsewhere(leaderNode));
+            HttpStatus.MISDIRECTED_REQUEST, new WorkerMessages.LeaderRedirect(leaderNode));
   }
 }
--- a/src/main/java/dev/windbend/shard/CapacityProvisioner.java
+++ b/src/main/java/dev/windbend/shard/CapacityProvisioner.java
@@ -78,7 +78,7 @@
   void acquire(SchedulingDecision decision, List<InstanceOffer> offers, long nowMs) {
     // The search for starved jobs goes over all jobs and machines: only when others may be asked.
     boolean mayRequest = transfers.mayRequest();
-    MachineTransferMessages.Overdue starvedTasks =
+    MachineTransferMessages.OverdueTasks starvedTasks =
         mayRequest && transfers.mayRequestForOverdue()
             ? starvedJobs.tasksWithoutCapacity(nowMs).orElse(null)
             : null;
--- a/src/main/java/dev/windbend/shard/ShardLeadership.java
+++ b/src/main/java/dev/windbend/shard/ShardLeadership.java
@@ -55,8 +55,8 @@
   }
 
   @Override
-  public boolean mayKeepWorkers() {
-    return outageDetector.mayKeepWorkers();
+  public boolean mayRenewWorkerLeases() {
+    return outageDetector.mayRenewWorkerLeases();
   }
 
   /** When any worker reached this controller last (steady clock). */
--- a/src/main/java/dev/windbend/shard/ShardMachines.java
+++ b/src/main/java/dev/windbend/shard/ShardMachines.java
@@ -76,7 +76,7 @@
     if (leadership.ready() && leadership.mayAct()) {
       orphanedMachines.addCandidate(
           heartbeat.machine(),
-          new OrphanedMachine(heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
+          new OrphanedMachine(heartbeat.machineType(), heartbeat.zone(), heartbeat.spot()));
     }
   }
 
--- a/src/main/java/dev/windbend/shard/ShardServices.java
+++ b/src/main/java/dev/windbend/shard/ShardServices.java
@@ -235,7 +235,7 @@
   private void afterWrite() {
     jobs.removeEnded();
     fleet.afterWrite();
-    heartbeats.respondToHeld();
+    heartbeats.respondToHeldHeartbeats();
   }
 
   /** Takes the fleet's events to where they count. */
--- a/src/main/java/dev/windbend/shard/StarvedJobs.java
+++ b/src/main/java/dev/windbend/shard/StarvedJobs.java
@@ -39,7 +39,7 @@
    * One task of each starved job that no machine of this shard has capacity for, as a request to
    * other shards; empty if there is none.
    */
-  Optional<MachineTransferMessages.Overdue> tasksWithoutCapacity(long nowMs) {
+  Optional<MachineTransferMessages.OverdueTasks> tasksWithoutCapacity(long nowMs) {
     Job longestWaiting = null;
     double lackingCores = 0;
     double[] usedCores = TeamUsage.cores(state.jobs().all(), deployment.teams().size());
@@ -63,7 +63,7 @@
     }
     int machines = (int) Math.ceil(lackingCores / state.catalog().largestCores());
     return Optional.of(
-        new MachineTransferMessages.Overdue(nextTaskRequirements(longestWaiting), machines));
+        new MachineTransferMessages.OverdueTasks(nextTaskRequirements(longestWaiting), machines));
   }
 
   /** No machine is vacated for a job that was most likely submitted with a mistake. */
