--- a/src/main/java/dev/windbend/shard/Policy.java
+++ b/src/main/java/dev/windbend/shard/Policy.java
@@ -5,8 +5,9 @@
 /**
  * Scheduling policy of shard leaders, as set by operators.
  *
- * @param cyclePeriodMs the interval of scheduling cycles that are not event-driven, and of the
- *     shard status log
+ * @param cyclePeriodMs the interval of scheduling cycles that are not event-driven; also the
+ *     longest time until the next cycle that the planner assumes, and the interval of the shard
+ *     status log
  * @param eventDrivenCycles whether events such as freed capacity trigger scheduling cycles
  * @param billingBlockMs the unit of time by which the cloud bills a machine
  * @param impliedDeadlineFactor a job without a deadline is due after its estimated run time times
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -143,13 +143,13 @@
     lastCyclePartial = jobs.size() < waiting.size();
     List<Machine> machines = schedulableMachines(nowMs);
     List<InstanceOffer> offers = capacity.offers();
-    List<List<Placement>> running = new ArrayList<>();
+    List<List<Placement>> runningTasks = new ArrayList<>();
     boolean oldestFirst = cycleCount % OLDEST_FIRST_CYCLE_INTERVAL == 0;
-    Snapshot snapshot = snapshots.build(nowMs, oldestFirst, jobs, machines, offers, running);
+    Snapshot snapshot = snapshots.build(nowMs, oldestFirst, jobs, machines, offers, runningTasks);
     DecisionTrace trace = LOG.isDebugEnabled() ? DecisionTrace.recording() : DecisionTrace.NONE;
     SchedulingDecision decision = Planner.plan(snapshot, trace);
     logUnplacedTasks(trace.leftWaiting(snapshot, decision), jobs);
-    preempt(decision, running);
+    preempt(decision, runningTasks);
     place(decision, nowMs, jobs, machines);
     // Machines that are idle in this decision may be needed by jobs that this cycle omitted.
     capacity.offerForTransfer(lastCyclePartial ? List.of() : decision.idleMachines(), machines);
@@ -164,13 +164,13 @@
   }
 
   private void logUnplacedTasks(List<DecisionTrace.LeftWaiting> leftWaiting, List<Job> jobs) {
-    for (DecisionTrace.LeftWaiting waiting : leftWaiting) {
+    for (DecisionTrace.LeftWaiting unplaced : leftWaiting) {
       LOG.debug(
           "tasks not placed: shard={} job={} obstacles={} outlooks={}",
           state.shard(),
-          jobs.get(waiting.job()).spec().uid(),
-          waiting.obstacles(),
-          waiting.outlooks());
+          jobs.get(unplaced.job()).spec().uid(),
+          unplaced.obstacles(),
+          unplaced.outlooks());
     }
   }
 
@@ -216,9 +216,9 @@
     return true;
   }
 
-  private void preempt(SchedulingDecision decision, List<List<Placement>> running) {
+  private void preempt(SchedulingDecision decision, List<List<Placement>> runningTasks) {
     for (SchedulingDecision.PreemptedTask preempted : decision.preemptions()) {
-      Placement placement = running.get(preempted.machine()).get(preempted.task());
+      Placement placement = runningTasks.get(preempted.machine()).get(preempted.task());
       LOG.info(
           "task preempted: shard={} machine={} task={} token={} cause=\"more urgent job\"",
           state.shard(),
@@ -232,9 +232,9 @@
   private void place(
       SchedulingDecision decision, long nowMs, List<Job> jobs, List<Machine> machines) {
     Set<Job> changed = new LinkedHashSet<>();
-    for (SchedulingDecision.PlacedTask place : decision.placements()) {
-      Job job = jobs.get(place.job());
-      Machine machine = machines.get(place.machine());
+    for (SchedulingDecision.PlacedTask placed : decision.placements()) {
+      Job job = jobs.get(placed.job());
+      Machine machine = machines.get(placed.machine());
       machine.add(job.place(job.nextWaiting(), machine.name(), nowMs, state.token(), cycleCount));
       changed.add(job);
     }
