--- a/src/main/java/dev/windbend/shard/CapacityProvisioner.java
+++ b/src/main/java/dev/windbend/shard/CapacityProvisioner.java
@@ -14,11 +14,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Gets the machines that a scheduling cycle lacks, first from other shards and then from the cloud,
- * and parts with those that it doesn't need.
+ * Obtains the machines that a scheduling cycle lacks, first from other shards and then from the
+ * cloud, and releases machines that the cycle does not need.
  */
 final class CapacityProvisioner {
-  /** Cycles on events are many, and each scale-out takes a write and a request to the cloud. */
+  /**
+   * Event-triggered cycles are frequent, and each scale-out costs a write to the state service and
+   * a request to the cloud.
+   */
   private static final long MIN_SCALE_OUT_INTERVAL_MS = 2_000;
 
   private static final int MAX_PENDING_SCALE_OUTS = 8;
@@ -43,7 +46,10 @@
     this.mayAct = mayAct;
   }
 
-  /** The machine types that the cloud rents, by zone, spot instances first; some not now. */
+  /**
+   * The kinds of machine that the cloud offers, by type and zone, spot instances before standard
+   * ones. Kinds that must not be requested now are included as unavailable.
+   */
   List<InstanceOffer> offers() {
     List<InstanceOffer> offers = new ArrayList<>();
     for (MachineType type : state.catalog().all()) {
@@ -65,7 +71,12 @@
     offers.add(new InstanceOffer(kind, capacity, Units.toMs(type.bootS()), available));
   }
 
-  /** Other shards may get the machines with these indices, which are idle and not reserved. */
+  /**
+   * Offers machines to other shards, in place of the previous offer.
+   *
+   * @param indices positions in {@code machines} of the machines that are idle and not reserved for
+   *     tasks
+   */
   void offerForTransfer(List<Integer> indices, List<Machine> machines) {
     List<Machine> idleMachines = new ArrayList<>();
     for (int index : indices) {
@@ -74,9 +85,15 @@
     transfers.setIdleMachines(idleMachines);
   }
 
-  /** Requests the lacking machines of the other shards, and of the cloud what they don't give. */
+  /**
+   * Requests the lacking machines from the other shards, and from the cloud those that the other
+   * shards do not transfer.
+   *
+   * @param nowMs monotonic clock
+   */
   void acquire(SchedulingDecision decision, List<InstanceOffer> offers, long nowMs) {
-    // The search for starved jobs goes over all jobs and machines: only when others may be asked.
+    // The search for starved jobs iterates over all jobs and machines, so it runs only if other
+    // shards may be asked for machines now.
     boolean mayRequest = transfers.mayRequest();
     MachineTransferMessages.Overdue starvedTasks =
         mayRequest && transfers.mayRequestForOverdue()
@@ -99,8 +116,11 @@
   }
 
   /**
-   * @param incomingMachines machines that other shards transfer: so many fewer are requested of the
-   *     cloud
+   * Requests machines from the cloud, unless the last scale-out was too recent or too many are
+   * pending.
+   *
+   * @param incomingMachines number of machines that other shards transfer, which is subtracted from
+   *     the number to request
    */
   private void scaleOut(
       List<SchedulingDecision.ScaleOut> requests,
@@ -130,11 +150,11 @@
     }
   }
 
-  /** Gives machines back to the cloud that the planner has no more use for. */
+  /** Returns machines to the cloud that the planner no longer needs. */
   void scaleIn(SchedulingDecision decision, List<Machine> machines) {
     Fleet fleet = state.fleet();
     for (int index : decision.scaleIns()) {
-      fleet.scaleIn(machines.get(index), "idle at the end of its block");
+      fleet.scaleIn(machines.get(index), "idle at the end of its billing block");
     }
   }
 }
--- a/src/main/java/dev/windbend/shard/DeploymentSpec.java
+++ b/src/main/java/dev/windbend/shard/DeploymentSpec.java
@@ -6,14 +6,15 @@
 import java.util.stream.DoubleStream;
 
 /**
- * What the settings file says about the deployment, as far as a shard's leader needs it.
+ * The properties of the deployment in the settings file that a shard's leader needs.
  *
- * @param teams in the order of the settings file; a team's place in it is its index everywhere
- * @param controllers how many controllers the deployment has
- * @param workers how workers report
- * @param cloud what the cloud allows
- * @param store what the state service allows
- * @param objectives what is asked of jobs
+ * @param teams in the order of the settings file; a team's position is its index throughout the
+ *     program
+ * @param controllers number of controllers in the deployment
+ * @param workers timing of the workers' heartbeats and leases
+ * @param cloud limits of the cloud
+ * @param store limits of the state service
+ * @param objectives service-level objectives of jobs
  */
 public record DeploymentSpec(
     List<TeamQuota> teams,
@@ -23,16 +24,20 @@
     StoreLimits store,
     ServiceObjectives objectives) {
 
-  /** The leaders of all shards together take this part of the writes that are allowed. */
+  /** Share of the permitted write rate that the leaders of all shards use together. */
   private static final double LEADER_WRITE_RATE_SHARE = 0.5;
 
-  /** Least time between two writes of a shard's leader. */
+  /**
+   * Minimum time between two writes of a shard's leader.
+   *
+   * @param shards number of shards in the deployment
+   */
   long minWriteIntervalMs(int shards) {
     return (long)
         (Units.MS_PER_SECOND / LEADER_WRITE_RATE_SHARE * shards / store.writesPerSecond());
   }
 
-  /** The guaranteed cores of all teams of a shard. */
+  /** Sum of the guaranteed cores of all teams of a shard. */
   double guaranteedCores(ShardLayout layout, int shard) {
     double cores = 0;
     for (int team = 0; team < teams.size(); team++) {
@@ -42,13 +47,15 @@
   }
 
   /**
-   * What a team is entitled to.
+   * A team's guaranteed and maximum resources.
    *
    * @param name the team's name in submissions
-   * @param guaranteedCores cores that its jobs get before others' jobs get more than theirs
-   * @param maxCores cores that its tasks use at most
-   * @param guaranteedGpus GPUs, likewise
-   * @param maxGpus GPUs that its tasks use at most
+   * @param guaranteedCores cores that its jobs receive before jobs of other teams receive more than
+   *     their own guarantee
+   * @param maxCores maximum number of cores that its tasks use
+   * @param guaranteedGpus GPUs that its jobs receive before jobs of other teams receive more than
+   *     their own guarantee
+   * @param maxGpus maximum number of GPUs that its tasks use
    */
   public record TeamQuota(
       String name,
@@ -58,37 +65,38 @@
       double maxGpus) {}
 
   /**
-   * How workers report.
+   * Timing of the workers' heartbeats and leases.
    *
    * @param heartbeatSeconds time between two heartbeats of a worker
-   * @param leaseSeconds how long after a heartbeat that was answered a worker keeps its tasks
+   * @param leaseSeconds how long a worker keeps its tasks after a heartbeat that received a
+   *     response
    */
   public record WorkerTiming(double heartbeatSeconds, double leaseSeconds) {}
 
   /**
-   * What the cloud allows.
+   * Limits of the cloud.
    *
-   * @param maxListLagSeconds how far its list of machines may be behind
-   * @param requestsPerSecond requests that all controllers together may send
+   * @param maxListLagSeconds maximum time by which its list of machines lags behind
+   * @param requestsPerSecond maximum request rate of all controllers together
    */
   public record CloudLimits(double maxListLagSeconds, double requestsPerSecond) {}
 
   /**
-   * What the state service allows.
+   * Limits of the state service.
    *
-   * @param maxValueBytes the size of a stored value at most
-   * @param writesPerSecond changes that all controllers together may make
+   * @param maxValueBytes maximum size of a stored value
+   * @param writesPerSecond maximum write rate of all controllers together
    */
   public record StoreLimits(int maxValueBytes, double writesPerSecond) {}
 
   /**
-   * Service-level objectives, by kind of job.
+   * Service-level objectives, by kind of job. A kind without an objective has no entry.
    *
    * @param deadlineFactors multiples of a job's own deadline within which it should finish
    * @param finishWithinSeconds times from submission within which a job should finish, ascending
-   * @param startWithinSeconds time from submission within which a job should start
-   * @param guaranteedStartSeconds time within which work within its team's guarantee should start;
-   *     0: nothing is asked
+   * @param startWithinSeconds times from submission within which a job should start
+   * @param guaranteedStartSeconds time from submission within which a job within its team's
+   *     guarantee should start; 0 if there is no such objective
    */
   public record ServiceObjectives(
       Map<String, double[]> deadlineFactors,
@@ -99,11 +107,13 @@
     private static final double[] NO_TIME_LIMITS = {};
 
     /**
-     * The times within which a job should finish.
+     * Returns the times within which a job should finish.
      *
-     * @param deadlineSeconds the job's own deadline; null: it has none
-     * @param impliedDeadlineSeconds what counts for a job with neither a deadline nor an objective
-     * @param useObjectives whether objectives count at all
+     * @param kind the kind of job
+     * @param deadlineSeconds the job's own deadline; null if it has none
+     * @param impliedDeadlineSeconds the time limit of a job with neither a deadline nor an
+     *     objective
+     * @param useObjectives whether objectives are applied; if not, only deadlines are
      * @return seconds from submission, ascending
      */
     double[] timeLimitsSeconds(
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -8,7 +8,7 @@
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.zone.ZoneMonitor;
 
-/** How long the tasks of jobs run, as estimated, and when the jobs are due. */
+/** Estimates the run time of jobs' tasks and computes the jobs' deadlines. */
 final class JobDeadlines implements ZoneMonitor.JobTimes {
   private static final double MIN_ESTIMATED_RUN_TIME_SECONDS = 1;
 
@@ -31,17 +31,17 @@
     this.estimates = estimates;
   }
 
-  /** Jobs of the same team and kind share their recent run times. */
+  /** Key of the run time statistics, which jobs of the same team and kind share. */
   private static String estimateKey(Job job) {
     return job.spec().team() + "/" + job.spec().kind();
   }
 
-  /** A task of the job has completed after running for so long. */
+  /** Records the run time of a completed task of the job. */
   void recordCompletedTask(Job job, double runTimeSeconds) {
     estimates.recordRunTime(estimateKey(job), runTimeSeconds);
   }
 
-  /** How long a task of the job runs, as estimated. */
+  /** Estimated run time of a task of the job; at least {@link #MIN_ESTIMATED_RUN_TIME_SECONDS}. */
   double estimatedRunTimeSeconds(Job job) {
     return Math.max(
         MIN_ESTIMATED_RUN_TIME_SECONDS,
@@ -53,12 +53,12 @@
     return Units.toMs(estimatedRunTimeSeconds(job));
   }
 
-  /** Time since the job's submission. */
+  /** Time since the job's submission, by the wall clock. */
   long ageMs(Job job) {
     return loop.wallMs() - job.submittedWallMs();
   }
 
-  /** The next of its time limits that the job can still meet. */
+  /** The next time limit that the job can still meet, else its last one. */
   Deadlines nextDeadline(Job job, long ageMs) {
     double[] timeLimitsSeconds =
         deployment
@@ -77,7 +77,7 @@
     return nowMs - ageMs + Units.toMs(nextDeadline(job, ageMs).dueSeconds());
   }
 
-  /** How long the slowest type of machine takes to boot; 0: no type is known. */
+  /** Boot time of the machine type that boots slowest; 0 if no machine type is known. */
   double maxBootSeconds() {
     return catalog.all().stream().mapToDouble(MachineType::bootS).max().orElse(0);
   }
--- a/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -14,18 +14,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Describes machines to the planner: what is free, what will be, and when they may go. */
+/**
+ * Builds the planner's view of machines: free resources, running tasks with their expected ends,
+ * and the times from which a machine may be returned to the cloud.
+ */
 final class MachineCapacityBuilder {
-  /** A machine beyond the reserve goes once it has been idle for so long. */
+  /**
+   * A machine in excess of the reserve is returned to the cloud only after it has been idle for
+   * this time.
+   */
   private static final long MIN_IDLE_BEFORE_SCALE_IN_MS = 10_000;
 
-  /** What should have happened by now is expected this soon. */
+  /**
+   * Minimum delay until an expected event, such as the end of a boot or of a stopped task; it also
+   * applies to events that are already overdue.
+   */
   private static final long MIN_EXPECTED_DELAY_MS = 1_000;
 
-  /** A machine that has taken so many times its boot time may not come at all. */
+  /**
+   * A machine that has been booting for more than this multiple of its type's boot time may never
+   * become ready.
+   */
   private static final double LATE_BOOT_FACTOR = 1.5;
 
-  /** Such a machine is expected after so many times its boot time from now. */
+  /**
+   * A machine whose boot is that late is expected to become ready after this multiple of its type's
+   * boot time, counted from now.
+   */
   private static final double LATE_BOOT_REMAINING_FACTOR = 2.5;
 
   private static final double MIN_FETCH_GB_PER_SECOND = 0.01;
@@ -43,7 +58,10 @@
   }
 
   /**
-   * @param tasks those that still take capacity of the machine
+   * Builds the planner's view of a machine of the shard.
+   *
+   * @param tasks the machine's tasks that still use its capacity
+   * @param nowMs monotonic clock
    */
   MachineCapacity fromMachine(Machine machine, List<Placement> tasks, long nowMs) {
     MachineType type = machine.type();
@@ -78,7 +96,10 @@
         running);
   }
 
-  /** A machine that the cloud was asked for and has not named yet. */
+  /**
+   * Builds the planner's view of a machine that was requested from the cloud and has not been
+   * granted yet.
+   */
   MachineCapacity fromPendingScaleOut(Fleet.PendingScaleOut request, long nowMs) {
     MachineType type = request.type();
     long readyMs = expectedBootEndMs(request.sinceMs(), type, nowMs);
@@ -106,7 +127,10 @@
     return new Resources(type.cores(), type.gpus(), type.memoryGb());
   }
 
-  /** How long until the machine can be told to start a task. */
+  /**
+   * Time in ms until the machine can receive a command to start a task. Commands are sent in the
+   * responses to heartbeats; the result is 0 if a heartbeat awaits its response now.
+   */
   private long timeToNextResponseMs(Machine machine, long nowMs) {
     return machine.liveness().awaitingResponse()
         ? 0
@@ -117,7 +141,7 @@
                 - nowMs);
   }
 
-  /** When a machine that is not up should be. */
+  /** When a machine that is not usable yet is expected to be usable (monotonic clock, ms). */
   private static long readyMs(Machine machine, long nowMs) {
     if (machine.lastHeartbeatMs() >= 0) {
       return nowMs + MIN_EXPECTED_DELAY_MS;
@@ -133,7 +157,10 @@
     return Math.max(requestedMs + Units.toMs(type.bootS()), nowMs + MIN_EXPECTED_DELAY_MS);
   }
 
-  /** The end of the billing block in which the machine went idle, or of the present one. */
+  /**
+   * The end of the billing block in which the machine became idle, or of the current block if it is
+   * busy (monotonic clock, ms).
+   */
   private long paidUntilMs(Machine machine, long idleSinceMs) {
     long blockMs = policy.billingBlockMs();
     long usedMs = Math.max(0, idleSinceMs - machine.requestedMs());
@@ -141,7 +168,10 @@
     return machine.requestedMs() + blocks * blockMs;
   }
 
-  /** The run time that stopping a task at once would lose; -1: it must not be stopped. */
+  /**
+   * Run time in ms that is lost if the task is stopped immediately; {@link #NOT_STOPPABLE} if the
+   * task must not be stopped.
+   */
   private static long lostRunTimeMs(Placement task, long nowMs) {
     boolean stateUnknown = task.inherited() && !task.seen();
     if (task.stopping() || stateUnknown) {
@@ -152,6 +182,7 @@
     return checkpointIntervalMs > 0 ? runTimeMs % checkpointIntervalMs : runTimeMs;
   }
 
+  /** When the task is expected to end (monotonic clock, ms). */
   private long expectedEndMs(Placement task, MachineType type, long nowMs) {
     if (task.stopping()) {
       return nowMs + Units.toMs(task.stopGraceS()) + MIN_EXPECTED_DELAY_MS;
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -19,29 +19,40 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Transfers of machines between shards: idle ones at once, busy ones reserved for the other shard
- * and transferred once they are empty, and, for overdue tasks, evicted if need be.
+ * Transfers machines between shards. Idle machines are transferred immediately. Busy machines are
+ * reserved for the other shard and transferred once they are empty; for overdue tasks, the running
+ * tasks are evicted if necessary.
  */
 final class MachineTransfers {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTransfers.class);
   private static final long MIN_REQUEST_INTERVAL_MS = 2_000;
   private static final int MAX_MACHINES_PER_REQUEST = 100;
 
-  /** A shard with less than this share of its guarantee is starved. */
+  /** A shard with less than this share of its guaranteed cores counts as starved. */
   private static final double STARVED_GUARANTEE_SHARE = 0.5;
 
-  /** Tasks that are still on a machine for an overdue task after this time are stopped. */
+  /**
+   * Grace period of an eviction for overdue tasks: tasks that are still on the machine after this
+   * time are stopped.
+   */
   private static final long EVICTION_GRACE_MS = 10_000;
 
-  /** A machine that came from another shard stays for so long, so that none goes back and forth. */
+  /**
+   * No tasks are evicted for overdue tasks from a machine that was received from another shard less
+   * than this time ago, so that machines do not move back and forth between shards.
+   */
   private static final long MIN_RECEIVED_RETENTION_MS = 90_000;
 
-  /** Capacity counts as unused once no task has had it for this time. */
+  /** Capacity counts as steadily free once no task has used it for this time. */
   private static final long FREE_CAPACITY_WINDOW_MS = 5_000;
 
-  /** Once a machine is coming for an overdue task, no other shard is asked for so long. */
+  /**
+   * After a reply that provides machines for all overdue tasks, no more machines are requested for
+   * overdue tasks for this time.
+   */
   private static final long MIN_OVERDUE_REQUEST_INTERVAL_MS = 20_000;
 
+  /** Earlier than any point in time; half of the minimum, so that differences do not overflow. */
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
   private final int shard;
@@ -56,9 +67,9 @@
   private long freeCapacityWindowStartMs;
 
   /**
-   * Makes the transfers from and to one shard.
+   * Creates the transfers to and from one shard.
    *
-   * @param guaranteedCores the guaranteed cores of all teams of the shard
+   * @param guaranteedCores sum of the guaranteed cores of all teams of the shard
    */
   MachineTransfers(
       int shard, EventLoop loop, Fleet fleet, double guaranteedCores, MachineRequester requester) {
@@ -69,34 +80,36 @@
     this.requester = requester;
   }
 
-  /** Other shards have been asked and have not all answered yet. */
+  /** Whether a request to the other shards is still in progress. */
   boolean requestPending() {
     return requestPending;
   }
 
+  /** Whether a new request to the other shards may be sent now. */
   boolean mayRequest() {
     return !requestPending && loop.nowMs() - lastRequestMs >= MIN_REQUEST_INTERVAL_MS;
   }
 
-  /** No machine is on its way for an overdue task. */
+  /** Whether the next request may include overdue tasks. */
   boolean mayRequestForOverdue() {
     return loop.nowMs() - lastOverdueServedMs >= MIN_OVERDUE_REQUEST_INTERVAL_MS;
   }
 
-  /** The machines that the last scheduling cycle left idle. */
+  /** Replaces the set of idle machines with those that the last scheduling cycle left idle. */
   void setIdleMachines(List<Machine> machines) {
     idleMachines.clear();
     idleMachines.addAll(machines);
   }
 
   /**
-   * Asks the other shards for machines: what they can spare is paid for and need not be created.
+   * Requests machines from the other shards. Machines that the other shards can spare are already
+   * paid for and do not have to be created.
    *
    * @param lackingCores cores that waiting tasks lack
-   * @param largestCores the cores of the largest type of machine
-   * @param cloudAvailable whether the cloud refused no kind of machine a moment ago
-   * @param overdue tasks to get capacity for in any case; null: none
-   * @param done called with the number of machines that are coming
+   * @param largestCores cores of the largest machine type
+   * @param cloudAvailable whether the cloud has not refused any kind of machine recently
+   * @param overdue tasks to obtain machines for even if other tasks must be evicted; null if none
+   * @param done called with the number of machines that the other shards transfer or have reserved
    */
   void request(
       double lackingCores,
@@ -106,7 +119,7 @@
       IntConsumer done) {
     int count = (int) Math.ceil(lackingCores / largestCores);
     double coresBelowGuarantee = guaranteedCores - retainedCores(machine -> true);
-    // What the cloud still has is not taken from others.
+    // As long as the cloud has machines available, busy machines of other shards are not requested.
     boolean requestsGuarantee = coresBelowGuarantee > 0 && !cloudAvailable;
     double guaranteeShare = requestsGuarantee ? 1 - coresBelowGuarantee / guaranteedCores : 1;
     if (requestsGuarantee) {
@@ -127,7 +140,10 @@
     done.accept(reply.count());
   }
 
-  /** The cores of the machines that stay with this shard. */
+  /**
+   * Cores of the machines that match the filter and stay with this shard, that is, are neither
+   * being returned to the cloud nor reserved for another shard.
+   */
   private double retainedCores(Predicate<Machine> filter) {
     double cores = 0;
     for (Machine machine : fleet.machines()) {
@@ -140,17 +156,19 @@
   }
 
   /**
-   * Another shard lacks machines: it gets idle ones, and, if it has less than its teams'
-   * guarantees, some of the busy ones as soon as they are empty. For an overdue task it gets one
-   * that has capacity for it, busy or not.
+   * Handles the request of another shard that lacks machines. The other shard receives idle
+   * machines and, if it has less than its teams' guarantees, some of the busy machines as soon as
+   * they are empty. For overdue tasks it receives machines with capacity for them, busy or not.
+   *
+   * @return how many machines the other shard receives now or later
    */
   Reply transfer(int toShard, Request request) {
     List<Machine> transferred = transferIdleMachines(toShard, request.count());
     int incoming = transferred.size();
     if (request.guaranteeShare() < 1 && incoming < request.count()) {
       reserveBusyMachines(toShard, request.count() - incoming, request.guaranteeShare());
-      // Those reserved count as coming. Otherwise every other shard would reserve as many too, and
-      // the one that asks would end up with machines that it has no work for.
+      // Reserved machines are included in the reply. Otherwise every other shard would reserve the
+      // same number of machines, and the requesting shard would receive more than it has work for.
       incoming = Math.min(request.count(), incoming + reservedCount(toShard));
     }
     return new Reply(incoming, transferForOverdue(toShard, request.overdue(), transferred));
@@ -168,7 +186,10 @@
     return transferred;
   }
 
-  /** What was idle in the last cycle may have changed since. */
+  /**
+   * Whether the machine is still idle and may be transferred; it may have changed since the last
+   * scheduling cycle.
+   */
   private boolean isTransferable(Machine machine) {
     return machine.mayBeTransferred()
         && machine.usable(loop.nowMs())
@@ -176,7 +197,11 @@
         && fleet.find(machine.name()) == machine;
   }
 
-  /** How many of the machines that are coming the overdue tasks may run on. */
+  /**
+   * Evicts tasks from machines if the transferred machines do not suffice for the overdue tasks.
+   *
+   * @return how many of the transferred and evicted machines the overdue tasks may run on
+   */
   private int transferForOverdue(int toShard, Overdue overdue, List<Machine> transferred) {
     if (overdue == null) {
       return 0;
@@ -186,26 +211,31 @@
     return Math.min(overdue.count(), incoming + evicted);
   }
 
-  /** Called at a steady interval: stops the tasks whose grace has ended. */
-  void tick(long now) {
-    if (now - freeCapacityWindowStartMs >= FREE_CAPACITY_WINDOW_MS) {
-      freeCapacityWindowStartMs = now;
+  /**
+   * Stops the tasks whose eviction grace period has ended, and starts a new free-capacity window
+   * when the last one is over. Called at a fixed interval.
+   *
+   * @param nowMs monotonic clock
+   */
+  void tick(long nowMs) {
+    if (nowMs - freeCapacityWindowStartMs >= FREE_CAPACITY_WINDOW_MS) {
+      freeCapacityWindowStartMs = nowMs;
       fleet.machines().forEach(Machine::beginWindow);
     }
     for (Machine machine : fleet.machines()) {
-      if (machine.evictByMs() >= 0 && now >= machine.evictByMs()) {
+      if (machine.evictByMs() >= 0 && nowMs >= machine.evictByMs()) {
         machine.tasks().values().forEach(MachineTransfers::stopGracefully);
       }
     }
   }
 
   /**
-   * Evicts the tasks of machines for overdue tasks: of those that are reserved for their shard
-   * anyway, then of those on which the least work is lost. A transfer does not divide a machine, so
-   * all its tasks make way. Without this a job would wait beside capacity that no job of this shard
-   * needs.
+   * Evicts tasks from machines to make room for overdue tasks of another shard. Machines that are
+   * already reserved for that shard come first, then those on which eviction loses the least work.
+   * A machine is transferred as a whole, so all its tasks are evicted. Without eviction, a job of
+   * the other shard would wait although this shard has capacity that none of its own jobs needs.
    *
-   * @return how many machines are coming, of up to {@code count}
+   * @return how many machines the other shard will receive, at most {@code count}
    */
   private int evictForOverdue(int toShard, TaskRequirements task, int count) {
     List<Machine> candidates = new ArrayList<>(fleet.machines());
@@ -238,23 +268,25 @@
   }
 
   /**
-   * It has had capacity for the task for a while, and this shard keeps its guarantee or has
-   * capacity elsewhere for what runs there.
+   * Whether the machine's tasks may be evicted for an overdue task. The machine must have had
+   * enough free cores for at least one free-capacity window, and this shard must keep its
+   * guaranteed cores without the machine or have enough free cores on other machines for the
+   * evicted tasks.
    */
   private boolean mayEvict(Machine machine, TaskRequirements task) {
-    long now = loop.nowMs();
+    long nowMs = loop.nowMs();
     boolean recentlyReceived =
-        machine.received() && now - machine.requestedMs() < MIN_RECEIVED_RETENTION_MS;
-    if (!machine.usable(now)
+        machine.received() && nowMs - machine.requestedMs() < MIN_RECEIVED_RETENTION_MS;
+    if (!machine.usable(nowMs)
         || recentlyReceived
         || machine.steadilyFreeCores() < task.cores()
         || !task.hasRoomOn(machine)) {
       return false;
     }
-    double remainingCores = retainedCores(other -> other != machine && other.usable(now));
+    double remainingCores = retainedCores(other -> other != machine && other.usable(nowMs));
     double freeCoresElsewhere = 0;
     for (Machine other : fleet.machines()) {
-      freeCoresElsewhere += other != machine && other.usable(now) ? other.freeCores() : 0;
+      freeCoresElsewhere += other != machine && other.usable(nowMs) ? other.freeCores() : 0;
     }
     return remainingCores >= guaranteedCores
         || freeCoresElsewhere >= machine.type().cores() - machine.freeCores();
@@ -269,15 +301,17 @@
   }
 
   /**
-   * Reserves machines for a shard below its guarantee: what this shard has above its own, and, for
-   * a starved one, half of what this one has more, as shares of the guarantees.
+   * Reserves machines for a shard that has less than its guarantee, up to the cores that this shard
+   * has above its own guarantee. For a starved shard the limit is at least half of the difference
+   * between the shares of their guarantees that the two shards have, in cores of this shard's
+   * guarantee.
    */
   private void reserveBusyMachines(int toShard, int count, double guaranteeShare) {
-    // A machine that is booting may take long: only those that are up are reserved.
+    // Only usable machines are reserved: a booting machine may not be ready for a long time.
     double usableCores = retainedCores(machine -> machine.usable(loop.nowMs()));
     double spareCores = usableCores - guaranteedCores;
     if (guaranteeShare < STARVED_GUARANTEE_SHARE) {
-      // Not all guarantees can be met, so they are met alike: no shard is left with nothing.
+      // Not all guarantees can be met, so the shortage is shared and no shard is left with none.
       spareCores = Math.max(spareCores, (usableCores - guaranteeShare * guaranteedCores) / 2);
     }
     int remaining = count - reservedCount(toShard);
@@ -297,7 +331,10 @@
     }
   }
 
-  /** Tasks that write checkpoints are stopped; the others may finish first. */
+  /**
+   * Reserves the machine for transfer. Tasks that write checkpoints are stopped; other tasks may
+   * finish first.
+   */
   private static void reserve(Machine machine, int toShard) {
     machine.promiseTo(toShard);
     machine.tasks().values().stream()
@@ -305,18 +342,24 @@
         .forEach(MachineTransfers::stopGracefully);
   }
 
-  /** Stops a task with as much grace as its job says that a checkpoint takes. */
+  /**
+   * Stops a task with a grace period of 1 s more than its job specifies for writing a checkpoint.
+   */
   static void stopGracefully(Placement placement) {
     placement.stop(placement.job().spec().saveS() + 1);
   }
 
-  /** Core milliseconds, roughly: tasks that write checkpoints lose hardly anything. */
+  /**
+   * Approximate work lost if the machine's tasks are stopped, in core milliseconds. Tasks that
+   * write checkpoints count with 1 ms of run time, as they lose hardly any work.
+   */
   private double lostWorkOnEviction(Machine machine) {
     double lost = 0;
-    long now = loop.nowMs();
+    long nowMs = loop.nowMs();
     for (Placement placement : machine.tasks().values()) {
       JobSpec spec = placement.job().spec();
-      lost += spec.cores() * (spec.checkpointS() > 0 ? 1 : Math.max(1, now - placement.placedMs()));
+      lost +=
+          spec.cores() * (spec.checkpointS() > 0 ? 1 : Math.max(1, nowMs - placement.placedMs()));
     }
     return lost;
   }
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -8,16 +8,22 @@
 import java.util.Optional;
 
 /**
- * The job of a shard that was submitted first of those with waiting tasks.
+ * The earliest-submitted job of a shard among those with waiting tasks.
  *
  * @param uid the job's id
- * @param ageSeconds time since its submission
- * @param reason why it waits
+ * @param ageSeconds time since its submission, rounded down
+ * @param reason why its tasks wait
  */
 record OldestWaitingJob(String uid, long ageSeconds, WaitReason reason) {
   private static final long MS_PER_SECOND = 1_000;
 
-  /** Empty if no job waits. */
+  /**
+   * Finds the oldest waiting job.
+   *
+   * @param nowMs monotonic clock
+   * @param wallMs wall clock
+   * @return empty if no job waits
+   */
   static Optional<OldestWaitingJob> find(
       ShardState state,
       DeploymentSpec deployment,
@@ -70,11 +76,13 @@
   }
 
   /**
-   * The first reason that applies.
+   * Returns the first reason that applies.
    *
-   * @param backoffMs until the job may be tried again, as its tasks fail everywhere; not above 0:
-   *     it may be now
-   * @param quota the quota that another task would exceed, if any
+   * @param zone the unreachable zone to which the job is restricted, if any
+   * @param backoffMs time until the job may be retried after its tasks failed on every machine; 0
+   *     or less if it may be retried now
+   * @param quota the team quota that another task would exceed, if any
+   * @param capacity whether the shard's machines have capacity for a task of the job
    */
   static WaitReason reason(
       Optional<WaitReason.ZoneUnreachable> zone,
@@ -94,10 +102,10 @@
   }
 
   /**
-   * What the shard's machines have for a task.
+   * Whether the shard's machines have capacity for a task.
    *
-   * @param available whether some machine has capacity for it now
-   * @param shortage what stands in the way if none has
+   * @param available whether a usable machine has capacity for the task now
+   * @param shortage the reason to report if no machine has capacity
    */
   record Capacity(boolean available, WaitReason.NoCapacity shortage) {
 
--- a/src/main/java/dev/windbend/shard/PendingJobBuilder.java
+++ b/src/main/java/dev/windbend/shard/PendingJobBuilder.java
@@ -8,7 +8,7 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.List;
 
-/** Describes jobs with waiting tasks to the planner. */
+/** Builds the planner's view of jobs with waiting tasks. */
 final class PendingJobBuilder {
   private static final int ANY_ZONE = -1;
 
@@ -29,8 +29,11 @@
   }
 
   /**
-   * @param machineIndexByName the place of each machine in the snapshot, by name
-   * @param guaranteed the job is within its team's guarantee
+   * Builds the planner's view of one job.
+   *
+   * @param nowMs monotonic clock
+   * @param machineIndexByName the index of each machine in the snapshot, by machine name
+   * @param guaranteed whether the job is within its team's guarantee
    */
   PendingJob build(
       Job job, long nowMs, Object2IntOpenHashMap<String> machineIndexByName, boolean guaranteed) {
@@ -85,7 +88,9 @@
         submittedMs + Units.toMs(startWithinSeconds(job, guaranteed)));
   }
 
-  /** By the index of the machine type; null: any. */
+  /**
+   * Whether the job may run on each machine type, by type index; null if it may run on any type.
+   */
   private boolean[] allowedTypes(Job job) {
     List<String> names = job.spec().types();
     if (names == null) {
@@ -98,7 +103,7 @@
     return allowed;
   }
 
-  /** Machines on which tasks of the job have failed. */
+  /** Snapshot indices of the machines on which tasks of the job have failed. */
   private static IntOpenHashSet avoidedMachines(
       Job job, Object2IntOpenHashMap<String> machineIndexByName) {
     IntOpenHashSet avoided = new IntOpenHashSet();
@@ -110,7 +115,10 @@
     return avoided;
   }
 
-  /** From submission; 0: no objective asks for an early start. */
+  /**
+   * The longest time from submission within which an objective requires the job to start; 0 if no
+   * objective sets such a time.
+   */
   private double startWithinSeconds(Job job, boolean guaranteed) {
     return Math.max(
         objectives.startWithinSeconds().getOrDefault(job.spec().kind(), 0.0),
--- a/src/main/java/dev/windbend/shard/ShardZones.java
+++ b/src/main/java/dev/windbend/shard/ShardZones.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A shard's monitoring of zones, which operators may switch off: then all zones are open. */
+/** A shard's zone monitoring. Operators may disable it, in which case all zones are open. */
 final class ShardZones {
   private final Optional<ZoneMonitor> monitor;
   private final ZoneAvailability availability;
@@ -23,6 +23,7 @@
         monitor.<ZoneAvailability>map(zoneMonitor -> zoneMonitor).orElse(ZoneAvailability.OPEN);
   }
 
+  /** Creates the zone monitoring of a shard, or a disabled one if the policy disables it. */
   static ShardZones create(
       ShardContext context,
       int shard,
@@ -58,29 +59,33 @@
                 context.zones().metrics())));
   }
 
-  /** Which zones machines may be used and created in. */
+  /** The zones in which machines may be used and created. */
   ZoneAvailability availability() {
     return availability;
   }
 
+  /** Restores the state that the previous leader stored; called on failover. */
   void recover(NameIndex zoneNames) {
     monitor.ifPresent(zoneMonitor -> zoneMonitor.takeOver(zoneNames));
   }
 
   /**
-   * Looks for zones that are lost or have returned.
+   * Detects zones that have become unreachable or reachable again.
    *
-   * @param leaseValidSinceMs since when the leader's lease has surely been valid
+   * @param nowMs monotonic clock
+   * @param leaseValidSinceMs time from which the leader's lease has certainly been valid without
+   *     interruption (monotonic clock)
    */
   void check(long nowMs, long leaseValidSinceMs) {
     monitor.ifPresent(zoneMonitor -> zoneMonitor.look(nowMs, leaseValidSinceMs));
   }
 
+  /** Called when the cloud has confirmed that the machine no longer exists. */
   void machineGone(Machine machine) {
     monitor.ifPresent(zoneMonitor -> zoneMonitor.gone(machine));
   }
 
-  /** One entry for each zone that is monitored. */
+  /** The status of each monitored zone; empty if monitoring is disabled. */
   List<ZoneStatus> status() {
     return monitor.map(ZoneMonitor::status).orElse(List.of());
   }
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -16,15 +16,21 @@
 import java.util.List;
 import java.util.Set;
 
-/** Builds what a scheduling cycle decides on from the shard's jobs and machines. */
+/** Builds the planner's input for one scheduling cycle from the shard's jobs and machines. */
 final class SnapshotBuilder {
-  /** Machines that one request to the cloud may ask for. */
+  /** Maximum number of machines in one scale-out request to the cloud. */
   private static final int MAX_MACHINES_PER_REQUEST = 50;
 
-  /** What is free within so many heartbeat intervals is waited for rather than preempted. */
+  /**
+   * The planner waits for capacity that becomes free within this many heartbeat intervals instead
+   * of preempting tasks.
+   */
   private static final double PREEMPTION_WAIT_HEARTBEATS = 2;
 
-  /** Jobs that came within this time or a boot's, whichever is longer, size the reserve. */
+  /**
+   * The reserve is sized by the jobs submitted within the longest boot time, or within this time if
+   * that is longer.
+   */
   private static final double MIN_RESERVE_WINDOW_SECONDS = 60;
 
   private final EventLoop loop;
@@ -53,11 +59,16 @@
   }
 
   /**
-   * @param oldestFirst the longest waiting jobs are served first
-   * @param jobs with waiting tasks, in the order that the snapshot has
-   * @param machines likewise
-   * @param runningByMachine filled with the tasks of each machine, in the order that the snapshot
-   *     has
+   * Builds the snapshot of one scheduling cycle.
+   *
+   * @param nowMs monotonic clock
+   * @param oldestFirst whether the planner places the longest-waiting jobs first
+   * @param jobs the jobs with waiting tasks; the snapshot keeps their order
+   * @param machines the schedulable machines; the snapshot keeps their order and adds the requested
+   *     machines
+   * @param offers the kinds of machine that the cloud offers
+   * @param runningByMachine output; receives one list for each of {@code machines}, with the
+   *     machine's tasks in the order of the snapshot
    */
   Snapshot build(
       long nowMs,
@@ -104,7 +115,10 @@
     return teams;
   }
 
-  /** A task that is stopped without grace is gone before the next start on its machine. */
+  /**
+   * The machine's tasks except those that are stopped without a grace period: they have ended
+   * before the next task starts on the machine.
+   */
   private static List<Placement> tasksUsingCapacity(Machine machine) {
     List<Placement> tasks = new ArrayList<>(machine.tasks().values());
     tasks.removeIf(placement -> placement.stopGraceS() == 0);
@@ -113,7 +127,7 @@
 
   private void addPendingScaleOuts(List<MachineCapacity> capacities, long nowMs) {
     for (Fleet.PendingScaleOut request : state.fleet().pendingScaleOuts()) {
-      // A machine in a zone under evacuation can't be counted on.
+      // Machines requested in a zone under evacuation are not expected to become usable.
       if (!state.zones().evacuates(request.zone())) {
         for (int i = 0; i < request.count(); i++) {
           capacities.add(machineCapacities.fromPendingScaleOut(request, nowMs));
@@ -122,7 +136,11 @@
     }
   }
 
-  /** The cloud limits requests, and one request asks for many machines. */
+  /**
+   * Maximum number of machines that one cycle may request from the cloud. The cloud limits the rate
+   * of requests for all controllers together; this controller may send an equal share of them, and
+   * at least one request per cycle.
+   */
   private int maxScaleOutMachines() {
     double requestsPerCycle =
         deployment.cloud().requestsPerSecond()
@@ -132,7 +150,10 @@
     return MAX_MACHINES_PER_REQUEST * (int) Math.max(1, requestsPerCycle);
   }
 
-  /** The cores of the jobs that came within the time that a machine takes to boot. */
+  /**
+   * Total cores of the jobs submitted within the longest boot time of a machine type, or within
+   * {@link #MIN_RESERVE_WINDOW_SECONDS} if that is longer.
+   */
   private double recentlySubmittedCores() {
     double windowMs =
         Units.MS_PER_SECOND * Math.max(MIN_RESERVE_WINDOW_SECONDS, deadlines.maxBootSeconds());
@@ -144,7 +165,7 @@
     return cores;
   }
 
-  /** Jobs that fit into their team's guarantee together with the team's earlier ones. */
+  /** Jobs that fit into their team's guarantee together with all earlier jobs of the team. */
   private Set<Job> jobsWithinGuarantee() {
     List<Job> jobs = new ArrayList<>(state.jobs().all());
     jobs.sort(Comparator.comparingLong(Job::submittedWallMs));
--- a/src/main/java/dev/windbend/shard/StarvedJobs.java
+++ b/src/main/java/dev/windbend/shard/StarvedJobs.java
@@ -11,13 +11,14 @@
 import java.util.Optional;
 
 /**
- * Starved jobs: none of their waiting tasks has been placed for long. Says which of them no machine
- * of their own shard has capacity for, and what they need.
+ * Detects starved jobs, which are jobs with waiting tasks of which none has been placed for a long
+ * time, and determines the requirements of those for which no machine of their own shard has
+ * capacity.
  */
 final class StarvedJobs {
   /**
-   * Operators want no job to wait for 90 s beside capacity that it could have, on whatever shard's
-   * machine. A job that stalls for half of that time is starved.
+   * Operators require that no job waits for 90 s while a machine of any shard has capacity for it.
+   * A job that makes no progress for half of that time counts as starved.
    */
   private static final long STARVED_AFTER_MS = 45_000;
 
@@ -29,6 +30,7 @@
     this.deployment = deployment;
   }
 
+  /** Whether the job has waiting tasks that may start now and has made no progress for too long. */
   static boolean isStarved(Job job, long nowMs) {
     return job.waitingCount() > 0
         && job.notBeforeMs() <= nowMs
@@ -36,8 +38,11 @@
   }
 
   /**
-   * One task of each starved job that no machine of this shard has capacity for, as a request to
-   * other shards; empty if there is none.
+   * A request to other shards for one task of each starved job for which no machine of this shard
+   * has capacity; empty if there is no such job. Jobs that fail on all machines or would exceed
+   * their team's core quota are left out.
+   *
+   * @param nowMs monotonic clock
    */
   Optional<MachineTransferMessages.Overdue> tasksWithoutCapacity(long nowMs) {
     Job longestWaiting = null;
@@ -66,7 +71,10 @@
         new MachineTransferMessages.Overdue(nextTaskRequirements(longestWaiting), machines));
   }
 
-  /** No machine is vacated for a job that was most likely submitted with a mistake. */
+  /**
+   * Whether the job's tasks have failed on several machines and none has completed. Such a job was
+   * most likely submitted with an error, so no machine is evicted for it.
+   */
   private static boolean failsOnAllMachines(Job job) {
     return job.backOffs() > 0 && job.doneCount() == 0;
   }
@@ -76,7 +84,7 @@
         .anyMatch(machine -> machine.usable(nowMs) && task.hasRoomOn(machine));
   }
 
-  /** What the next task of a job needs, given the tasks that are placed. */
+  /** Requirements of the job's next task, given the zones in which its other tasks are placed. */
   TaskRequirements nextTaskRequirements(Job job) {
     return new TaskRequirements(
         job.spec().cores(),
@@ -105,7 +113,10 @@
     return zones;
   }
 
-  /** Placed tasks by zone, counted only for jobs that are co-located or spread. */
+  /**
+   * Number of placed tasks by zone index; 0 in each zone for jobs that are neither co-located nor
+   * spread.
+   */
   int[] placedTasksPerZone(Job job) {
     int[] tasksPerZone = new int[state.catalog().zones().size()];
     if (job.spec().spread() || job.spec().together()) {
--- a/src/main/java/dev/windbend/shard/TeamUsage.java
+++ b/src/main/java/dev/windbend/shard/TeamUsage.java
@@ -5,8 +5,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What each team's tasks use, by the team's index. Every task that is not proved gone counts, on
- * whatever shard's machine it runs.
+ * The resources that each team's tasks use, by the team's index. A task counts until it is
+ * confirmed terminated, whichever shard the machine belongs to.
  */
 final class TeamUsage {
   private TeamUsage() {}
--- a/src/main/java/dev/windbend/shard/WaitReason.java
+++ b/src/main/java/dev/windbend/shard/WaitReason.java
@@ -1,12 +1,12 @@
 package dev.windbend.shard;
 
-/** Why the tasks of a job wait, for operators. */
+/** Why the tasks of a job wait, as reported to operators. */
 sealed interface WaitReason {
 
-  /** The reason as it is logged: {@code cause=} and its values. */
+  /** The reason as fields of a log line: {@code cause=} and the values that belong to it. */
   String toLogFields();
 
-  /** The job may run in one zone only, which is unreachable. */
+  /** The job is restricted to one zone, which is unreachable. */
   record ZoneUnreachable(String zone) implements WaitReason {
     @Override
     public String toLogFields() {
@@ -15,9 +15,9 @@
   }
 
   /**
-   * The job's tasks fail on every machine, so it is tried again only after a time.
+   * The job's tasks fail on every machine, so the job is retried only after a delay.
    *
-   * @param retryInMs above 0
+   * @param retryInMs time until the next attempt; greater than 0
    */
   record Backoff(long retryInMs) implements WaitReason {
     private static final long MS_PER_SECOND = 1_000;
@@ -29,7 +29,7 @@
     }
   }
 
-  /** With another task the job's team would be over its quota. */
+  /** Another task of the job would exceed its team's quota. */
   record TeamQuota(double usedCores, double maxCores) implements WaitReason {
     @Override
     public String toLogFields() {
@@ -37,7 +37,10 @@
     }
   }
 
-  /** There is capacity, kept for jobs that go first or closed to this one by zone or spread. */
+  /**
+   * A machine has capacity, but the capacity is reserved for jobs of higher precedence, or the
+   * job's zone or spread constraint excludes it.
+   */
   record CapacityReserved() implements WaitReason {
     @Override
     public String toLogFields() {
@@ -48,10 +51,12 @@
   /**
    * No machine has capacity for a task.
    *
-   * @param booting machines that have not reported yet
-   * @param requested machines that the cloud was asked for
-   * @param unavailable machines that do not report, leave or were just taken over
-   * @param cloudExhausted whether the cloud has no more of some type
+   * @param booting machines that have not sent a heartbeat yet
+   * @param requested machines that were requested from the cloud and have not been granted yet
+   * @param unavailable machines that have sent a heartbeat but cannot be used now: machines that
+   *     stopped reporting, are leaving the shard, or were inherited in a failover and are not
+   *     confirmed yet
+   * @param cloudExhausted whether the cloud has recently refused at least one kind of machine
    */
   record NoCapacity(int booting, int requested, int unavailable, boolean cloudExhausted)
       implements WaitReason {
--- a/src/test/java/dev/windbend/shard/DeploymentSpecTest.java
+++ b/src/test/java/dev/windbend/shard/DeploymentSpecTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When jobs of a class are due, from what is asked of it. */
+/** Time limits of jobs, from their deadline and the objectives of their class. */
 class DeploymentSpecTest {
   private static final DeploymentSpec.ServiceObjectives OBJECTIVES =
       new DeploymentSpec.ServiceObjectives(
@@ -17,8 +17,8 @@
           Map.of(),
           0);
 
-  /** A job past its deadline is not hopeless while its class has another limit to be met. */
-  @ParameterizedTest(name = "class {0} with a deadline of {1} s: {3}")
+  /** A job past its own deadline is not hopeless while a later limit of its class can be met. */
+  @ParameterizedTest(name = "class {0}, deadline {1} s, objectives applied {2}: limits {3}")
   @CsvSource({
     "both,100,true,100 150 250",
     "both,200,true,200 250 300",
--- a/src/test/java/dev/windbend/shard/MachineTransfersTest.java
+++ b/src/test/java/dev/windbend/shard/MachineTransfersTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A shard with ten busy machines of 8 cores and a guarantee of 40 is asked for machines. */
+/**
+ * Requests for machines to a shard that has a guarantee of 40 cores and ten machines of 8 cores,
+ * none of which it offers as idle.
+ */
 class MachineTransfersTest {
   private static final String TYPES =
       "{\"rigs\":[{\"label\":\"t\",\"cores\":8,\"cards\":0,\"ram_gb\":8,\"cache_gb\":9,"
@@ -97,10 +100,11 @@
     return fleet.machines().stream().filter(m -> m.promisedTo() == shard).count();
   }
 
-  @ParameterizedTest(name = "asked for {0} by a shard that has {1} of its guarantee: {2} promised")
+  @ParameterizedTest(
+      name = "request for {0} machines by a shard with {1} of its guarantee: {2} reserved")
   @CsvSource({
-    "3,1.0,0", // has all of it: idle machines only
-    "3,0.9,3", "8,0.9,5", // what is above the own guarantee, and no more
+    "3,1.0,0", // guarantee is met: idle machines only
+    "3,0.9,3", "8,0.9,5", // limited to the cores above the own guarantee
     "8,0.4,5", "8,0.0,5",
   })
   void reservesMachinesAboveItsOwnGuarantee(int count, double guaranteeShare, int reserved) {
@@ -108,7 +112,7 @@
     assertThat(reservedCount(1)).isEqualTo(reserved);
   }
 
-  /** Asked again before they are empty, it names the same ones as coming and promises no more. */
+  /** A repeated request returns the machines that are already reserved and reserves no more. */
   @Test
   void reservedMachinesCountTowardsLaterRequests() {
     assertThat(transferredCount(3, 0.9)).isEqualTo(3);
@@ -123,37 +127,44 @@
     assertThat(transferredCount(9, 0.2)).isEqualTo(3);
   }
 
-  /** Ten machines with room for it: as many as are needed are vacated, if they fit the task. */
-  @ParameterizedTest(name = "{0} cores in zone {1}, spot {2}: {4} of {3} machines")
+  /**
+   * All ten machines have free capacity: as many as requested are reserved if the task may run on
+   * them.
+   */
+  @ParameterizedTest(
+      name = "task of {0} cores, zone {1}, spot {2}, {3} machines requested: {4} reserved")
   @CsvSource({
     "2,,true,1,1",
     "2,,true,3,3",
     "2,a,true,1,1",
-    "2,b,true,1,0", // machines of another zone
-    "2,,false,1,0", // spot machines
+    "2,b,true,1,0", // all machines are in another zone
+    "2,,false,1,0", // all machines are spot instances
     "9,,true,1,0", // larger than any machine
   })
-  void evictsTasksFromMachinesForOverdueTasks(
+  void reservesMachinesForOverdueTasks(
       double cores, String zone, boolean spot, int requested, int reserved) {
     MachineTransferMessages.Request request = overdueRequest(cores, zone, spot, requested);
     assertThat(transfers.transfer(1, request).overdueCount()).isEqualTo(reserved);
     assertThat(reservedCount(1)).isEqualTo(reserved);
-    // Asked again, as its answer may have been lost: the same ones are coming, and no more.
+    // The requester repeats its request if the reply was lost: no further machine is reserved.
     assertThat(transfers.transfer(1, request).overdueCount()).isEqualTo(reserved);
     assertThat(reservedCount(1)).isEqualTo(reserved);
   }
 
-  /** A shard that has just got a machine for an overdue task does not lose it to the next one. */
+  /**
+   * A shard keeps a machine that it has just received, also if another shard has an overdue task.
+   */
   @Test
   void keepsRecentlyReceivedMachine() {
     ScaleOutRecord record = new ScaleOutRecord("t", "a", true, 1, List.of("received"), 6L);
     MachineIndex machineIndex = new MachineIndex();
     String key = ScaleOutRecord.prefix(0) + "g";
     machineIndex.changed(key, new VersionedValue(Json.tree(record), 6));
-    Fleet receivedFleet = new Fleet(loop, cloud, catalog, 0, 7, listener);
-    receivedFleet.restore("g", record, 6, machineIndex, false);
-    receivedFleet.machines().forEach(MachineTransfersTest::confirmUnderToken);
-    transfers = new MachineTransfers(0, loop, receivedFleet, 0, (shard, request, done) -> {});
+    Fleet fleetWithReceivedMachine = new Fleet(loop, cloud, catalog, 0, 7, listener);
+    fleetWithReceivedMachine.restore("g", record, 6, machineIndex, false);
+    fleetWithReceivedMachine.machines().forEach(MachineTransfersTest::confirmUnderToken);
+    transfers =
+        new MachineTransfers(0, loop, fleetWithReceivedMachine, 0, (shard, request, done) -> {});
     assertThat(transfers.transfer(1, overdueRequest(2, null, true, 1)).overdueCount()).isZero();
   }
 
--- a/src/test/java/dev/windbend/shard/OldestWaitingJobTest.java
+++ b/src/test/java/dev/windbend/shard/OldestWaitingJobTest.java
@@ -6,6 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Which reason is logged for a job that waits, if several apply. */
 class OldestWaitingJobTest {
   @ParameterizedTest(name = "{8}")
   @CsvSource(
