--- a/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Time in ms until the machine can receive a command to start a task. Commands are sent in the
-   * responses to heartbeats; the result is 0 if a heartbeat awaits its response now.
+   * Time in ms until the machine can receive a command to start a task. Start commands are sent in
+   * the responses to heartbeats; the result is 0 if a heartbeat awaits its response now.
    */
   private long timeToNextResponseMs(Machine machine, long nowMs) {
     return machine.liveness().awaitingResponse()
