--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -10,7 +10,7 @@
 import dev.windbend.peer.CancellationBroadcaster;
 import dev.windbend.peer.MachineTransferClient;
 import dev.windbend.peer.StoreOutageDetector;
-import dev.windbend.plan.Estimates;
+import dev.windbend.plan.RunTimeEstimates;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.HttpClient;
 import dev.windbend.runtime.HttpStatus;
@@ -87,7 +87,7 @@
     this.transfers =
         new MachineTransferClient(
             http,
-            layout.shards(),
+            layout.shardCount(),
             election::leaderOf,
             members.peerAddressByNode(),
             leaders::transfer);
@@ -155,10 +155,10 @@
 
   private StoreOutageDetector newOutageDetector(Members members) {
     Settings.Workers workers = settings.deployment().workers();
-    long workerRetentionMs =
-        StoreOutageDetector.workerRetentionMs(workers.leaseSeconds(), workers.cancelSeconds());
+    long leaseRenewalWindowMs =
+        StoreOutageDetector.leaseRenewalWindowMs(workers.leaseSeconds(), workers.cancelSeconds());
     return new StoreOutageDetector(
-        loop, http, store, members.peerAddresses(), workerRetentionMs, cancellations);
+        loop, http, store, members.peerAddresses(), leaseRenewalWindowMs, cancellations);
   }
 
   private ShardContext newContext(CloudClient cloud, int controllers) {
@@ -172,7 +172,7 @@
         new ShardContext.Coordination(
             store, replica, election, outageDetector, cancellations, transfers),
         new ShardContext.MachineServices(cloud, catalog, machines, directStops, new NameIndex()),
-        new Estimates(),
+        new RunTimeEstimates(),
         new ShardContext.ZoneServices(settings.zone(), zoneMetrics));
   }
 
@@ -207,7 +207,7 @@
         .post(
             CancellationBroadcaster.PATH,
             (request, done) -> done.accept(cancellationBroadcaster.handle(request)))
-        .post(MachineTransferClient.PATH, transfers::serve)
+        .post(MachineTransferClient.PATH, transfers::handle)
         .get("/metrics", metrics)
         .get(
             "/zones",
--- a/src/main/java/dev/windbend/daemon/HealthCheck.java
+++ b/src/main/java/dev/windbend/daemon/HealthCheck.java
@@ -46,6 +46,6 @@
    */
   private boolean isCutOffFromStore() {
     return store.failingForMs() > MAX_STORE_FAILURE_MS
-        && (outageDetector.othersServed() || outageDetector.isolated());
+        && (outageDetector.anyPeerServed() || outageDetector.isolated());
   }
 }
--- a/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
+++ b/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
@@ -77,7 +77,7 @@
       return;
     }
     if (unrecorded && !machines.knew(machine)) {
-      leader.noteOrphan(heartbeat);
+      leader.handleOrphanHeartbeat(heartbeat);
     }
     done.accept(ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE));
   }
@@ -87,6 +87,6 @@
     return leaderNode == null || leaderNode.equals(node)
         ? ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE)
         : ServerResponse.of(
-            HttpStatus.MISDIRECTED_REQUEST, new WorkerMessages.Elsewhere(leaderNode));
+            HttpStatus.MISDIRECTED_REQUEST, new WorkerMessages.LeaderRedirect(leaderNode));
   }
 }
--- a/src/main/java/dev/windbend/daemon/JobAdmission.java
+++ b/src/main/java/dev/windbend/daemon/JobAdmission.java
@@ -38,7 +38,7 @@
   /** Undecided until the machine types are known. */
   @Override
   public Admission decide(JobSpec spec) {
-    int team = layout.team(spec.team());
+    int team = layout.teamIndex(spec.team());
     if (team < 0) {
       return UNKNOWN_TEAM;
     }
--- a/src/main/java/dev/windbend/daemon/MetricsEndpoint.java
+++ b/src/main/java/dev/windbend/daemon/MetricsEndpoint.java
@@ -30,7 +30,7 @@
     this.zoneMetrics = zoneMetrics;
     this.zonesMonitored = zonesMonitored;
     Gauge.builder("windbend.shards", leaders, ShardLeaders::count).register(registry);
-    Gauge.builder("windbend.jobs.live", leaders, all -> all.sum(ShardLeader::liveJobs))
+    Gauge.builder("windbend.jobs.live", leaders, all -> all.sum(ShardLeader::liveJobCount))
         .register(registry);
     Gauge.builder("windbend.machines", leaders, all -> all.sum(ShardLeader::machineCount))
         .register(registry);
--- a/src/main/java/dev/windbend/daemon/OperatorSettings.java
+++ b/src/main/java/dev/windbend/daemon/OperatorSettings.java
@@ -52,7 +52,7 @@
     }
     return new Policy(
         ini.milliseconds(PLAN, "period_s", DEFAULTS.cyclePeriodMs(), 0.5, SECONDS_PER_DAY),
-        ini.flag(PLAN, "rounds_on_events", DEFAULTS.cyclesOnEvents()),
+        ini.flag(PLAN, "rounds_on_events", DEFAULTS.eventDrivenCycles()),
         ini.milliseconds(PLAN, "block_s", DEFAULTS.billingBlockMs(), 1, SECONDS_PER_DAY),
         ini.number(PLAN, "implied_due", DEFAULTS.impliedDeadlineFactor(), 1, SECONDS_PER_DAY),
         ini.milliseconds(SHARD, "hold_s", DEFAULTS.leaseTermMs(), 1, SECONDS_PER_DAY),
--- a/src/main/java/dev/windbend/daemon/PendingReason.java
+++ b/src/main/java/dev/windbend/daemon/PendingReason.java
@@ -21,7 +21,7 @@
 
   /** The reason, for the user; empty if the job just waits for its turn. */
   Optional<String> of(JobSpec spec) {
-    int team = layout.team(spec.team());
+    int team = layout.teamIndex(spec.team());
     if (!zonesMonitored || spec.zone() == null || team < 0) {
       return Optional.empty();
     }
--- a/src/main/java/dev/windbend/daemon/ShardLeaders.java
+++ b/src/main/java/dev/windbend/daemon/ShardLeaders.java
@@ -114,7 +114,7 @@
   /** How the zones are, as each shard led here sees them. */
   List<ZoneStatus> zoneStatuses() {
     List<ZoneStatus> statuses = new ArrayList<>();
-    leaders.values().forEach(leader -> statuses.addAll(leader.zones()));
+    leaders.values().forEach(leader -> statuses.addAll(leader.zoneStatuses()));
     return statuses;
   }
 
--- a/src/main/java/dev/windbend/peer/CancellationBroadcaster.java
+++ b/src/main/java/dev/windbend/peer/CancellationBroadcaster.java
@@ -21,13 +21,13 @@
   /** Where controllers take one another's confirmed cancellations, by POST. */
   public static final String PATH = "/peer/cancelled";
 
-  private static final long TIMEOUT_MS = 900;
+  private static final long CALL_TIMEOUT_MS = 900;
 
   /** Cancellations that come within this time are sent together. */
   private static final long BATCH_INTERVAL_MS = 50;
 
   private final EventLoop loop;
-  private final HttpClient web;
+  private final HttpClient httpClient;
   private final List<String> addresses;
   private final Cancellations cancellations;
   private final List<Cancelled> unsent = new ArrayList<>();
@@ -40,9 +40,9 @@
    * @param cancellations takes what the others send
    */
   public CancellationBroadcaster(
-      EventLoop loop, HttpClient web, List<String> addresses, Cancellations cancellations) {
+      EventLoop loop, HttpClient httpClient, List<String> addresses, Cancellations cancellations) {
     this.loop = loop;
-    this.web = web;
+    this.httpClient = httpClient;
     this.addresses = addresses;
     this.cancellations = cancellations;
   }
@@ -66,7 +66,7 @@
     unsent.clear();
     nextBatchMs = loop.nowMs() + BATCH_INTERVAL_MS;
     for (String address : addresses) {
-      web.call(address, "POST", PATH, body, TIMEOUT_MS, reply -> {});
+      httpClient.call(address, "POST", PATH, body, CALL_TIMEOUT_MS, reply -> {});
     }
   }
 
--- a/src/main/java/dev/windbend/peer/MachineRequester.java
+++ b/src/main/java/dev/windbend/peer/MachineRequester.java
@@ -8,10 +8,10 @@
    * Asks them one after the other until the request is met.
    *
    * @param shard the shard that lacks machines
-   * @param done called once with what is coming of all together
+   * @param onComplete called once with what is coming of all together
    */
   void request(
       int shard,
       MachineTransferMessages.Request request,
-      Consumer<MachineTransferMessages.Reply> done);
+      Consumer<MachineTransferMessages.Reply> onComplete);
 }
--- a/src/main/java/dev/windbend/peer/MachineTransferClient.java
+++ b/src/main/java/dev/windbend/peer/MachineTransferClient.java
@@ -2,7 +2,7 @@
 
 import dev.windbend.peer.MachineTransferMessages.Reply;
 import dev.windbend.peer.MachineTransferMessages.Request;
-import dev.windbend.peer.MachineTransferMessages.Routed;
+import dev.windbend.peer.MachineTransferMessages.RoutedRequest;
 import dev.windbend.runtime.HttpClient;
 import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.Json;
@@ -20,13 +20,13 @@
   /** Where a controller takes requests of other controllers. */
   public static final String PATH = "/peer/lend";
 
-  private static final long TIMEOUT_MS = 400;
+  private static final long CALL_TIMEOUT_MS = 400;
 
-  private final HttpClient web;
-  private final int shards;
+  private final HttpClient httpClient;
+  private final int shardCount;
   private final IntFunction<String> leaderOf;
   private final Map<String, String> addresses;
-  private final LocalShards local;
+  private final LocalShards localShards;
 
   /** The shards that this controller leads. */
   public interface LocalShards {
@@ -45,62 +45,64 @@
    * @param addresses by name of the controller
    */
   public MachineTransferClient(
-      HttpClient web,
-      int shards,
+      HttpClient httpClient,
+      int shardCount,
       IntFunction<String> leaderOf,
       Map<String, String> addresses,
-      LocalShards local) {
-    this.web = web;
-    this.shards = shards;
+      LocalShards localShards) {
+    this.httpClient = httpClient;
+    this.shardCount = shardCount;
     this.leaderOf = leaderOf;
     this.addresses = addresses;
-    this.local = local;
+    this.localShards = localShards;
   }
 
   @Override
-  public void request(int shard, Request request, Consumer<Reply> done) {
-    askNext(shard, 1, request, Reply.NONE, done);
+  public void request(int shard, Request request, Consumer<Reply> onComplete) {
+    requestNext(shard, 1, request, Reply.NONE, onComplete);
   }
 
-  private void askNext(int shard, int step, Request request, Reply soFar, Consumer<Reply> done) {
-    Request left = request.remaining(soFar);
-    if (step >= shards || left == null) {
-      done.accept(soFar);
+  private void requestNext(
+      int shard, int step, Request request, Reply total, Consumer<Reply> onComplete) {
+    Request remaining = request.remaining(total);
+    if (step >= shardCount || remaining == null) {
+      onComplete.accept(total);
       return;
     }
-    int from = (shard + step) % shards;
-    Consumer<Reply> then = reply -> askNext(shard, step + 1, request, soFar.plus(reply), done);
-    Reply here = local.transfer(from, shard, left);
-    if (here != null) {
-      then.accept(here);
+    int from = (shard + step) % shardCount;
+    Consumer<Reply> onReply =
+        reply -> requestNext(shard, step + 1, request, total.plus(reply), onComplete);
+    Reply localReply = localShards.transfer(from, shard, remaining);
+    if (localReply != null) {
+      onReply.accept(localReply);
       return;
     }
     String leader = leaderOf.apply(from);
     String address = leader == null ? null : addresses.get(leader);
     if (address == null) {
-      then.accept(Reply.NONE);
+      onReply.accept(Reply.NONE);
       return;
     }
-    web.call(
+    httpClient.call(
         address,
         "POST",
         PATH,
-        Json.write(new Routed(from, shard, left)),
-        TIMEOUT_MS,
+        Json.write(new RoutedRequest(from, shard, remaining)),
+        CALL_TIMEOUT_MS,
         response -> {
-          Reply given = response.ok() ? Json.read(response.body(), Reply.class) : null;
-          then.accept(given == null ? Reply.NONE : given);
+          Reply remoteReply = response.ok() ? Json.read(response.body(), Reply.class) : null;
+          onReply.accept(remoteReply == null ? Reply.NONE : remoteReply);
         });
   }
 
   /** Answers a request of another controller: 400 if it is malformed, else 200 with the reply. */
-  public void serve(ServerRequest request, Consumer<ServerResponse> done) {
-    Routed routed = Json.read(request.body(), Routed.class);
-    if (routed == null || !routed.valid(shards)) {
+  public void handle(ServerRequest request, Consumer<ServerResponse> done) {
+    RoutedRequest routed = Json.read(request.body(), RoutedRequest.class);
+    if (routed == null || !routed.valid(shardCount)) {
       done.accept(ServerResponse.ofStatus(HttpStatus.BAD_REQUEST));
       return;
     }
-    Reply given = local.transfer(routed.from(), routed.to(), routed.request());
-    done.accept(ServerResponse.of(HttpStatus.OK, given == null ? Reply.NONE : given));
+    Reply reply = localShards.transfer(routed.from(), routed.to(), routed.request());
+    done.accept(ServerResponse.of(HttpStatus.OK, reply == null ? Reply.NONE : reply));
   }
 }
--- a/src/main/java/dev/windbend/peer/MachineTransferMessages.java
+++ b/src/main/java/dev/windbend/peer/MachineTransferMessages.java
@@ -17,12 +17,12 @@
    * @param to the shard that lacks machines
    * @param request what it lacks
    */
-  record Routed(
+  record RoutedRequest(
       @JsonProperty("from") int from,
       @JsonProperty("to") int to,
       @JsonProperty("request") Request request) {
-    boolean valid(int shards) {
-      return request != null && request.count() >= 0 && to >= 0 && to < shards && from != to;
+    boolean valid(int shardCount) {
+      return request != null && request.count() >= 0 && to >= 0 && to < shardCount && from != to;
     }
   }
 
@@ -37,7 +37,7 @@
   public record Request(
       @JsonProperty("count") int count,
       @JsonProperty("has") double guaranteeShare,
-      @JsonProperty("overdue") Overdue overdue) {
+      @JsonProperty("overdue") OverdueTasks overdue) {
 
     /**
      * Whether the reply leaves no overdue task without a machine.
@@ -54,14 +54,14 @@
      * @return null: nothing
      */
     public Request remaining(Reply reply) {
-      int left = Math.max(0, count - reply.count());
-      Overdue overdueLeft =
+      int remainingCount = Math.max(0, count - reply.count());
+      OverdueTasks remainingOverdue =
           overdue == null || overdueServed(reply)
               ? null
-              : new Overdue(overdue.task(), overdue.count() - reply.overdueCount());
-      return left == 0 && overdueLeft == null
+              : new OverdueTasks(overdue.task(), overdue.count() - reply.overdueCount());
+      return remainingCount == 0 && remainingOverdue == null
           ? null
-          : new Request(left, guaranteeShare, overdueLeft);
+          : new Request(remainingCount, guaranteeShare, remainingOverdue);
     }
   }
 
@@ -71,7 +71,7 @@
    * @param task the one that has waited for longest
    * @param count machines that let all of them start
    */
-  public record Overdue(
+  public record OverdueTasks(
       @JsonProperty("task") TaskRequirements task, @JsonProperty("count") int count) {}
 
   /**
--- a/src/main/java/dev/windbend/peer/PeerMessages.java
+++ b/src/main/java/dev/windbend/peer/PeerMessages.java
@@ -18,12 +18,12 @@
   /**
    * Answers that.
    *
-   * @param servedMsAgo how long ago a call was sent that the state service answered
+   * @param lastServedMsAgo how long ago a call was sent that the state service answered
    * @param cancelled all jobs of which users may have been told that they are cancelled, beyond
    *     what the asker knows; null: not known
    */
   record StoreStatus(
-      @JsonProperty("answered_ms_ago") long servedMsAgo,
+      @JsonProperty("answered_ms_ago") long lastServedMsAgo,
       @JsonProperty("cancelled") List<Cancelled> cancelled) {}
 
   /** Jobs whose cancellation the sender has confirmed to users. */
--- a/src/main/java/dev/windbend/peer/StoreOutageDetector.java
+++ b/src/main/java/dev/windbend/peer/StoreOutageDetector.java
@@ -21,61 +21,61 @@
   public static final String PATH = "/peer/store";
 
   /** Failing for no longer than this is no outage. */
-  private static final long FAILING_MS = 700;
+  private static final long OUTAGE_THRESHOLD_MS = 700;
 
-  private static final long ASK_INTERVAL_MS = 1_000;
-  private static final long TIMEOUT_MS = 900;
+  private static final long POLL_INTERVAL_MS = 1_000;
+  private static final long CALL_TIMEOUT_MS = 900;
 
   /** Another controller that was served within this time is being served. */
   private static final long SERVED_RECENTLY_MS = 1_500;
 
   /** An answer of another controller counts for this long. */
-  private static final long ANSWER_VALID_MS = 2 * ASK_INTERVAL_MS + SERVED_RECENTLY_MS;
+  private static final long STATUS_VALID_MS = 2 * POLL_INTERVAL_MS + SERVED_RECENTLY_MS;
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
   /** Until a worker sees that its lease has expired, and its tasks are killed. */
-  private static final long KILL_MS = 900;
+  private static final long KILL_DELAY_MS = 900;
 
   private static final double MS_PER_SECOND = 1_000;
 
   private final EventLoop loop;
-  private final HttpClient web;
+  private final HttpClient httpClient;
   private final StoreClient store;
   private final List<String> addresses;
-  private final long workerRetentionMs;
+  private final long leaseRenewalWindowMs;
   private final Cancellations cancellations;
-  private long othersServedMs = NEVER_MS;
-  private long lastAnswerMs = NEVER_MS;
+  private long peerServedMs = NEVER_MS;
+  private long lastStatusMs = NEVER_MS;
 
   /**
    * For each other controller, when the newest request was sent to which it answered with all
    * cancellations that its users know of and this controller did not.
    */
-  private final long[] cancellationsLearnedMs;
+  private final long[] cancellationsKnownMs;
 
   /**
    * A detector that asks nobody until it is started.
    *
    * @param addresses the other controllers, as host and port
-   * @param workerRetentionMs {@link #workerRetentionMs(double, double)}
+   * @param leaseRenewalWindowMs {@link #leaseRenewalWindowMs(double, double)}
    * @param cancellations what this controller knows of cancellations; takes what others answer
    */
   public StoreOutageDetector(
       EventLoop loop,
-      HttpClient web,
+      HttpClient httpClient,
       StoreClient store,
       List<String> addresses,
-      long workerRetentionMs,
+      long leaseRenewalWindowMs,
       Cancellations cancellations) {
     this.loop = loop;
-    this.web = web;
+    this.httpClient = httpClient;
     this.store = store;
     this.addresses = addresses;
-    this.workerRetentionMs = workerRetentionMs;
+    this.leaseRenewalWindowMs = leaseRenewalWindowMs;
     this.cancellations = cancellations;
-    this.cancellationsLearnedMs = new long[addresses.size()];
-    Arrays.fill(cancellationsLearnedMs, NEVER_MS);
+    this.cancellationsKnownMs = new long[addresses.size()];
+    Arrays.fill(cancellationsKnownMs, NEVER_MS);
   }
 
   /**
@@ -87,22 +87,23 @@
    * heartbeat, a response or a question to another controller took is within, as all count from
    * when they were sent. Not above 0: workers are not kept at all.
    */
-  public static long workerRetentionMs(double leaseSeconds, double cancelSeconds) {
+  public static long leaseRenewalWindowMs(double leaseSeconds, double cancelSeconds) {
     return (long)
             (MS_PER_SECOND
                 * (cancelSeconds * (1 - EventLoop.CLOCK_DRIFT)
                     - leaseSeconds * (1 + EventLoop.CLOCK_DRIFT)))
-        - KILL_MS;
+        - KILL_DELAY_MS;
   }
 
   /** Asks the others from now on, again and again while the state service fails. */
   public void start() {
-    loop.every(ASK_INTERVAL_MS, this::askOthers);
+    loop.every(POLL_INTERVAL_MS, this::pollPeers);
   }
 
   /** Another controller was served a moment ago, while this one was not: it is no outage. */
-  public boolean othersServed() {
-    return store.failingForMs() > FAILING_MS && loop.nowMs() - othersServedMs < ANSWER_VALID_MS;
+  public boolean anyPeerServed() {
+    return store.failingForMs() > OUTAGE_THRESHOLD_MS
+        && loop.nowMs() - peerServedMs < STATUS_VALID_MS;
   }
 
   /**
@@ -114,21 +115,21 @@
    * cancellations that its users know of and this one did not. That is a general outage, and all
    * work goes on through it.
    */
-  public boolean mayKeepWorkers() {
+  public boolean mayRenewWorkerLeases() {
     if (addresses.isEmpty()) {
       return true;
     }
-    long learnedFromAllMs = Arrays.stream(cancellationsLearnedMs).min().getAsLong();
-    return !othersServed()
-        && loop.nowMs() - Math.max(cancellations.knownUntilMs(), learnedFromAllMs)
-            <= workerRetentionMs;
+    long knownFromAllPeersMs = Arrays.stream(cancellationsKnownMs).min().getAsLong();
+    return !anyPeerServed()
+        && loop.nowMs() - Math.max(cancellations.knownUntilMs(), knownFromAllPeersMs)
+            <= leaseRenewalWindowMs;
   }
 
   /** Neither the state service nor any other controller answers. */
   public boolean isolated() {
-    return store.failingForMs() > ANSWER_VALID_MS
+    return store.failingForMs() > STATUS_VALID_MS
         && !addresses.isEmpty()
-        && loop.nowMs() - lastAnswerMs >= ANSWER_VALID_MS;
+        && loop.nowMs() - lastStatusMs >= STATUS_VALID_MS;
   }
 
   /** Answers another controller's request; 400 if malformed. */
@@ -141,42 +142,43 @@
     return ServerResponse.of(
         HttpStatus.OK,
         new PeerMessages.StoreStatus(
-            loop.nowMs() - store.lastServedSentMs(), cancellations.since(message.knownUpTo())));
+            loop.nowMs() - store.lastAnsweredSentMs(), cancellations.since(message.knownUpTo())));
   }
 
-  private void askOthers() {
-    if (store.failingForMs() <= FAILING_MS) {
-      othersServedMs = NEVER_MS;
+  private void pollPeers() {
+    if (store.failingForMs() <= OUTAGE_THRESHOLD_MS) {
+      peerServedMs = NEVER_MS;
       return;
     }
     byte[] body = Json.write(new PeerMessages.StoreStatusRequest(cancellations.knownUpTo()));
     for (int i = 0; i < addresses.size(); i++) {
-      int controller = i;
+      int peer = i;
       long sentMs = loop.nowMs();
-      web.call(
+      httpClient.call(
           addresses.get(i),
           "POST",
           PATH,
           body,
-          TIMEOUT_MS,
+          CALL_TIMEOUT_MS,
           reply -> {
             PeerMessages.StoreStatus status =
                 reply.ok() ? Json.read(reply.body(), PeerMessages.StoreStatus.class) : null;
             if (status != null) {
-              onAnswer(controller, sentMs, status);
+              recordStatus(peer, sentMs, status);
             }
           });
     }
   }
 
-  private void onAnswer(int controller, long sentMs, PeerMessages.StoreStatus status) {
-    lastAnswerMs = loop.nowMs();
+  private void recordStatus(int peer, long sentMs, PeerMessages.StoreStatus status) {
+    lastStatusMs = loop.nowMs();
     if (status.cancelled() != null) {
       cancellations.learn(status.cancelled());
-      cancellationsLearnedMs[controller] = sentMs;
+      cancellationsKnownMs[peer] = sentMs;
     }
-    if (status.servedMsAgo() < SERVED_RECENTLY_MS && store.failingForMs() > SERVED_RECENTLY_MS) {
-      othersServedMs = loop.nowMs();
+    if (status.lastServedMsAgo() < SERVED_RECENTLY_MS
+        && store.failingForMs() > SERVED_RECENTLY_MS) {
+      peerServedMs = loop.nowMs();
     }
   }
 }
--- a/src/main/java/dev/windbend/shard/CapacityProvisioner.java
+++ b/src/main/java/dev/windbend/shard/CapacityProvisioner.java
@@ -4,8 +4,8 @@
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineType;
 import dev.windbend.peer.MachineTransferMessages;
-import dev.windbend.plan.InstanceKind;
 import dev.windbend.plan.InstanceOffer;
+import dev.windbend.plan.MachineAttributes;
 import dev.windbend.plan.Resources;
 import dev.windbend.plan.SchedulingDecision;
 import dev.windbend.runtime.EventLoop;
@@ -67,7 +67,8 @@
     boolean available =
         !state.fleet().isRefused(type.index(), zone, spot) && state.zones().scaleOutLimit(zone) > 0;
     double price = spot ? type.spotPrice() : type.price();
-    InstanceKind kind = new InstanceKind(type.index(), zone, spot, price, type.fetchGbPerS());
+    MachineAttributes kind =
+        new MachineAttributes(type.index(), zone, spot, price, type.fetchGbPerS());
     offers.add(new InstanceOffer(kind, capacity, Units.toMs(type.bootS()), available));
   }
 
@@ -95,13 +96,13 @@
     // The search for starved jobs iterates over all jobs and machines, so it runs only if other
     // shards may be asked for machines now.
     boolean mayRequest = transfers.mayRequest();
-    MachineTransferMessages.Overdue starvedTasks =
+    MachineTransferMessages.OverdueTasks starvedTasks =
         mayRequest && transfers.mayRequestForOverdue()
             ? starvedJobs.tasksWithoutCapacity(nowMs).orElse(null)
             : null;
-    if (mayRequest && (decision.lackingCores() > 0 || starvedTasks != null)) {
+    if (mayRequest && (decision.coresAwaitingMachines() > 0 || starvedTasks != null)) {
       transfers.request(
-          decision.lackingCores(),
+          decision.coresAwaitingMachines(),
           state.catalog().largestCores(),
           !state.fleet().anyRefused(),
           starvedTasks,
@@ -123,7 +124,7 @@
    *     the number to request
    */
   private void scaleOut(
-      List<SchedulingDecision.ScaleOut> requests,
+      List<SchedulingDecision.RequestedMachines> requests,
       List<InstanceOffer> offers,
       int incomingMachines) {
     long nowMs = loop.nowMs();
@@ -134,8 +135,8 @@
     }
     lastScaleOutMs = nowMs;
     int machinesFromTransfers = incomingMachines;
-    for (SchedulingDecision.ScaleOut request : requests) {
-      InstanceKind kind = offers.get(request.offer()).kind();
+    for (SchedulingDecision.RequestedMachines request : requests) {
+      MachineAttributes kind = offers.get(request.offer()).attributes();
       int machines =
           Math.min(
               state.zones().scaleOutLimit(kind.zone()),
--- a/src/main/java/dev/windbend/shard/ControllerLease.java
+++ b/src/main/java/dev/windbend/shard/ControllerLease.java
@@ -17,7 +17,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ControllerLease.class);
 
   /** Taken off the time for which the lease is taken to be valid. */
-  private static final long MARGIN_MS = 150;
+  private static final long VALIDITY_MARGIN_MS = 150;
 
   private static final long ACQUIRE_RETRY_MS = 500;
   private static final long RENEW_RETRY_MS = 300;
@@ -26,13 +26,13 @@
   private static final int RENEWALS_PER_TERM = 4;
 
   /** The id while there is no lease. */
-  static final long NONE = -1;
+  static final long NO_LEASE = -1;
 
   private final EventLoop loop;
   private final StoreClient store;
   private final long termMs;
   private final Runnable onExpiry;
-  private long leaseId = NONE;
+  private long leaseId = NO_LEASE;
   private boolean acquiring;
   private long validUntilMs;
   private EventLoop.Timer nextRenewal;
@@ -57,10 +57,10 @@
     }
     acquiring = true;
     long sentMs = loop.nowMs();
-    store.acquireLease(termMs, granted -> acquired(granted, sentMs));
+    store.acquireLease(termMs, granted -> handleAcquireOutcome(granted, sentMs));
   }
 
-  private void acquired(OptionalLong granted, long sentMs) {
+  private void handleAcquireOutcome(OptionalLong granted, long sentMs) {
     acquiring = false;
     if (granted.isEmpty()) {
       loop.after(ACQUIRE_RETRY_MS, this::acquire);
@@ -71,19 +71,19 @@
     renewAfter(termMs / RENEWALS_PER_TERM);
   }
 
-  /** The state service's id of the lease; {@link #NONE} while there is none. */
+  /** The state service's id of the lease; {@link #NO_LEASE} while there is none. */
   long id() {
     return leaseId;
   }
 
   /** The lease can't have expired, whatever the clocks do. */
-  boolean surelyValid() {
+  boolean isValid() {
     return loop.nowMs() < validUntilMs;
   }
 
   /** The lease runs from when the state service granted it, which was after it was asked. */
   private long validUntil(long sentMs) {
-    return sentMs + (long) (termMs * (1 - EventLoop.CLOCK_DRIFT)) - MARGIN_MS;
+    return sentMs + (long) (termMs * (1 - EventLoop.CLOCK_DRIFT)) - VALIDITY_MARGIN_MS;
   }
 
   private void renewAfter(long delayMs) {
@@ -94,25 +94,25 @@
   }
 
   private void renew() {
-    long renewed = leaseId;
+    long renewedLeaseId = leaseId;
     long sentMs = loop.nowMs();
     renewAfter(termMs / RENEWALS_PER_TERM);
     store.renewLease(
-        renewed,
+        renewedLeaseId,
         renewal -> {
           // Answers may come out of order, and those for a former lease say nothing about this one.
-          if (renewed == leaseId) {
-            settleRenewal(renewal, sentMs);
+          if (renewedLeaseId == leaseId) {
+            handleRenewalOutcome(renewal, sentMs);
           }
         });
   }
 
-  private void settleRenewal(LeaseRenewal renewal, long sentMs) {
+  private void handleRenewalOutcome(LeaseRenewal renewal, long sentMs) {
     if (renewal == LeaseRenewal.RENEWED) {
       validUntilMs = Math.max(validUntilMs, validUntil(sentMs));
     } else if (renewal == LeaseRenewal.EXPIRED) {
       LOG.warn("lease expired: lease={}", leaseId);
-      leaseId = NONE;
+      leaseId = NO_LEASE;
       validUntilMs = 0;
       nextRenewal.cancel();
       onExpiry.run();
--- a/src/main/java/dev/windbend/shard/LeaderElection.java
+++ b/src/main/java/dev/windbend/shard/LeaderElection.java
@@ -19,26 +19,26 @@
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
-  private static final long STEP_MS = 250;
+  private static final long CHECK_INTERVAL_MS = 250;
 
   /** How much later each next controller in a shard's order of preference campaigns. */
   private static final long RANK_DELAY_MS = 600;
 
   /** How much later a controller campaigns for each shard that it leads already. */
-  private static final long LOAD_DELAY_MS = 900;
+  private static final long LED_SHARD_DELAY_MS = 900;
 
-  private static final long LONG_AGO_MS = Long.MIN_VALUE / 2;
+  private static final long NEVER_MS = Long.MIN_VALUE / 2;
   private static final long NOT_VACANT = -1;
   private static final long NOT_LEADER = 0;
 
   /** The version that a record must have which must not exist. */
-  private static final long ABSENT = 0;
+  private static final long ABSENT_VERSION = 0;
 
   private final EventLoop loop;
   private final StoreClient store;
   private final Replica replica;
   private final ShardLayout layout;
-  private final String nodeName;
+  private final String controllerName;
   private final ControllerLease lease;
   private final long workerLeaseMs;
   private final Listener listener;
@@ -50,10 +50,10 @@
   private final long[] vacantSinceMs;
 
   /** By shard: a transaction on its record is under way. */
-  private final boolean[] writing;
+  private final boolean[] writePending;
 
-  private long lastWorkerContactMs = LONG_AGO_MS;
-  private long yieldedMs = LONG_AGO_MS;
+  private long lastWorkerContactMs = NEVER_MS;
+  private long yieldedMs = NEVER_MS;
 
   /** Hears which shards this controller leads. */
   public interface Listener {
@@ -67,7 +67,7 @@
   /**
    * Makes an election that begins with {@link #start}.
    *
-   * @param nodeName this controller's name
+   * @param controllerName this controller's name
    * @param leaseTermMs for how long the state service grants the lease that leadership is bound to
    * @param workerLeaseMs for how long the lease of a worker's agent lasts
    */
@@ -76,7 +76,7 @@
       StoreClient store,
       Replica replica,
       ShardLayout layout,
-      String nodeName,
+      String controllerName,
       long leaseTermMs,
       long workerLeaseMs,
       Listener listener) {
@@ -84,25 +84,25 @@
     this.store = store;
     this.replica = replica;
     this.layout = layout;
-    this.nodeName = nodeName;
+    this.controllerName = controllerName;
     this.lease = new ControllerLease(loop, store, leaseTermMs, this::stepDownFromAll);
     this.workerLeaseMs = workerLeaseMs;
     this.listener = listener;
-    this.tokens = new long[layout.shards()];
-    this.vacantSinceMs = new long[layout.shards()];
-    this.writing = new boolean[layout.shards()];
+    this.tokens = new long[layout.shardCount()];
+    this.vacantSinceMs = new long[layout.shardCount()];
+    this.writePending = new boolean[layout.shardCount()];
     Arrays.fill(vacantSinceMs, NOT_VACANT);
   }
 
   /** Acquires the lease, and campaigns from then on wherever a leader is lacking. */
   public void start() {
     lease.acquire();
-    step();
+    checkShards();
   }
 
   /** The lease can't have expired, whatever the clocks do. */
-  public boolean leaseSurelyValid() {
-    return lease.surelyValid();
+  public boolean isLeaseValid() {
+    return lease.isValid();
   }
 
   /** Whether this controller was elected for the shard, and has not been deposed since. */
@@ -116,10 +116,10 @@
    * @return null: none is known
    */
   public String leaderOf(int shard) {
-    return leaderIn(replica.get(ShardLeaderRecord.key(shard)));
+    return readLeader(replica.get(ShardLeaderRecord.key(shard)));
   }
 
-  private static String leaderIn(VersionedValue stored) {
+  private static String readLeader(VersionedValue stored) {
     ShardLeaderRecord leader =
         stored == null ? null : Json.read(stored.value(), ShardLeaderRecord.class);
     return leader == null ? null : leader.leader();
@@ -147,7 +147,7 @@
    */
   public void yieldLeadership(int shard) {
     long token = tokens[shard];
-    if (token != NOT_LEADER && layout.nodes() > 1) {
+    if (token != NOT_LEADER && layout.controllerCount() > 1) {
       LOG.warn(
           "leadership yielded: shard={} token={} cause=\"no worker reaches us\"", shard, token);
       yieldedMs = loop.nowMs();
@@ -166,44 +166,44 @@
     lastWorkerContactMs = loop.nowMs();
   }
 
-  private void step() {
+  private void checkShards() {
     if (replica.synced()) {
       for (int shard = 0; shard < tokens.length; shard++) {
-        step(shard);
+        checkShard(shard);
       }
     }
-    loop.after(STEP_MS, this::step);
+    loop.after(CHECK_INTERVAL_MS, this::checkShards);
   }
 
-  private void step(int shard) {
+  private void checkShard(int shard) {
     VersionedValue stored = replica.get(ShardLeaderRecord.key(shard));
     if (isLeader(shard)) {
-      confirmLeadership(shard, stored);
-    } else if (!writing[shard] && leaseSurelyValid()) {
-      if (yielding()) {
-        leaveVacant(shard, stored);
+      verifyLeadership(shard, stored);
+    } else if (!writePending[shard] && isLeaseValid()) {
+      if (campaignsSuspended()) {
+        skipCampaign(shard, stored);
       } else if (stored != null) {
         reclaim(shard, stored);
       } else {
-        campaignInTurn(shard);
+        campaignAfterDelay(shard);
       }
     }
   }
 
-  private void confirmLeadership(int shard, VersionedValue stored) {
-    boolean ours = stored != null && stored.version() == tokens[shard];
-    if (!ours && replica.revision() >= tokens[shard]) {
+  private void verifyLeadership(int shard, VersionedValue stored) {
+    boolean recordMatches = stored != null && stored.version() == tokens[shard];
+    if (!recordMatches && replica.revision() >= tokens[shard]) {
       stepDown(shard);
     }
   }
 
-  private boolean yielding() {
+  private boolean campaignsSuspended() {
     return loop.nowMs() - yieldedMs < workerLeaseMs && lastWorkerContactMs <= yieldedMs;
   }
 
-  private void leaveVacant(int shard, VersionedValue stored) {
+  private void skipCampaign(int shard, VersionedValue stored) {
     vacantSinceMs[shard] = NOT_VACANT;
-    if (stored != null && nodeName.equals(leaderIn(stored))) {
+    if (stored != null && controllerName.equals(readLeader(stored))) {
       resign(shard, stored.version());
     }
   }
@@ -211,44 +211,45 @@
   /** A record of ours is from before a restart, or its commit was never answered. */
   private void reclaim(int shard, VersionedValue stored) {
     vacantSinceMs[shard] = NOT_VACANT;
-    if (nodeName.equals(leaderIn(stored))) {
+    if (controllerName.equals(readLeader(stored))) {
       campaign(shard, stored.version());
     }
   }
 
   /** Controllers campaign one after the other, so that shards spread evenly over them. */
-  private void campaignInTurn(int shard) {
+  private void campaignAfterDelay(int shard) {
     long now = loop.nowMs();
     if (vacantSinceMs[shard] == NOT_VACANT) {
       vacantSinceMs[shard] = now;
     }
-    long delayMs = RANK_DELAY_MS * layout.rank(shard, nodeName) + LOAD_DELAY_MS * shardsLed();
+    long delayMs =
+        RANK_DELAY_MS * layout.rank(shard, controllerName) + LED_SHARD_DELAY_MS * ledShardCount();
     if (now - vacantSinceMs[shard] >= delayMs) {
-      campaign(shard, ABSENT);
+      campaign(shard, ABSENT_VERSION);
     }
   }
 
-  private int shardsLed() {
-    int led = 0;
+  private int ledShardCount() {
+    int count = 0;
     for (long token : tokens) {
-      led += token != NOT_LEADER ? 1 : 0;
+      count += token != NOT_LEADER ? 1 : 0;
     }
-    return led;
+    return count;
   }
 
   private void campaign(int shard, long expectedVersion) {
-    writing[shard] = true;
+    writePending[shard] = true;
     long leaseId = lease.id();
     String key = ShardLeaderRecord.key(shard);
     store.commit(
         new TransactionBuilder()
             .ifVersion(key, expectedVersion)
-            .putWithLease(key, new ShardLeaderRecord(nodeName), leaseId),
-        outcome -> settleCampaign(shard, leaseId, outcome));
+            .putWithLease(key, new ShardLeaderRecord(controllerName), leaseId),
+        outcome -> handleCampaignOutcome(shard, leaseId, outcome));
   }
 
-  private void settleCampaign(int shard, long leaseId, TransactionOutcome outcome) {
-    writing[shard] = false;
+  private void handleCampaignOutcome(int shard, long leaseId, TransactionOutcome outcome) {
+    writePending[shard] = false;
     vacantSinceMs[shard] = NOT_VACANT;
     if (outcome.applied() && lease.id() == leaseId) {
       tokens[shard] = outcome.revision();
@@ -258,10 +259,10 @@
   }
 
   private void resign(int shard, long version) {
-    writing[shard] = true;
+    writePending[shard] = true;
     String key = ShardLeaderRecord.key(shard);
     store.commit(
         new TransactionBuilder().ifVersion(key, version).delete(key),
-        outcome -> writing[shard] = false);
+        outcome -> writePending[shard] = false);
   }
 }
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -6,7 +6,7 @@
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineMessages.TaskRequirements;
 import dev.windbend.peer.MachineRequester;
-import dev.windbend.peer.MachineTransferMessages.Overdue;
+import dev.windbend.peer.MachineTransferMessages.OverdueTasks;
 import dev.windbend.peer.MachineTransferMessages.Reply;
 import dev.windbend.peer.MachineTransferMessages.Request;
 import dev.windbend.runtime.EventLoop;
@@ -115,7 +115,7 @@
       double lackingCores,
       double largestCores,
       boolean cloudAvailable,
-      Overdue overdue,
+      OverdueTasks overdue,
       IntConsumer done) {
     int count = (int) Math.ceil(lackingCores / largestCores);
     double coresBelowGuarantee = guaranteedCores - retainedCores(machine -> true);
@@ -202,7 +202,7 @@
    *
    * @return how many of the transferred and evicted machines the overdue tasks may run on
    */
-  private int transferForOverdue(int toShard, Overdue overdue, List<Machine> transferred) {
+  private int transferForOverdue(int toShard, OverdueTasks overdue, List<Machine> transferred) {
     if (overdue == null) {
       return 0;
     }
--- a/src/main/java/dev/windbend/shard/Policy.java
+++ b/src/main/java/dev/windbend/shard/Policy.java
@@ -6,7 +6,7 @@
  * What operators may set of how shards are led.
  *
  * @param cyclePeriodMs longest time between two scheduling cycles
- * @param cyclesOnEvents whether a cycle also follows each change soon
+ * @param eventDrivenCycles whether a cycle also follows each change soon
  * @param billingBlockMs the span of time that the cloud bills a machine in
  * @param impliedDeadlineFactor a job without a deadline is due after its estimate times this
  * @param leaseTermMs for how long the state service grants a controller's lease
@@ -17,7 +17,7 @@
  */
 public record Policy(
     long cyclePeriodMs,
-    boolean cyclesOnEvents,
+    boolean eventDrivenCycles,
     long billingBlockMs,
     double impliedDeadlineFactor,
     long leaseTermMs,
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -13,17 +13,17 @@
 final class ReconciliationLoop {
   private static final long INTERVAL_MS = 500;
   private static final long SCHEDULING_INTERVAL_MS = 2 * INTERVAL_MS;
-  private static final long LEASE_UNSURE = -1;
+  private static final long LEASE_NOT_VALID = -1;
 
   private final ShardLeadership leadership;
   private final EventLoop loop;
   private final StoreClient store;
   private final ShardStatusLog statusLog;
-  private final Duties duties;
-  private long leaseValidSinceMs = LEASE_UNSURE;
+  private final Components components;
+  private long leaseValidSinceMs = LEASE_NOT_VALID;
 
   /** What the loop looks after. */
-  record Duties(
+  record Components(
       ShardZones zones,
       MachineHealth health,
       ShardJobs jobs,
@@ -38,17 +38,17 @@
       EventLoop loop,
       StoreClient store,
       ShardStatusLog statusLog,
-      Duties duties) {
+      Components components) {
     this.leadership = leadership;
     this.loop = loop;
     this.store = store;
     this.statusLog = statusLog;
-    this.duties = duties;
+    this.components = components;
   }
 
   /** Begins when the shard's records are taken over. */
   void start(long nowMs) {
-    duties.cloudList.start(nowMs);
+    components.cloudList.start(nowMs);
     tick();
   }
 
@@ -60,38 +60,38 @@
     if (leadership.mayAct()) {
       reconcile(now);
     } else {
-      leaseValidSinceMs = LEASE_UNSURE;
-      statusLog.tickSuspended(now, store.failingForMs());
+      leaseValidSinceMs = LEASE_NOT_VALID;
+      statusLog.logSuspendedIfDue(now, store.failingForMs());
     }
     loop.after(INTERVAL_MS, this::tick);
   }
 
   /** The order counts: what an earlier step finds out, a later one acts on and writes. */
   private void reconcile(long now) {
-    if (leaseValidSinceMs == LEASE_UNSURE) {
+    if (leaseValidSinceMs == LEASE_NOT_VALID) {
       leaseValidSinceMs = now;
     }
-    yieldIfUnreached(now);
-    duties.zones.check(now, leaseValidSinceMs);
+    yieldIfNoWorkerContact(now);
+    components.zones.check(now, leaseValidSinceMs);
     checkMachines(now);
-    duties.jobs.endCancelled();
-    duties.transfers.tick(now);
-    duties.fleet.pursue();
-    duties.scheduling.tick(SCHEDULING_INTERVAL_MS);
-    duties.committer.commitDue();
-    statusLog.tick(now);
-    duties.cloudList.returnUnlistedInherited(now);
-    duties.cloudList.reconcileFailedAndOrphaned(now);
+    components.jobs.finishCancelled();
+    components.transfers.tick(now);
+    components.fleet.pursue();
+    components.scheduling.runIfDue(SCHEDULING_INTERVAL_MS);
+    components.committer.commitDue();
+    statusLog.logIfDue(now);
+    components.cloudList.returnUnlistedInherited(now);
+    components.cloudList.reconcileFailedAndOrphaned(now);
   }
 
-  private void yieldIfUnreached(long now) {
-    long heardMs = Math.max(leaseValidSinceMs, leadership.lastWorkerContactMs());
-    if (duties.health.lostWorkers(now, heardMs)) {
-      leadership.yieldToOthers();
+  private void yieldIfNoWorkerContact(long now) {
+    long lastContactMs = Math.max(leaseValidSinceMs, leadership.lastWorkerContactMs());
+    if (components.health.lostWorkers(now, lastContactMs)) {
+      leadership.yieldLeadership();
     }
   }
 
   private void checkMachines(long now) {
-    duties.health.check(now, leaseValidSinceMs, duties.zones.availability()::evacuates);
+    components.health.check(now, leaseValidSinceMs, components.zones.availability()::evacuates);
   }
 }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -26,15 +26,15 @@
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
   /** Least time between two cycles on events, and from an event to its cycle. */
-  private static final long EVENT_GAP_MS = 150;
+  private static final long MIN_EVENT_CYCLE_INTERVAL_MS = 150;
 
-  private static final long MAX_EVENT_GAP_MS = 2_000;
+  private static final long MAX_EVENT_CYCLE_INTERVAL_MS = 2_000;
 
   /** Cycles on events take at most one part in so many of the processor's time. */
-  private static final int PROCESSOR_TIME_DIVISOR = 15;
+  private static final int CYCLE_DURATION_MULTIPLIER = 15;
 
   /** One cycle in so many serves the longest waiting jobs first. */
-  private static final int OLDEST_FIRST_EVERY = 4;
+  private static final int OLDEST_FIRST_CYCLE_INTERVAL = 4;
 
   private final EventLoop loop;
   private final Policy policy;
@@ -44,12 +44,12 @@
   private final FailoverRampUp rampUp;
   private final BooleanSupplier mayAct;
   private long lastCycleMs;
-  private long lastCycleCostMs;
-  private long cycles;
-  private boolean requested;
+  private long lastCycleDurationMs;
+  private long cycleCount;
+  private boolean cycleRequested;
 
   /** The last cycle left jobs out. */
-  private boolean partial;
+  private boolean lastCyclePartial;
 
   SchedulingLoop(
       EventLoop loop,
@@ -71,17 +71,17 @@
 
   @Override
   public void requestCycle() {
-    if (!requested) {
-      requested = true;
-      if (policy.cyclesOnEvents()) {
-        loop.after(EVENT_GAP_MS, this::runRequestedCycle);
+    if (!cycleRequested) {
+      cycleRequested = true;
+      if (policy.eventDrivenCycles()) {
+        loop.after(MIN_EVENT_CYCLE_INTERVAL_MS, this::runRequestedCycle);
       }
     }
   }
 
   @Override
   public void runCycleNow() {
-    if (!policy.cyclesOnEvents() || loop.nowMs() - lastCycleMs < eventGapMs()) {
+    if (!policy.eventDrivenCycles() || loop.nowMs() - lastCycleMs < eventCycleIntervalMs()) {
       requestCycle();
     } else {
       runCycle();
@@ -89,16 +89,18 @@
   }
 
   /** Events are batched when cycles cost much, unless the last cycle left jobs out. */
-  private long eventGapMs() {
-    long divisor = partial ? 1 : PROCESSOR_TIME_DIVISOR;
-    return Math.min(MAX_EVENT_GAP_MS, Math.max(EVENT_GAP_MS, divisor * lastCycleCostMs));
+  private long eventCycleIntervalMs() {
+    long multiplier = lastCyclePartial ? 1 : CYCLE_DURATION_MULTIPLIER;
+    return Math.min(
+        MAX_EVENT_CYCLE_INTERVAL_MS,
+        Math.max(MIN_EVENT_CYCLE_INTERVAL_MS, multiplier * lastCycleDurationMs));
   }
 
   private void runRequestedCycle() {
-    long waitMs = eventGapMs() - (loop.nowMs() - lastCycleMs);
-    if (requested && waitMs > 0) {
+    long waitMs = eventCycleIntervalMs() - (loop.nowMs() - lastCycleMs);
+    if (cycleRequested && waitMs > 0) {
       loop.after(waitMs, this::runRequestedCycle);
-    } else if (requested) {
+    } else if (cycleRequested) {
       runCycle();
     }
   }
@@ -106,36 +108,38 @@
   /**
    * Called at a steady interval: runs the cycle that is due without any event.
    *
-   * @param maxGapMs time between two cycles at most, where cycles run on events
+   * @param maxIntervalMs time between two cycles at most, where cycles run on events
    */
-  void tick(long maxGapMs) {
-    long gapMs =
-        policy.cyclesOnEvents() ? Math.max(maxGapMs, eventGapMs()) : policy.cyclePeriodMs();
-    if (loop.nowMs() - lastCycleMs >= gapMs) {
+  void runIfDue(long maxIntervalMs) {
+    long intervalMs =
+        policy.eventDrivenCycles()
+            ? Math.max(maxIntervalMs, eventCycleIntervalMs())
+            : policy.cyclePeriodMs();
+    if (loop.nowMs() - lastCycleMs >= intervalMs) {
       runCycle();
     }
   }
 
   /** How long the last cycle took. */
-  long lastCycleCostMs() {
-    return lastCycleCostMs;
+  long lastCycleDurationMs() {
+    return lastCycleDurationMs;
   }
 
   private void runCycle() {
-    requested = false;
-    if (!mayAct.getAsBoolean() || !rampUp.maySchedule(this::allMachinesHeard)) {
+    cycleRequested = false;
+    if (!mayAct.getAsBoolean() || !rampUp.maySchedule(this::allInheritedMachinesConfirmed)) {
       return;
     }
     long nowMs = loop.nowMs();
     lastCycleMs = nowMs;
-    cycles++;
+    cycleCount++;
     List<Job> waiting = waitingJobs();
     List<Job> jobs = rampUp.nextCycleJobs(waiting);
-    partial = jobs.size() < waiting.size();
+    lastCyclePartial = jobs.size() < waiting.size();
     List<Machine> machines = schedulableMachines(nowMs);
     List<InstanceOffer> offers = capacity.offers();
     List<List<Placement>> running = new ArrayList<>();
-    boolean oldestFirst = cycles % OLDEST_FIRST_EVERY == 0;
+    boolean oldestFirst = cycleCount % OLDEST_FIRST_CYCLE_INTERVAL == 0;
     Snapshot snapshot = snapshots.build(nowMs, oldestFirst, jobs, machines, offers, running);
     DecisionTrace trace = LOG.isDebugEnabled() ? DecisionTrace.recording() : DecisionTrace.NONE;
     SchedulingDecision decision = Planner.plan(snapshot, trace);
@@ -143,13 +147,13 @@
     preempt(decision, running);
     place(decision, nowMs, jobs, machines);
     // Machines that look idle may be needed by jobs that this cycle left out.
-    capacity.offerForTransfer(partial ? List.of() : decision.idle(), machines);
+    capacity.offerForTransfer(lastCyclePartial ? List.of() : decision.idleMachines(), machines);
     capacity.acquire(decision, offers, nowMs);
-    if (!partial) {
+    if (!lastCyclePartial) {
       capacity.scaleIn(decision, machines);
     }
-    lastCycleCostMs = loop.nowMs() - nowMs;
-    if (partial) {
+    lastCycleDurationMs = loop.nowMs() - nowMs;
+    if (lastCyclePartial) {
       requestCycle();
     }
   }
@@ -178,7 +182,7 @@
   private List<Machine> schedulableMachines(long nowMs) {
     List<Machine> machines = new ArrayList<>();
     for (Machine machine : state.fleet().machines()) {
-      if (inOpenZone(machine)
+      if (inUsableZone(machine)
           && !machine.returning()
           && !machine.cordoned()
           && machine.liveness().missedResponses() == 0
@@ -190,12 +194,12 @@
   }
 
   /** One that boots in a zone that is opened again counts, so that it is not requested twice. */
-  private boolean inOpenZone(Machine machine) {
+  private boolean inUsableZone(Machine machine) {
     return !machine.zoneClosed()
         || (machine.lastHeartbeatMs() < 0 && !state.zones().evacuates(machine.zone()));
   }
 
-  private boolean allMachinesHeard() {
+  private boolean allInheritedMachinesConfirmed() {
     for (Machine machine : state.fleet().machines()) {
       if (machine.inherited() && !machine.confirmedUnderToken()) {
         return false;
@@ -205,7 +209,7 @@
   }
 
   private void preempt(SchedulingDecision decision, List<List<Placement>> running) {
-    for (SchedulingDecision.Preempt preempted : decision.preemptions()) {
+    for (SchedulingDecision.PreemptedTask preempted : decision.preemptions()) {
       Placement placement = running.get(preempted.machine()).get(preempted.task());
       LOG.info(
           "task preempted: shard={} machine={} task={} token={} cause=\"more urgent job\"",
@@ -220,10 +224,10 @@
   private void place(
       SchedulingDecision decision, long nowMs, List<Job> jobs, List<Machine> machines) {
     Set<Job> changed = new LinkedHashSet<>();
-    for (SchedulingDecision.Place place : decision.placements()) {
+    for (SchedulingDecision.PlacedTask place : decision.placements()) {
       Job job = jobs.get(place.job());
       Machine machine = machines.get(place.machine());
-      machine.add(job.place(job.nextWaiting(), machine.name(), nowMs, state.token(), cycles));
+      machine.add(job.place(job.nextWaiting(), machine.name(), nowMs, state.token(), cycleCount));
       changed.add(job);
     }
     changed.forEach(state.jobs()::touched);
--- a/src/main/java/dev/windbend/shard/ShardFailover.java
+++ b/src/main/java/dev/windbend/shard/ShardFailover.java
@@ -17,7 +17,7 @@
  * leaders have left in the state service.
  */
 final class ShardFailover {
-  private static final long RECHECK_MS = 20;
+  private static final long RECHECK_INTERVAL_MS = 20;
 
   private final ShardLeadership leadership;
   private final EventLoop loop;
@@ -47,20 +47,20 @@
   /**
    * Waits until the replica shows all that former leaders can have written, and rebuilds.
    *
-   * @param rebuilt called with the time once jobs and machines are complete
+   * @param onRecovered called with the time once jobs and machines are complete
    */
-  void run(LongConsumer rebuilt) {
+  void run(LongConsumer onRecovered) {
     if (leadership.ended()) {
       return;
     }
     if (replica.revision() < leadership.token() || !catalog.known()) {
-      loop.after(RECHECK_MS, () -> run(rebuilt));
+      loop.after(RECHECK_INTERVAL_MS, () -> run(onRecovered));
       return;
     }
     long now = loop.nowMs();
     restoreMachines();
     restoreJobs(now);
-    rebuilt.accept(now);
+    onRecovered.accept(now);
   }
 
   private void restoreMachines() {
--- a/src/main/java/dev/windbend/shard/ShardJobs.java
+++ b/src/main/java/dev/windbend/shard/ShardJobs.java
@@ -91,7 +91,7 @@
     } else if (record == null) {
       // The job has ended, and never comes back. A delayed change may have restored it after its
       // end was written: if it stayed, its writes would fail for ever.
-      forget(job);
+      remove(job);
     } else {
       update(job, record);
     }
@@ -126,7 +126,7 @@
   }
 
   /** Has the end written of cancelled jobs of which no task is left. */
-  void endCancelled() {
+  void finishCancelled() {
     for (Job job : registry.all()) {
       if (job.cancelled() && job.over()) {
         registry.touched(job);
@@ -135,11 +135,11 @@
   }
 
   /** Forgets the jobs of which the end has been written. */
-  void forgetEnded() {
-    registry.archived().forEach(this::forget);
+  void removeEnded() {
+    registry.archived().forEach(this::remove);
   }
 
-  private void forget(Job job) {
+  private void remove(Job job) {
     registry.forget(job);
     if (job.doneCount() == 0) {
       fleet.machines().forEach(machine -> machine.forgetFailedJob(job.spec().uid()));
--- a/src/main/java/dev/windbend/shard/ShardLayout.java
+++ b/src/main/java/dev/windbend/shard/ShardLayout.java
@@ -12,50 +12,50 @@
   public static final int NO_TEAM = -1;
 
   private final NameIndex teams = new NameIndex();
-  private final List<String> nodes;
-  private final int shards;
+  private final List<String> controllers;
+  private final int shardCount;
 
   /**
    * Makes one shard a controller, but not more than there are teams.
    *
    * @param teamNames in the order of the settings file
-   * @param nodeNames the names of all controllers, in any order
+   * @param controllerNames the names of all controllers, in any order
    */
-  public ShardLayout(List<String> teamNames, List<String> nodeNames) {
+  public ShardLayout(List<String> teamNames, List<String> controllerNames) {
     teamNames.forEach(teams::index);
-    this.nodes = nodeNames.stream().sorted().toList();
-    this.shards = Math.max(1, Math.min(nodes.size(), teams.size()));
+    this.controllers = controllerNames.stream().sorted().toList();
+    this.shardCount = Math.max(1, Math.min(controllers.size(), teams.size()));
   }
 
   /** How many shards there are; they are numbered from 0. */
-  public int shards() {
-    return shards;
+  public int shardCount() {
+    return shardCount;
   }
 
   /** How many controllers there are. */
-  public int nodes() {
-    return nodes.size();
+  public int controllerCount() {
+    return controllers.size();
   }
 
   /** The index of the team, or {@link #NO_TEAM}. */
-  public int team(String name) {
+  public int teamIndex(String name) {
     return teams.find(name);
   }
 
   /** The shard of the team with this index. */
   public int shardOf(int team) {
-    return team % shards;
+    return team % shardCount;
   }
 
   /** The index of the team if it is of this shard, else {@link #NO_TEAM}. */
-  int teamInShard(String name, int shard) {
-    int team = team(name);
+  int teamIndexInShard(String name, int shard) {
+    int team = teamIndex(name);
     return team != NO_TEAM && shardOf(team) == shard ? team : NO_TEAM;
   }
 
   /** How many controllers come before this one in campaigning for a shard without a leader. */
-  public int rank(int shard, String node) {
-    int controllers = nodes.size();
-    return Math.floorMod(nodes.indexOf(node) - shard, controllers);
+  public int rank(int shard, String controller) {
+    int count = controllers.size();
+    return Math.floorMod(controllers.indexOf(controller) - shard, count);
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardLeader.java
+++ b/src/main/java/dev/windbend/shard/ShardLeader.java
@@ -32,19 +32,19 @@
 
   /** Takes the shard over as soon as the replica shows all that former leaders can have written. */
   public void start() {
-    services.failover.run(this::lead);
+    services.failover.run(this::onRecovered);
   }
 
-  private void lead(long nowMs) {
+  private void onRecovered(long nowMs) {
     services.zones.recover(context.machines().catalog().zones());
-    services.leadership.recordsTakenOver();
+    services.leadership.markRecovered();
     LOG.info(
         "shard taken over: shard={} token={} jobs={} machines={}",
         services.leadership.shard(),
         services.leadership.token(),
-        liveJobs(),
+        liveJobCount(),
         machineCount());
-    services.rampUp.takenOver();
+    services.rampUp.start();
     services.reconciliation.start(nowMs);
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** How many live jobs the shard has. */
-  public int liveJobs() {
+  public int liveJobCount() {
     return services.registry.all().size();
   }
 
@@ -78,7 +78,7 @@
   }
 
   /** The state of each zone that is monitored. */
-  public List<ZoneStatus> zones() {
+  public List<ZoneStatus> zoneStatuses() {
     return services.zones.status();
   }
 
@@ -107,21 +107,22 @@
 
   /** Whether the machine is of this shard. */
   public boolean hasMachine(String machine) {
-    return services.machines.has(machine);
+    return services.machines.hasMachine(machine);
   }
 
   /** A heartbeat came from a machine that no shard has on record; only the first shard adopts. */
-  public void noteOrphan(WorkerMessages.Heartbeat heartbeat) {
-    services.machines.noteOrphan(heartbeat);
+  public void handleOrphanHeartbeat(WorkerMessages.Heartbeat heartbeat) {
+    services.machines.handleOrphanHeartbeat(heartbeat);
   }
 
   /**
    * Takes in a heartbeat of one of the shard's machines.
    *
-   * @param done called once with the answer, which may wait for work or for a write
+   * @param onResponse called once with the answer, which may wait for work or for a write
    */
-  public void handleHeartbeat(WorkerMessages.Heartbeat heartbeat, Consumer<ServerResponse> done) {
-    services.heartbeats.handle(heartbeat, done);
+  public void handleHeartbeat(
+      WorkerMessages.Heartbeat heartbeat, Consumer<ServerResponse> onResponse) {
+    services.heartbeats.handle(heartbeat, onResponse);
   }
 
   /** Transfers machines to another shard, as many as can be spared. */
--- a/src/main/java/dev/windbend/shard/ShardLeaderRecord.java
+++ b/src/main/java/dev/windbend/shard/ShardLeaderRecord.java
@@ -9,9 +9,9 @@
  * @param leader the name of the controller
  */
 record ShardLeaderRecord(@JsonProperty("owner") String leader) {
-  private static final String KEYS = "w/c/";
+  private static final String KEY_PREFIX = "w/c/";
 
   static String key(int shard) {
-    return KEYS + shard;
+    return KEY_PREFIX + shard;
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardLeadership.java
+++ b/src/main/java/dev/windbend/shard/ShardLeadership.java
@@ -12,7 +12,7 @@
   private final long token;
   private final LeaderElection election;
   private final StoreOutageDetector outageDetector;
-  private boolean recordsTakenOver;
+  private boolean recovered;
   private boolean ended;
 
   ShardLeadership(
@@ -32,8 +32,8 @@
     return token;
   }
 
-  void recordsTakenOver() {
-    recordsTakenOver = true;
+  void markRecovered() {
+    recovered = true;
   }
 
   void end() {
@@ -46,17 +46,17 @@
 
   /** The shard's jobs and machines are known, and the term has not ended. */
   boolean ready() {
-    return recordsTakenOver && !ended;
+    return recovered && !ended;
   }
 
   @Override
   public boolean mayAct() {
-    return ready() && election.isLeader(shard) && election.leaseSurelyValid();
+    return ready() && election.isLeader(shard) && election.isLeaseValid();
   }
 
   @Override
-  public boolean mayKeepWorkers() {
-    return outageDetector.mayKeepWorkers();
+  public boolean mayRenewWorkerLeases() {
+    return outageDetector.mayRenewWorkerLeases();
   }
 
   /** When any worker reached this controller last (steady clock). */
@@ -70,7 +70,7 @@
   }
 
   /** Leaves the shard to a controller that its workers may reach. */
-  void yieldToOthers() {
+  void yieldLeadership() {
     election.yieldLeadership(shard);
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardMachines.java
+++ b/src/main/java/dev/windbend/shard/ShardMachines.java
@@ -67,21 +67,21 @@
     }
   }
 
-  boolean has(String machine) {
+  boolean hasMachine(String machine) {
     return fleet.find(machine) != null;
   }
 
   /** A heartbeat came from a machine that no shard has on record. */
-  void noteOrphan(WorkerMessages.Heartbeat heartbeat) {
+  void handleOrphanHeartbeat(WorkerMessages.Heartbeat heartbeat) {
     if (leadership.ready() && leadership.mayAct()) {
       orphanedMachines.addCandidate(
           heartbeat.machine(),
-          new OrphanedMachine(heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
+          new OrphanedMachine(heartbeat.machineType(), heartbeat.zone(), heartbeat.spot()));
     }
   }
 
   /** The cloud has confirmed the machine's end: its tasks go back to wait. */
-  void machineGone(Machine machine) {
+  void onMachineTerminated(Machine machine) {
     long now = loop.nowMs();
     zones.machineGone(machine);
     for (Placement placement : List.copyOf(machine.tasks().values())) {
--- a/src/main/java/dev/windbend/shard/ShardServices.java
+++ b/src/main/java/dev/windbend/shard/ShardServices.java
@@ -52,10 +52,10 @@
     this.committer = newCommitter();
     this.pages = newPages();
     this.registry =
-        new JobRegistry(name -> context.layout().teamInShard(name, shard), committer, pages);
+        new JobRegistry(name -> context.layout().teamIndexInShard(name, shard), committer, pages);
     this.fleet = newFleet();
     this.orphanedMachines =
-        new OrphanedMachines(loop, coordination.store(), fleet, context.layout().shards());
+        new OrphanedMachines(loop, coordination.store(), fleet, context.layout().shardCount());
     MachineHealth health = newMachineHealth();
     this.transfers = newTransfers();
     this.deadlines = newDeadlines();
@@ -86,7 +86,7 @@
         context.coordination().store(),
         ShardLeaderRecord.key(leadership.shard()),
         leadership.token(),
-        context.deployment().minWriteIntervalMs(context.layout().shards()),
+        context.deployment().minWriteIntervalMs(context.layout().shardCount()),
         leadership::stepDown,
         this::afterWrite);
   }
@@ -217,7 +217,7 @@
         context.loop(),
         context.coordination().store(),
         statusLog,
-        new ReconciliationLoop.Duties(
+        new ReconciliationLoop.Components(
             zones, health, jobs, transfers, fleet, scheduling, committer, cloudList));
   }
 
@@ -233,9 +233,9 @@
   }
 
   private void afterWrite() {
-    jobs.forgetEnded();
+    jobs.removeEnded();
     fleet.afterWrite();
-    heartbeats.respondToHeld();
+    heartbeats.respondToHeldHeartbeats();
   }
 
   /** Takes the fleet's events to where they count. */
@@ -247,7 +247,7 @@
 
     @Override
     public void machineGone(Machine machine) {
-      machines.machineGone(machine);
+      machines.onMachineTerminated(machine);
     }
 
     @Override
--- a/src/main/java/dev/windbend/shard/ShardStatusLog.java
+++ b/src/main/java/dev/windbend/shard/ShardStatusLog.java
@@ -20,7 +20,7 @@
   private final long periodMs;
   private final SchedulingLoop scheduling;
   private final PagedStore pages;
-  private long loggedMs;
+  private long lastLogMs;
   private int oldestWaitSeconds;
 
   ShardStatusLog(
@@ -38,7 +38,7 @@
     this.periodMs = periodMs;
     this.scheduling = scheduling;
     this.pages = pages;
-    this.loggedMs = loop.nowMs();
+    this.lastLogMs = loop.nowMs();
   }
 
   /** The age of the oldest waiting job when it was last logged; 0: none waited. */
@@ -46,11 +46,11 @@
     return oldestWaitSeconds;
   }
 
-  private boolean due(long nowMs) {
-    if (nowMs - loggedMs < periodMs) {
+  private boolean startPeriodIfDue(long nowMs) {
+    if (nowMs - lastLogMs < periodMs) {
       return false;
     }
-    loggedMs = nowMs;
+    lastLogMs = nowMs;
     return true;
   }
 
@@ -59,8 +59,8 @@
    *
    * @param storeFailingMs for how long the state service has not answered
    */
-  void tickSuspended(long nowMs, long storeFailingMs) {
-    if (due(nowMs)) {
+  void logSuspendedIfDue(long nowMs, long storeFailingMs) {
+    if (startPeriodIfDue(nowMs)) {
       LOG.info(
           "scheduling suspended: shard={} token={} store_failing_s={} cause=\"lease not confirmed\"",
           state.shard(),
@@ -70,8 +70,8 @@
   }
 
   /** Called at a steady interval while the leader may act. */
-  void tick(long nowMs) {
-    if (due(nowMs)) {
+  void logIfDue(long nowMs) {
+    if (startPeriodIfDue(nowMs)) {
       logStatus(nowMs);
       logOldestWaitingJob(nowMs);
     }
@@ -88,10 +88,10 @@
     int booting = 0;
     int unavailable = 0;
     for (Machine machine : state.fleet().machines()) {
-      boolean reported = machine.lastHeartbeatMs() >= 0;
+      boolean heartbeatReceived = machine.lastHeartbeatMs() >= 0;
       up += machine.usable(nowMs) ? 1 : 0;
-      booting += reported ? 0 : 1;
-      unavailable += reported && !machine.usable(nowMs) ? 1 : 0;
+      booting += heartbeatReceived ? 0 : 1;
+      unavailable += heartbeatReceived && !machine.usable(nowMs) ? 1 : 0;
     }
     LOG.info(
         "shard status: shard={} jobs={} waiting_cores={} placed_cores={} machines_up={}"
@@ -103,7 +103,7 @@
         up,
         booting,
         unavailable,
-        scheduling.lastCycleCostMs(),
+        scheduling.lastCycleDurationMs(),
         pages.pagesInUse());
   }
 
--- a/src/main/java/dev/windbend/shard/ShardZones.java
+++ b/src/main/java/dev/windbend/shard/ShardZones.java
@@ -39,7 +39,7 @@
     ZoneMonitor.Place place =
         new ZoneMonitor.Place(
             shard,
-            context.layout().shards(),
+            context.layout().shardCount(),
             context.zones().ownZone(),
             workers.heartbeatSeconds(),
             workers.leaseSeconds());
--- a/src/main/java/dev/windbend/shard/StarvedJobs.java
+++ b/src/main/java/dev/windbend/shard/StarvedJobs.java
@@ -44,7 +44,7 @@
    *
    * @param nowMs monotonic clock
    */
-  Optional<MachineTransferMessages.Overdue> tasksWithoutCapacity(long nowMs) {
+  Optional<MachineTransferMessages.OverdueTasks> tasksWithoutCapacity(long nowMs) {
     Job longestWaiting = null;
     double lackingCores = 0;
     double[] usedCores = TeamUsage.cores(state.jobs().all(), deployment.teams().size());
@@ -68,7 +68,7 @@
     }
     int machines = (int) Math.ceil(lackingCores / state.catalog().largestCores());
     return Optional.of(
-        new MachineTransferMessages.Overdue(nextTaskRequirements(longestWaiting), machines));
+        new MachineTransferMessages.OverdueTasks(nextTaskRequirements(longestWaiting), machines));
   }
 
   /**
--- a/src/main/java/dev/windbend/shard/TaskFailures.java
+++ b/src/main/java/dev/windbend/shard/TaskFailures.java
@@ -22,7 +22,7 @@
   /** A job whose tasks failed on so many machines was submitted with a mistake, most likely. */
   private static final int FAILED_MACHINES_FOR_BACKOFF = 3;
 
-  private static final long BACKOFF_MS = 5_000;
+  private static final long INITIAL_BACKOFF_MS = 5_000;
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
   private final int shard;
@@ -83,7 +83,7 @@
   /** Machines are not blamed any more for a job that fails everywhere. */
   private void backOff(Job job) {
     job.backOffUntil(
-        loop.nowMs() + (BACKOFF_MS << Math.min(job.backOffs(), MAX_BACKOFF_DOUBLINGS)));
+        loop.nowMs() + (INITIAL_BACKOFF_MS << Math.min(job.backOffs(), MAX_BACKOFF_DOUBLINGS)));
     fleet.machines().forEach(machine -> machine.forgetFailedJob(job.spec().uid()));
     job.clearFailedMachines();
   }
--- a/src/main/java/dev/windbend/worker/DirectStopClient.java
+++ b/src/main/java/dev/windbend/worker/DirectStopClient.java
@@ -22,36 +22,38 @@
   private static final int MAX_QUEUED = 8_000;
 
   /** What has waited for longer is discarded: the worker has had a response since. */
-  private final long queuedMaxMs;
+  private final long maxQueueTimeMs;
 
   private final EventLoop loop;
-  private final HttpClient web;
+  private final HttpClient httpClient;
   private final ArrayDeque<QueuedStops> queue = new ArrayDeque<>();
   private int callsInProgress;
 
-  private record QueuedStops(String address, WorkerMessages.Commands commands, long untilMs) {}
+  private record QueuedStops(
+      String address, WorkerMessages.DirectCommands commands, long expiresMs) {}
 
   /**
    * A client with an empty queue.
    *
    * @param heartbeatSeconds interval of the workers' heartbeats
    */
-  public DirectStopClient(EventLoop loop, HttpClient web, double heartbeatSeconds) {
+  public DirectStopClient(EventLoop loop, HttpClient httpClient, double heartbeatSeconds) {
     this.loop = loop;
-    this.web = web;
-    this.queuedMaxMs = (long) (1000 * heartbeatSeconds);
+    this.httpClient = httpClient;
+    this.maxQueueTimeMs = (long) (1000 * heartbeatSeconds);
   }
 
-  void send(Machine machine, long token, List<WorkerMessages.Order> stops) {
+  void send(Machine machine, long token, List<WorkerMessages.Command> stops) {
     if (machine.liveness().address() != null && !stops.isEmpty()) {
       send(machine.liveness().address(), token, machine.liveness().incarnation(), stops);
     }
   }
 
-  void send(String address, long token, long incarnation, List<WorkerMessages.Order> stops) {
+  void send(String address, long token, long incarnation, List<WorkerMessages.Command> stops) {
     if (queue.size() < MAX_QUEUED) {
-      WorkerMessages.Commands commands = new WorkerMessages.Commands(token, incarnation, stops);
-      queue.add(new QueuedStops(address, commands, loop.nowMs() + queuedMaxMs));
+      WorkerMessages.DirectCommands commands =
+          new WorkerMessages.DirectCommands(token, incarnation, stops);
+      queue.add(new QueuedStops(address, commands, loop.nowMs() + maxQueueTimeMs));
       sendQueued();
     }
   }
@@ -59,9 +61,9 @@
   private void sendQueued() {
     while (callsInProgress < MAX_CALLS_IN_PROGRESS && !queue.isEmpty()) {
       QueuedStops next = queue.poll();
-      if (loop.nowMs() < next.untilMs()) {
+      if (loop.nowMs() < next.expiresMs()) {
         callsInProgress++;
-        web.call(
+        httpClient.call(
             next.address(),
             "POST",
             PATH,
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -8,9 +8,9 @@
 import dev.windbend.runtime.HttpStatus;
 import dev.windbend.runtime.ServerResponse;
 import dev.windbend.worker.HeldHeartbeats.Awaited;
-import dev.windbend.worker.HeldHeartbeats.Held;
+import dev.windbend.worker.HeldHeartbeats.HeldHeartbeat;
+import dev.windbend.worker.WorkerMessages.Command;
 import dev.windbend.worker.WorkerMessages.Heartbeat;
-import dev.windbend.worker.WorkerMessages.Order;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -27,7 +27,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
   /** The cloud may take a machine away so much earlier than it said. */
-  private static final long RECALL_SLACK_MS = 1_000;
+  private static final long RECALL_MARGIN_MS = 1_000;
 
   private final EventLoop loop;
   private final Fleet fleet;
@@ -45,7 +45,7 @@
     boolean mayAct();
 
     /** Though it can't be sure that it does, no other controller could use the workers now. */
-    boolean mayKeepWorkers();
+    boolean mayRenewWorkerLeases();
   }
 
   /** Has scheduling cycles run. */
@@ -90,19 +90,19 @@
   /**
    * Takes one heartbeat.
    *
-   * @param responseTarget takes the response, at once or later
+   * @param responseCallback takes the response, at once or later
    */
-  public void handle(Heartbeat heartbeat, Consumer<ServerResponse> responseTarget) {
+  public void handle(Heartbeat heartbeat, Consumer<ServerResponse> responseCallback) {
     Machine machine = fleet.find(heartbeat.machine());
-    if (!admits(machine, heartbeat)) {
-      responseTarget.accept(ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE));
+    if (!accepts(machine, heartbeat)) {
+      responseCallback.accept(ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE));
       return;
     }
     long nowMs = loop.nowMs();
     if (!machine.liveness().isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
       // A late copy, or held back by the network: older than what we know, and nobody waits for the
       // response. It proves nothing and renews nothing.
-      responseTarget.accept(respondUnsure(machine, heartbeat));
+      responseCallback.accept(restrictedResponse(machine, heartbeat));
       return;
     }
     discardHeld(machine);
@@ -111,30 +111,30 @@
       if (leadership.mayAct()) {
         machine.liveness().recordResponseUnderToken();
       }
-      responseTarget.accept(respondUnsure(machine, heartbeat));
+      responseCallback.accept(restrictedResponse(machine, heartbeat));
       return;
     }
     reconcile(machine, heartbeat, nowMs);
-    respondOrHold(machine, heartbeat, responseTarget);
+    respondOrHold(machine, heartbeat, responseCallback);
   }
 
   /** Whether the machine is ours, and its worker has seen no token above the one we use for it. */
-  private boolean admits(Machine machine, Heartbeat heartbeat) {
+  private boolean accepts(Machine machine, Heartbeat heartbeat) {
     return machine != null && heartbeat.token() <= machine.token(token);
   }
 
   /** The worker has given up on the response that waits: a newer heartbeat has come. */
   private void discardHeld(Machine machine) {
-    Held held = heldHeartbeats.release(machine);
+    HeldHeartbeat held = heldHeartbeats.release(machine);
     if (held != null) {
-      held.responseTarget().accept(respondUnsure(machine, held.heartbeat()));
+      held.responseCallback().accept(restrictedResponse(machine, held.heartbeat()));
     }
     machine.liveness().endAwaitingResponse();
   }
 
   private void recordLiveness(Machine machine, Heartbeat heartbeat, long nowMs) {
     long machineToken = machine.token(token);
-    recordEffectOfResponses(machine, heartbeat, machineToken, nowMs);
+    recordResponseDelivery(machine, heartbeat, machineToken, nowMs);
     machine
         .liveness()
         .recordHeartbeat(
@@ -158,19 +158,20 @@
    * heartbeat. A machine that keeps sending heartbeats but shows neither gets no more work and is
    * returned. Its incarnation ends too, as no response renews its lease.
    */
-  private void recordEffectOfResponses(
+  private void recordResponseDelivery(
       Machine machine, Heartbeat heartbeat, long machineToken, long nowMs) {
     if (machine.liveness().incarnation() < 0) {
       return;
     }
-    boolean missed = machine.liveness().answeredUnderToken() && heartbeat.token() < machineToken;
+    boolean responseMissed =
+        machine.liveness().answeredUnderToken() && heartbeat.token() < machineToken;
     if (heartbeat.incarnation() > machine.liveness().incarnation()) {
-      missed |=
+      responseMissed |=
           machine.confirmedUnderToken() && nowMs - machine.lastHeartbeatMs() < timing.leaseMs() / 2;
     } else {
-      missed |= reconciler.startMissing(machine, heartbeat);
+      responseMissed |= reconciler.hasMissingStart(machine, heartbeat);
     }
-    if (missed) {
+    if (responseMissed) {
       machine.liveness().recordMissedResponse();
     } else {
       machine.liveness().clearMissedResponses();
@@ -179,13 +180,13 @@
 
   private void reconcile(Machine machine, Heartbeat heartbeat, long nowMs) {
     if (machine.cordoned()) {
-      abandonUnstarted(machine);
+      stopUnstartedPlacements(machine);
     }
     int tasksBefore = machine.tasks().size();
     machine.liveness().beginAwaitingResponse();
     reconciler.reconcile(machine, heartbeat, nowMs);
     if (machine.recallMs() >= 0) {
-      stopTasksThatCheckpoint(machine, nowMs);
+      stopCheckpointingTasks(machine, nowMs);
     }
     if (machine.tasks().size() < tasksBefore || tasksBefore == 0) {
       scheduling.runCycleNow();
@@ -193,7 +194,7 @@
   }
 
   /** What has not started there never will: without this it would stay placed for ever. */
-  private static void abandonUnstarted(Machine machine) {
+  private static void stopUnstartedPlacements(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
       if (!placement.seen() && !placement.inherited()) {
         placement.stop(0);
@@ -202,11 +203,11 @@
   }
 
   /** Tasks that can save a checkpoint do so in time; others may still end before the recall. */
-  private void stopTasksThatCheckpoint(Machine machine, long nowMs) {
+  private void stopCheckpointingTasks(Machine machine, long nowMs) {
     for (Placement placement : machine.tasks().values()) {
       double saveS = placement.job().spec().saveS();
       if (placement.job().spec().checkpointS() > 0
-          && nowMs + RECALL_SLACK_MS + saveS * 1000 + 2 * timing.heartbeatMs()
+          && nowMs + RECALL_MARGIN_MS + saveS * 1000 + 2 * timing.heartbeatMs()
               >= machine.recallMs()) {
         placement.stop(saveS + 1);
       }
@@ -214,76 +215,81 @@
   }
 
   private void respondOrHold(
-      Machine machine, Heartbeat heartbeat, Consumer<ServerResponse> responseTarget) {
-    if (writePending(machine)) {
-      Held held = new Held(machine, heartbeat, Awaited.WRITE, responseTarget);
+      Machine machine, Heartbeat heartbeat, Consumer<ServerResponse> responseCallback) {
+    if (hasPendingWrite(machine)) {
+      HeldHeartbeat held =
+          new HeldHeartbeat(machine, heartbeat, Awaited.PLACEMENT_WRITE, responseCallback);
       heldHeartbeats.hold(held, HeartbeatTiming.MAX_HOLD_MS, this::respond);
-    } else if (hasRoom(machine)
-        && reconciler.ordersWithoutStarts(machine, heartbeat).isEmpty()
-        && !startPending(machine)) {
+    } else if (hasFreeCapacity(machine)
+        && reconciler.commandsWithoutStarts(machine, heartbeat).isEmpty()
+        && !hasPendingStart(machine)) {
       // With room and nothing to do, it gets new work at once instead of at its next heartbeat.
-      Held held = new Held(machine, heartbeat, Awaited.WORK, responseTarget);
+      HeldHeartbeat held =
+          new HeldHeartbeat(machine, heartbeat, Awaited.TASK_PLACEMENT, responseCallback);
       heldHeartbeats.hold(held, timing.idleHoldMs(), this::respond);
     } else {
-      respond(machine, heartbeat, responseTarget);
+      respond(machine, heartbeat, responseCallback);
     }
   }
 
-  private void respond(Held held) {
-    respond(held.machine(), held.heartbeat(), held.responseTarget());
+  private void respond(HeldHeartbeat held) {
+    respond(held.machine(), held.heartbeat(), held.responseCallback());
   }
 
   private void respond(
-      Machine machine, Heartbeat heartbeat, Consumer<ServerResponse> responseTarget) {
+      Machine machine, Heartbeat heartbeat, Consumer<ServerResponse> responseCallback) {
     machine.liveness().endAwaitingResponse();
-    boolean newest =
+    boolean isNewest =
         machine.liveness().incarnation() == heartbeat.incarnation()
             && machine.liveness().heartbeatSequence() == heartbeat.sequence();
     boolean mayAct = leadership.mayAct();
     if (mayAct) {
       machine.liveness().recordResponseUnderToken();
     }
-    responseTarget.accept(
-        newest && mayAct
-            ? response(sureKind(machine), machine, heartbeat)
-            : respondUnsure(machine, heartbeat));
+    responseCallback.accept(
+        isNewest && mayAct
+            ? response(leaderResponseKind(machine), machine, heartbeat)
+            : restrictedResponse(machine, heartbeat));
   }
 
-  private static ResponseKind sureKind(Machine machine) {
+  private static ResponseKind leaderResponseKind(Machine machine) {
     boolean mayStart = !machine.returning() && !machine.cordoned() && machine.recorded();
-    return mayStart ? ResponseKind.STOP_AND_START : ResponseKind.STOP_UNWANTED;
+    return mayStart ? ResponseKind.RENEW_STOP_AND_START : ResponseKind.RENEW_AND_STOP;
   }
 
   /**
    * Unsure of our lease, or of what is on the machine, we only keep workers' leases alive, and stop
    * tasks of cancelled jobs: nobody takes a lease's expiry for proof, and a successor's token is
    * higher. Not if others are served, so that workers find them, and not for longer than {@link
-   * Leadership#mayKeepWorkers} allows. To be asked when the response goes out, as it may have
+   * Leadership#mayRenewWorkerLeases} allows. To be asked when the response goes out, as it may have
    * waited.
    */
-  private ServerResponse respondUnsure(Machine machine, Heartbeat heartbeat) {
+  private ServerResponse restrictedResponse(Machine machine, Heartbeat heartbeat) {
     ResponseKind kind =
-        leadership.mayAct() || leadership.mayKeepWorkers()
-            ? ResponseKind.STOP_CANCELLED
-            : ResponseKind.RENEW_NOTHING;
+        leadership.mayAct() || leadership.mayRenewWorkerLeases()
+            ? ResponseKind.RENEW_AND_STOP_CANCELLED
+            : ResponseKind.REJECT;
     return response(kind, machine, heartbeat);
   }
 
   private ServerResponse response(ResponseKind kind, Machine machine, Heartbeat heartbeat) {
     return switch (kind) {
-      case RENEW_NOTHING -> ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE);
-      case STOP_CANCELLED -> renewal(machine, reconciler.stopsOfCancelledTasks(heartbeat));
-      case STOP_UNWANTED -> renewal(machine, reconciler.ordersWithoutStarts(machine, heartbeat));
-      case STOP_AND_START -> renewal(machine, reconciler.ordersWithStarts(machine, heartbeat));
+      case REJECT -> ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE);
+      case RENEW_AND_STOP_CANCELLED ->
+          renewalResponse(machine, reconciler.stopsForCancelledTasks(heartbeat));
+      case RENEW_AND_STOP ->
+          renewalResponse(machine, reconciler.commandsWithoutStarts(machine, heartbeat));
+      case RENEW_STOP_AND_START ->
+          renewalResponse(machine, reconciler.commandsWithStarts(machine, heartbeat));
     };
   }
 
-  private ServerResponse renewal(Machine machine, List<Order> orders) {
+  private ServerResponse renewalResponse(Machine machine, List<Command> commands) {
     return ServerResponse.of(
-        HttpStatus.OK, new WorkerMessages.Orders(machine.token(token), orders));
+        HttpStatus.OK, new WorkerMessages.HeartbeatResponse(machine.token(token), commands));
   }
 
-  private static boolean hasRoom(Machine machine) {
+  private static boolean hasFreeCapacity(Machine machine) {
     return !machine.cordoned()
         && !machine.returning()
         && machine.recorded()
@@ -291,7 +297,7 @@
   }
 
   /** A start may go out to it. */
-  private static boolean startPending(Machine machine) {
+  private static boolean hasPendingStart(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
       if (!placement.seen() && placement.job().startable(placement)) {
         return true;
@@ -301,7 +307,7 @@
   }
 
   /** A start may go out to it as soon as its placement is written. */
-  private static boolean writePending(Machine machine) {
+  private static boolean hasPendingWrite(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
       if (!placement.inherited()
           && !placement.seen()
@@ -315,39 +321,41 @@
 
   /** A job was cancelled: stops go to its workers at once, in responses that wait or directly. */
   public void stopTasks(Job cancelledJob) {
-    Map<Machine, List<Order>> stops = new LinkedHashMap<>();
+    Map<Machine, List<Command>> stops = new LinkedHashMap<>();
     for (Placement placement : cancelledJob.placements()) {
       Machine machine = fleet.find(placement.machineName());
-      if (machine != null && mayBeThere(placement)) {
+      if (machine != null && mayBeOnMachine(placement)) {
         stops
             .computeIfAbsent(machine, key -> new ArrayList<>())
-            .add(Order.stop(placement.taskName(), placement.attempt(), 0));
+            .add(Command.stop(placement.taskName(), placement.attempt(), 0));
       }
     }
     stops.forEach(this::sendStops);
   }
 
-  private static boolean mayBeThere(Placement placement) {
+  private static boolean mayBeOnMachine(Placement placement) {
     return placement.seen() || placement.inherited() || placement.sentSequence() >= 0;
   }
 
-  private void sendStops(Machine machine, List<Order> orders) {
-    Held held = heldHeartbeats.release(machine);
+  private void sendStops(Machine machine, List<Command> stops) {
+    HeldHeartbeat held = heldHeartbeats.release(machine);
     if (held != null) {
       respond(held);
     } else {
-      directStops.send(machine, machine.token(token), orders);
+      directStops.send(machine, machine.token(token), stops);
     }
   }
 
   /** Something was written or placed: responses that waited for it go out. */
-  public void respondToHeld() {
-    heldHeartbeats.releaseIf(HeartbeatHandler::readyToRespond, this::respond);
+  public void respondToHeldHeartbeats() {
+    heldHeartbeats.releaseIf(HeartbeatHandler::isReadyToRespond, this::respond);
   }
 
-  private static boolean readyToRespond(Held held) {
+  private static boolean isReadyToRespond(HeldHeartbeat held) {
     Machine machine = held.machine();
-    return !writePending(machine)
-        && (held.awaited() == Awaited.WRITE || startPending(machine) || !hasRoom(machine));
+    return !hasPendingWrite(machine)
+        && (held.awaited() == Awaited.PLACEMENT_WRITE
+            || hasPendingStart(machine)
+            || !hasFreeCapacity(machine));
   }
 }
--- a/src/main/java/dev/windbend/worker/HeartbeatReader.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatReader.java
@@ -27,7 +27,7 @@
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         return null;
       }
-      Heartbeat heartbeat = new Fields().readHeartbeat(parser);
+      Heartbeat heartbeat = new HeartbeatFields().readHeartbeat(parser);
       return parser.nextToken() == null && heartbeat.valid() ? heartbeat : null;
     } catch (IOException e) {
       return null;
@@ -35,10 +35,10 @@
   }
 
   /** The fields of one heartbeat, as far as they have been read. */
-  private static final class Fields {
+  private static final class HeartbeatFields {
     private String machine;
     private String address;
-    private String type;
+    private String machineType;
     private String zone;
     private boolean spot;
     private long incarnation;
@@ -54,14 +54,14 @@
         readField(name, parser);
       }
       return new Heartbeat(
-          machine, address, type, zone, spot, incarnation, sequence, token, recallS, tasks);
+          machine, address, machineType, zone, spot, incarnation, sequence, token, recallS, tasks);
     }
 
     private void readField(String name, JsonParser parser) throws IOException {
       switch (name) {
         case "truck" -> machine = text(parser);
         case "addr" -> address = text(parser);
-        case "rig" -> type = text(parser);
+        case "rig" -> machineType = text(parser);
         case "yard" -> zone = text(parser);
         case "standby" -> spot = flag(parser);
         case "shift" -> incarnation = integer(parser);
@@ -75,10 +75,10 @@
   }
 
   private static List<TaskState> readTasks(JsonParser parser) throws IOException {
-    require(parser.currentToken() == JsonToken.START_ARRAY, parser);
+    requireToken(parser.currentToken() == JsonToken.START_ARRAY, parser);
     List<TaskState> tasks = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      require(parser.currentToken() == JsonToken.START_OBJECT, parser);
+      requireToken(parser.currentToken() == JsonToken.START_OBJECT, parser);
       tasks.add(readTask(parser));
     }
     return tasks;
@@ -89,7 +89,7 @@
     long attempt = 0;
     String state = null;
     String cause = null;
-    Boolean saved = null;
+    Boolean checkpointSaved = null;
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
       String name = parser.currentName();
       parser.nextToken();
@@ -98,18 +98,18 @@
         case "run" -> attempt = integer(parser);
         case "status" -> state = text(parser);
         case "cause" -> cause = text(parser);
-        case "saved" -> saved = isNull(parser) ? null : Boolean.valueOf(flag(parser));
+        case "saved" -> checkpointSaved = isNull(parser) ? null : Boolean.valueOf(flag(parser));
         default -> parser.skipChildren();
       }
     }
-    return new TaskState(task, attempt, state, cause, saved);
+    return new TaskState(task, attempt, state, cause, checkpointSaved);
   }
 
   private static String text(JsonParser parser) throws IOException {
     if (isNull(parser)) {
       return null;
     }
-    require(parser.currentToken() == JsonToken.VALUE_STRING, parser);
+    requireToken(parser.currentToken() == JsonToken.VALUE_STRING, parser);
     return parser.getText();
   }
 
@@ -121,7 +121,7 @@
     if (isNull(parser)) {
       return 0;
     }
-    require(parser.currentToken() == JsonToken.VALUE_NUMBER_INT, parser);
+    requireToken(parser.currentToken() == JsonToken.VALUE_NUMBER_INT, parser);
     return parser.getLongValue();
   }
 
@@ -129,7 +129,7 @@
     return parser.currentToken() == JsonToken.VALUE_NULL;
   }
 
-  private static void require(boolean expected, JsonParser parser) throws IOException {
+  private static void requireToken(boolean expected, JsonParser parser) throws IOException {
     if (!expected) {
       throw new JsonParseException(parser, "unexpected " + parser.currentToken());
     }
--- a/src/main/java/dev/windbend/worker/HeldHeartbeats.java
+++ b/src/main/java/dev/windbend/worker/HeldHeartbeats.java
@@ -14,56 +14,56 @@
 /** Heartbeats whose responses wait for a write, or for work: at most one of each machine. */
 final class HeldHeartbeats {
   private final EventLoop loop;
-  private final Map<Machine, Held> byMachine = new LinkedHashMap<>();
+  private final Map<Machine, HeldHeartbeat> byMachine = new LinkedHashMap<>();
 
   /** What a held response waits for. */
   enum Awaited {
     /** The placements on the machine being written, so that their starts may go out. */
-    WRITE,
+    PLACEMENT_WRITE,
     /** A task being placed on the machine, which has nothing to do. */
-    WORK
+    TASK_PLACEMENT
   }
 
   /** A heartbeat whose response waits. */
-  record Held(
+  record HeldHeartbeat(
       Machine machine,
       WorkerMessages.Heartbeat heartbeat,
       Awaited awaited,
-      Consumer<ServerResponse> responseTarget) {}
+      Consumer<ServerResponse> responseCallback) {}
 
   HeldHeartbeats(EventLoop loop) {
     this.loop = loop;
   }
 
   /** Holds a response for so long at most, after which the heartbeat goes to the callback. */
-  void hold(Held held, long holdMs, Consumer<Held> expired) {
+  void hold(HeldHeartbeat held, long holdMs, Consumer<HeldHeartbeat> onExpiry) {
     byMachine.put(held.machine(), held);
     loop.after(
         holdMs,
         () -> {
           if (byMachine.remove(held.machine(), held)) {
-            expired.accept(held);
+            onExpiry.accept(held);
           }
         });
   }
 
   /** Holds the machine's heartbeat no more; null: it held none. */
-  Held release(Machine machine) {
+  HeldHeartbeat release(Machine machine) {
     return byMachine.remove(machine);
   }
 
   /** Passes on the heartbeats that are ready now, in the order in which they came. */
-  void releaseIf(Predicate<Held> ready, Consumer<Held> respond) {
+  void releaseIf(Predicate<HeldHeartbeat> isReady, Consumer<HeldHeartbeat> respond) {
     if (byMachine.isEmpty()) {
       return;
     }
-    List<Held> chosen = new ArrayList<>();
-    for (Held held : byMachine.values()) {
-      if (ready.test(held)) {
-        chosen.add(held);
+    List<HeldHeartbeat> releasable = new ArrayList<>();
+    for (HeldHeartbeat held : byMachine.values()) {
+      if (isReady.test(held)) {
+        releasable.add(held);
       }
     }
-    for (Held held : chosen) {
+    for (HeldHeartbeat held : releasable) {
       // A response sent meanwhile may have released it.
       if (byMachine.remove(held.machine(), held)) {
         respond.accept(held);
@@ -77,7 +77,7 @@
         .values()
         .forEach(
             held ->
-                held.responseTarget()
+                held.responseCallback()
                     .accept(ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE)));
     byMachine.clear();
   }
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -3,8 +3,8 @@
 import dev.windbend.job.Job;
 import dev.windbend.job.Placement;
 import dev.windbend.machine.Machine;
+import dev.windbend.worker.WorkerMessages.Command;
 import dev.windbend.worker.WorkerMessages.Heartbeat;
-import dev.windbend.worker.WorkerMessages.Order;
 import dev.windbend.worker.WorkerMessages.TaskState;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -60,18 +60,18 @@
    * @param nowMs steady clock
    */
   public void reconcile(Machine machine, Heartbeat heartbeat, long nowMs) {
-    Set<Placement> listed = new HashSet<>();
+    Set<Placement> reportedPlacements = new HashSet<>();
     for (TaskState reported : heartbeat.tasks()) {
       Placement placement = machine.tasks().get(reported.task());
       if (placement != null && placement.attempt() == reported.attempt()) {
-        listed.add(placement);
-        recordListed(machine, placement, reported, nowMs);
+        reportedPlacements.add(placement);
+        recordReportedState(machine, placement, reported, nowMs);
       } else if (reported.exited() && reported.exitCause() == ExitCause.COMPLETED) {
         completeAbandonedAttempt(reported, nowMs);
       }
     }
     for (Placement placement : List.copyOf(machine.tasks().values())) {
-      if (!listed.contains(placement) && provedGone(placement, heartbeat)) {
+      if (!reportedPlacements.contains(placement) && isConfirmedTerminated(placement, heartbeat)) {
         LOG.info(
             "task missing from heartbeat: machine={} task={} attempt={}",
             machine.name(),
@@ -82,7 +82,8 @@
     }
   }
 
-  private void recordListed(Machine machine, Placement placement, TaskState reported, long nowMs) {
+  private void recordReportedState(
+      Machine machine, Placement placement, TaskState reported, long nowMs) {
     placement.recordSeen();
     if (reported.exited()) {
       recordExit(machine, placement, reported, nowMs);
@@ -133,9 +134,9 @@
       return;
     }
     job.complete(task, nowMs);
-    Placement other = job.placement(task);
-    if (other != null) {
-      other.stop(0);
+    Placement otherAttempt = job.placement(task);
+    if (otherAttempt != null) {
+      otherAttempt.stop(0);
     }
     events.jobChanged(job);
   }
@@ -146,29 +147,29 @@
    * of ours may only be written off when it is not wanted any more and the heartbeat was sent after
    * the response that carried it was used or discarded.
    */
-  private static boolean provedGone(Placement placement, Heartbeat heartbeat) {
+  private static boolean isConfirmedTerminated(Placement placement, Heartbeat heartbeat) {
     return placement.seen()
         || placement.inherited()
-        || (placement.stopping() && sentBefore(placement, heartbeat));
+        || (placement.stopping() && startSentBefore(placement, heartbeat));
   }
 
   /** The start answered an earlier heartbeat of this or an earlier incarnation. */
-  private static boolean sentBefore(Placement placement, Heartbeat heartbeat) {
+  private static boolean startSentBefore(Placement placement, Heartbeat heartbeat) {
     return placement.sentIncarnation() < heartbeat.incarnation()
-        || sentBeforeInIncarnation(placement, heartbeat);
+        || startSentBeforeInIncarnation(placement, heartbeat);
   }
 
-  private static boolean sentBeforeInIncarnation(Placement placement, Heartbeat heartbeat) {
+  private static boolean startSentBeforeInIncarnation(Placement placement, Heartbeat heartbeat) {
     return placement.sentIncarnation() == heartbeat.incarnation()
         && placement.sentSequence() < heartbeat.sequence();
   }
 
   /** A start went out in the response to an earlier heartbeat, and this one does not list it. */
-  boolean startMissing(Machine machine, Heartbeat heartbeat) {
+  boolean hasMissingStart(Machine machine, Heartbeat heartbeat) {
     for (Placement placement : machine.tasks().values()) {
       if (!placement.seen()
           && !placement.stopping()
-          && sentBeforeInIncarnation(placement, heartbeat)
+          && startSentBeforeInIncarnation(placement, heartbeat)
           && !heartbeat.lists(placement.taskName(), placement.attempt())) {
         return true;
       }
@@ -180,29 +181,29 @@
    * Orders that take away what is not wanted: stops first, then acknowledgements of exits, each in
    * the order in which the heartbeat lists the tasks.
    */
-  List<Order> ordersWithoutStarts(Machine machine, Heartbeat heartbeat) {
-    List<Order> orders = new ArrayList<>();
-    List<Order> acknowledgements = new ArrayList<>();
+  List<Command> commandsWithoutStarts(Machine machine, Heartbeat heartbeat) {
+    List<Command> commands = new ArrayList<>();
+    List<Command> acknowledgements = new ArrayList<>();
     for (TaskState reported : heartbeat.tasks()) {
       if (reported.exited()) {
         if (mayAcknowledge(reported)) {
-          acknowledgements.add(Order.acknowledgeExit(reported.task(), reported.attempt()));
+          acknowledgements.add(Command.acknowledgeExit(reported.task(), reported.attempt()));
         }
       } else {
-        addStop(machine, reported, orders);
+        addStop(machine, reported, commands);
       }
     }
-    orders.addAll(acknowledgements);
-    return orders;
+    commands.addAll(acknowledgements);
+    return commands;
   }
 
-  private static void addStop(Machine machine, TaskState reported, List<Order> orders) {
+  private static void addStop(Machine machine, TaskState reported, List<Command> commands) {
     Placement placement = machine.tasks().get(reported.task());
     if (placement == null || placement.attempt() != reported.attempt()) {
-      orders.add(Order.stop(reported.task(), reported.attempt(), 0));
+      commands.add(Command.stop(reported.task(), reported.attempt(), 0));
     } else if (placement.stopping()
         && (!reported.savingCheckpoint() || placement.stopGraceS() == 0)) {
-      orders.add(Order.stop(reported.task(), reported.attempt(), placement.stopGraceS()));
+      commands.add(Command.stop(reported.task(), reported.attempt(), placement.stopGraceS()));
     }
   }
 
@@ -210,18 +211,18 @@
    * Orders that make the listed tasks the wanted ones. The starts come last, and are recorded as
    * sent in the response to this heartbeat.
    */
-  List<Order> ordersWithStarts(Machine machine, Heartbeat heartbeat) {
-    List<Order> orders = ordersWithoutStarts(machine, heartbeat);
+  List<Command> commandsWithStarts(Machine machine, Heartbeat heartbeat) {
+    List<Command> commands = commandsWithoutStarts(machine, heartbeat);
     for (Placement placement : machine.tasks().values()) {
       if (!placement.seen() && placement.job().startable(placement)) {
         String taskName = placement.taskName();
         if (!heartbeat.lists(taskName, placement.attempt())) {
           placement.recordStartSent(heartbeat.incarnation(), heartbeat.sequence());
-          orders.add(Order.start(taskName, placement.attempt()));
+          commands.add(Command.start(taskName, placement.attempt()));
         }
       }
     }
-    return orders;
+    return commands;
   }
 
   /**
@@ -229,14 +230,14 @@
    * the shard, and without them a leader that is unsure through an outage would keep such a task
    * alive, by renewing its machine's lease, for longer than {@code cancel_s}.
    */
-  List<Order> stopsOfCancelledTasks(Heartbeat heartbeat) {
-    List<Order> stops = new ArrayList<>();
+  List<Command> stopsForCancelledTasks(Heartbeat heartbeat) {
+    List<Command> stops = new ArrayList<>();
     for (TaskState reported : heartbeat.tasks()) {
       int slash = reported.task().lastIndexOf('/');
       if (!reported.exited()
           && slash > 0
           && events.isCancelled(reported.task().substring(0, slash))) {
-        stops.add(Order.stop(reported.task(), reported.attempt(), 0));
+        stops.add(Command.stop(reported.task(), reported.attempt(), 0));
       }
     }
     return stops;
--- a/src/main/java/dev/windbend/worker/WorkerMessages.java
+++ b/src/main/java/dev/windbend/worker/WorkerMessages.java
@@ -12,7 +12,7 @@
    *
    * @param machine name that the cloud gave the machine
    * @param address where the worker takes direct commands; null: nowhere
-   * @param type name of the machine type
+   * @param machineType name of the machine type
    * @param zone name of the zone
    * @param spot whether the machine is a spot instance
    * @param incarnation incarnation of the worker, from 1: grows with each of its sessions
@@ -24,7 +24,7 @@
   public record Heartbeat(
       @JsonProperty("truck") String machine,
       @JsonProperty("addr") String address,
-      @JsonProperty("rig") String type,
+      @JsonProperty("rig") String machineType,
       @JsonProperty("yard") String zone,
       @JsonProperty("standby") boolean spot,
       @JsonProperty("shift") long incarnation,
@@ -35,7 +35,7 @@
     /** Whether all that a heartbeat must have is there. */
     public boolean valid() {
       return machine != null
-          && type != null
+          && machineType != null
           && zone != null
           && incarnation >= 1
           && sequence >= 0
@@ -62,14 +62,14 @@
    * @param attempt number of the attempt
    * @param state where in its life the task is
    * @param cause why it has exited; null: it has not
-   * @param saved whether it saved a checkpoint before it exited; null: not known
+   * @param checkpointSaved whether it saved a checkpoint before it exited; null: not known
    */
   public record TaskState(
       @JsonProperty("drop") String task,
       @JsonProperty("run") long attempt,
       @JsonProperty("status") String state,
       @JsonProperty("cause") String cause,
-      @JsonProperty("saved") Boolean saved) {
+      @JsonProperty("saved") Boolean checkpointSaved) {
     boolean exited() {
       return "exited".equals(state);
     }
@@ -98,54 +98,54 @@
    * Response to a heartbeat; it renews the worker's lease.
    *
    * @param token fencing token: the worker obeys no lower one any more
-   * @param orders carried out in this order
+   * @param commands carried out in this order
    */
-  public record Orders(
-      @JsonProperty("baton") long token, @JsonProperty("orders") List<Order> orders) {}
+  public record HeartbeatResponse(
+      @JsonProperty("baton") long token, @JsonProperty("orders") List<Command> commands) {}
 
   /**
    * Sent straight to a worker; it renews no lease.
    *
    * @param token fencing token: the worker obeys no lower one
    * @param incarnation incarnation of the worker that it is meant for
-   * @param orders carried out in this order
+   * @param commands carried out in this order
    */
-  record Commands(
+  record DirectCommands(
       @JsonProperty("baton") long token,
       @JsonProperty("shift") long incarnation,
-      @JsonProperty("orders") List<Order> orders) {}
+      @JsonProperty("orders") List<Command> commands) {}
 
   /**
    * What a worker is to do with one attempt of a task.
    *
-   * @param order start, stop, or acknowledgement of an exit
+   * @param action start, stop, or acknowledgement of an exit
    * @param task name of the task
    * @param attempt number of the attempt
    * @param graceS seconds that a task that is stopped may use to save a checkpoint; null: no stop
    */
-  public record Order(
-      @JsonProperty("order") String order,
+  public record Command(
+      @JsonProperty("order") String action,
       @JsonProperty("drop") String task,
       @JsonProperty("run") long attempt,
       @JsonProperty("wind_down_s") Double graceS) {
-    static Order start(String task, long attempt) {
-      return new Order("start", task, attempt, null);
+    static Command start(String task, long attempt) {
+      return new Command("start", task, attempt, null);
     }
 
-    static Order stop(String task, long attempt, double graceS) {
-      return new Order("kill", task, attempt, graceS);
+    static Command stop(String task, long attempt, double graceS) {
+      return new Command("kill", task, attempt, graceS);
     }
 
     /** The worker need not report the exited task any more. */
-    static Order acknowledgeExit(String task, long attempt) {
-      return new Order("reap", task, attempt, null);
+    static Command acknowledgeExit(String task, long attempt) {
+      return new Command("reap", task, attempt, null);
     }
   }
 
   /**
    * Response to a heartbeat that belongs to another controller.
    *
-   * @param node name of that controller; null: not known
+   * @param leader name of that controller; null: not known
    */
-  public record Elsewhere(@JsonProperty("dispatcher") String node) {}
+  public record LeaderRedirect(@JsonProperty("dispatcher") String leader) {}
 }
--- a/src/test/java/dev/windbend/daemon/SettingsTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsTest.java
@@ -91,7 +91,7 @@
     Policy policy =
         OperatorSettings.parse("[plan]\nperiod_s = 5\nrounds_on_events = false\n", ZONES);
     assertThat(policy.cyclePeriodMs()).isEqualTo(5_000);
-    assertThat(policy.cyclesOnEvents()).isFalse();
+    assertThat(policy.eventDrivenCycles()).isFalse();
     assertThat(policy.billingBlockMs()).isEqualTo(OperatorSettings.defaults().billingBlockMs());
   }
 
--- a/src/test/java/dev/windbend/peer/PeerMessagesTest.java
+++ b/src/test/java/dev/windbend/peer/PeerMessagesTest.java
@@ -39,13 +39,13 @@
             {"cancelled":[{"job":"wk-000412","revision":42},{"job":"wk-000413","revision":43}]}"""),
         arguments(
             "question for machines",
-            new MachineTransferMessages.Routed(
+            new MachineTransferMessages.RoutedRequest(
                 1,
                 2,
                 new MachineTransferMessages.Request(
                     5,
                     0.25,
-                    new MachineTransferMessages.Overdue(
+                    new MachineTransferMessages.OverdueTasks(
                         new TaskRequirements(
                             8.5, 1.25, 64, List.of("g8", "t4"), List.of("a"), true),
                         3))),
@@ -55,20 +55,20 @@
             "spot":true},"count":3}}}"""),
         arguments(
             "question for machines, a task that may run anywhere",
-            new MachineTransferMessages.Routed(
+            new MachineTransferMessages.RoutedRequest(
                 0,
                 1,
                 new MachineTransferMessages.Request(
                     0,
                     1,
-                    new MachineTransferMessages.Overdue(
+                    new MachineTransferMessages.OverdueTasks(
                         new TaskRequirements(1, 0, 1, null, null, false), 1))),
             """
             {"from":0,"to":1,"request":{"count":0,"has":1.0,"overdue":{
             "task":{"cores":1.0,"cards":0.0,"ram":1.0,"spot":false},"count":1}}}"""),
         arguments(
             "question for machines, no task is overdue",
-            new MachineTransferMessages.Routed(
+            new MachineTransferMessages.RoutedRequest(
                 0, 1, new MachineTransferMessages.Request(5, 0.5, null)),
             """
             {"from":0,"to":1,"request":{"count":5,"has":0.5}}"""),
@@ -86,12 +86,12 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
-  void isOnTheWireAs(String name, Object object, String json) {
+  void writesAndReadsExpectedJson(String name, Object object, String json) {
     assertPinned(object, json);
   }
 
   @Test
-  void readsMessagesOfWhichFieldsAreMissing() {
+  void readsMessagesWithMissingFields() {
     assertRead("{}", PeerMessages.StoreStatusRequest.class, new PeerMessages.StoreStatusRequest(0));
     assertRead(
         "{\"cancelled\":null}",
@@ -103,7 +103,9 @@
         new PeerMessages.ConfirmedCancellations(null));
     assertRead("{}", Cancelled.class, new Cancelled(null, 0));
     assertRead(
-        "{}", MachineTransferMessages.Routed.class, new MachineTransferMessages.Routed(0, 0, null));
+        "{}",
+        MachineTransferMessages.RoutedRequest.class,
+        new MachineTransferMessages.RoutedRequest(0, 0, null));
     assertRead(
         "{\"overdue\":null}",
         MachineTransferMessages.Request.class,
--- a/src/test/java/dev/windbend/peer/StoreOutageDetectorTest.java
+++ b/src/test/java/dev/windbend/peer/StoreOutageDetectorTest.java
@@ -7,10 +7,10 @@
 
 class StoreOutageDetectorTest {
   /** Steady clocks of different machines drift apart by so much. */
-  private static final double DRIFT = 0.0005;
+  private static final double CLOCK_DRIFT = 0.0005;
 
   /** A worker looks at its lease now and then, and a kill takes its time. */
-  private static final double KILL_S = 0.5;
+  private static final double KILL_DELAY_S = 0.5;
 
   /**
    * A job is cancelled right after we knew of all cancellations; the last answer goes out as late
@@ -29,13 +29,14 @@
     "3, 30, 30, -959",
     "3, 30, 20, -10949"
   })
-  void keepsWorkersForNoLongerThanCancelledTasksMayLast(
-      double reportS, double leaseS, double cancelS, long keepMs) {
-    long keeps = StoreOutageDetector.workerRetentionMs(leaseS, cancelS);
-    assertThat(keeps).isEqualTo(keepMs);
-    if (keeps > 0) {
-      double goneS = keeps / 1000.0 * (1 + DRIFT) + leaseS * (1 + DRIFT) + KILL_S;
-      assertThat(goneS).isLessThan(cancelS);
+  void endsLeaseRenewalBeforeCancellationDeadline(
+      double heartbeatS, double leaseS, double cancelS, long expectedWindowMs) {
+    long windowMs = StoreOutageDetector.leaseRenewalWindowMs(leaseS, cancelS);
+    assertThat(windowMs).isEqualTo(expectedWindowMs);
+    if (windowMs > 0) {
+      double terminatedS =
+          windowMs / 1000.0 * (1 + CLOCK_DRIFT) + leaseS * (1 + CLOCK_DRIFT) + KILL_DELAY_S;
+      assertThat(terminatedS).isLessThan(cancelS);
     }
   }
 }
--- a/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
+++ b/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
@@ -14,21 +14,25 @@
   private static final long RENEWAL_MS = TERM_MS / 4;
 
   private final ManualEventLoop loop = new ManualEventLoop(100_000);
-  private final ManualHttpClient web = new ManualHttpClient();
-  private int ended;
+  private final ManualHttpClient httpClient = new ManualHttpClient();
+  private int expirations;
 
-  private final StoreClient store = new StoreClient(loop, web, "state:1", 1_000, 100, 8, 1);
-  private final ControllerLease lease = new ControllerLease(loop, store, TERM_MS, () -> ended++);
+  private final StoreClient store = new StoreClient(loop, httpClient, "state:1", 1_000, 100, 8, 1);
+  private final ControllerLease lease =
+      new ControllerLease(loop, store, TERM_MS, () -> expirations++);
 
-  private void answer(int call, int status, String body) {
-    web.calls.get(call).accept(new ClientResponse(status, body.getBytes(StandardCharsets.UTF_8)));
+  private void respond(int call, int status, String body) {
+    httpClient
+        .calls
+        .get(call)
+        .accept(new ClientResponse(status, body.getBytes(StandardCharsets.UTF_8)));
   }
 
   private void grant(int call, int id) {
-    answer(call, 200, "{\"permit\":" + id + "}");
+    respond(call, 200, "{\"permit\":" + id + "}");
   }
 
-  private void pass(long ms) {
+  private void advance(long ms) {
     loop.nowMs += ms;
     loop.fire();
   }
@@ -38,56 +42,56 @@
    * the answer to the one before: its lease ended with the answer waiting in its socket.
    */
   @Test
-  void renewalsDoNotWaitForAnswers() {
+  void renewalsDoNotWaitForResponses() {
     lease.acquire();
     grant(0, 7);
     for (int i = 0; i < 3; i++) {
-      pass(RENEWAL_MS);
+      advance(RENEWAL_MS);
     }
-    assertThat(web.paths)
+    assertThat(httpClient.paths)
         .containsExactly("/holds", "/holds/7/renew", "/holds/7/renew", "/holds/7/renew");
   }
 
   @Test
-  void answersOutOfOrderNeverShortenTheLease() {
+  void outOfOrderResponsesNeverShortenTheLease() {
     lease.acquire();
     grant(0, 7);
-    pass(RENEWAL_MS);
-    pass(RENEWAL_MS);
+    advance(RENEWAL_MS);
+    advance(RENEWAL_MS);
     grant(2, 7);
     grant(1, 7);
     loop.nowMs += TERM_MS - 200;
-    assertThat(lease.surelyValid()).isTrue();
+    assertThat(lease.isValid()).isTrue();
     loop.nowMs += 200;
-    assertThat(lease.surelyValid()).isFalse();
+    assertThat(lease.isValid()).isFalse();
   }
 
   @Test
-  void answersForAFormerLeaseSayNothing() {
+  void responsesForAFormerLeaseAreIgnored() {
     lease.acquire();
     grant(0, 7);
-    pass(RENEWAL_MS);
-    pass(RENEWAL_MS);
-    answer(1, 404, "{}");
-    assertThat(ended).isEqualTo(1);
-    assertThat(lease.id()).isEqualTo(ControllerLease.NONE);
+    advance(RENEWAL_MS);
+    advance(RENEWAL_MS);
+    respond(1, 404, "{}");
+    assertThat(expirations).isEqualTo(1);
+    assertThat(lease.id()).isEqualTo(ControllerLease.NO_LEASE);
     grant(2, 7);
-    assertThat(lease.surelyValid()).as("renewed before it ended").isFalse();
+    assertThat(lease.isValid()).as("renewed before it ended").isFalse();
     grant(3, 8);
     assertThat(lease.id()).isEqualTo(8);
-    answer(2, 404, "{}");
-    assertThat(ended).as("the former one once more").isEqualTo(1);
-    assertThat(lease.surelyValid()).isTrue();
+    respond(2, 404, "{}");
+    assertThat(expirations).as("the former one once more").isEqualTo(1);
+    assertThat(lease.isValid()).isTrue();
   }
 
   @Test
-  void aRefusedRenewalIsSentAgainSoon() {
+  void failedRenewalIsRetried() {
     lease.acquire();
     grant(0, 7);
-    pass(RENEWAL_MS);
-    answer(1, 503, "{}");
+    advance(RENEWAL_MS);
+    respond(1, 503, "{}");
     assertThat(loop.waiting).as("one timer only").hasSize(1);
-    pass(300);
-    assertThat(web.paths).containsExactly("/holds", "/holds/7/renew", "/holds/7/renew");
+    advance(300);
+    assertThat(httpClient.paths).containsExactly("/holds", "/holds/7/renew", "/holds/7/renew");
   }
 }
--- a/src/test/java/dev/windbend/shard/FailoverRampUpTest.java
+++ b/src/test/java/dev/windbend/shard/FailoverRampUpTest.java
@@ -18,8 +18,8 @@
   private final FailoverRampUp rampUp = new FailoverRampUp(loop, HEARTBEAT_SECONDS);
 
   @Test
-  void cyclesWaitForHeartbeatsButNotForEver() {
-    rampUp.takenOver();
+  void cyclesWaitForHeartbeatsUpToTheLimit() {
+    rampUp.start();
     assertThat(rampUp.maySchedule(() -> false)).isFalse();
     loop.nowMs += (long) (1_000 * HEARTBEAT_SECONDS);
     assertThat(rampUp.maySchedule(() -> false)).as("some are late").isFalse();
@@ -28,14 +28,14 @@
   }
 
   @Test
-  void cyclesBeginOnceAllMachinesAreHeard() {
-    rampUp.takenOver();
+  void cyclesBeginOnceAllMachinesAreConfirmed() {
+    rampUp.start();
     assertThat(rampUp.maySchedule(() -> true)).isTrue();
     assertThat(rampUp.maySchedule(() -> false)).as("begun once and for all").isTrue();
   }
 
   @Test
-  void jobsDoubleEachCycleAndTheMostUrgentAreFirst() {
+  void jobLimitDoublesEachCycleAndMostUrgentJobsAreFirst() {
     List<Job> waiting = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       waiting.add(TestJobs.job(i, i < 50 ? Urgency.STANDARD : Urgency.URGENT));
--- a/src/test/java/dev/windbend/shard/MachineTransfersTest.java
+++ b/src/test/java/dev/windbend/shard/MachineTransfersTest.java
@@ -173,6 +173,6 @@
     List<String> zones = zone == null ? null : List.of(zone);
     TaskRequirements task = new TaskRequirements(cores, 0, 1, null, zones, spot);
     return new MachineTransferMessages.Request(
-        0, 1, new MachineTransferMessages.Overdue(task, machines));
+        0, 1, new MachineTransferMessages.OverdueTasks(task, machines));
   }
 }
--- a/src/test/java/dev/windbend/shard/ShardLeaderRecordTest.java
+++ b/src/test/java/dev/windbend/shard/ShardLeaderRecordTest.java
@@ -8,7 +8,7 @@
 /** What the state service keeps of who leads a shard. */
 class ShardLeaderRecordTest {
   @Test
-  void isStoredAs() {
+  void storedFormIsUnchanged() {
     assertPinned(new ShardLeaderRecord("mast-0"), "{\"owner\":\"mast-0\"}");
     assertRead("{}", ShardLeaderRecord.class, new ShardLeaderRecord(null));
     assertRead("{\"owner\":null}", ShardLeaderRecord.class, new ShardLeaderRecord(null));
--- a/src/test/java/dev/windbend/worker/HeartbeatReaderTest.java
+++ b/src/test/java/dev/windbend/worker/HeartbeatReaderTest.java
@@ -31,7 +31,7 @@
         "{HEAD\"shift\":1,\"recall_s\":3,\"addr\":null,\"standby\":null,\"drops\":[]}",
         " {HEAD\"shift\":1,\"drops\":[]} \n",
       })
-  void readsWhatTheRecordsSay(String json) {
+  void readsHeartbeatLikeRecordMapping(String json) {
     WorkerMessages.Heartbeat expected = Json.read(bytes(json), WorkerMessages.Heartbeat.class);
     assertThat(expected).isNotNull();
     assertThat(HeartbeatReader.read(bytes(json))).isEqualTo(expected);
@@ -66,12 +66,12 @@
         "{HEAD\"shift\":1,\"recall_s\":\"soon\",\"drops\":[]}",
         "{\"rig\":\"g8\",\"yard\":\"a\",\"shift\":1,\"drops\":[]}",
       })
-  void refusesWhatIsNoHeartbeat(String json) {
+  void returnsNullForInvalidHeartbeat(String json) {
     assertThat(HeartbeatReader.read(bytes(json))).isNull();
   }
 
   @Test
-  void refusesBytesThatAreNoText() {
+  void returnsNullForBytesThatAreNotText() {
     assertThat(HeartbeatReader.read(new byte[] {(byte) 0xff, 0, '{'})).isNull();
   }
 }
--- a/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
+++ b/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
@@ -44,12 +44,12 @@
             "shift":3,"tally":0,"baton":0,"drops":[]}"""),
         arguments(
             "response to a report",
-            new WorkerMessages.Orders(
+            new WorkerMessages.HeartbeatResponse(
                 41,
                 List.of(
-                    WorkerMessages.Order.start("wk-000412/4", 2),
-                    WorkerMessages.Order.stop("wk-000377/1", 1, 10),
-                    WorkerMessages.Order.acknowledgeExit("wk-000398/0", 3))),
+                    WorkerMessages.Command.start("wk-000412/4", 2),
+                    WorkerMessages.Command.stop("wk-000377/1", 1, 10),
+                    WorkerMessages.Command.acknowledgeExit("wk-000398/0", 3))),
             """
             {"baton":41,"orders":[
             {"order":"start","drop":"wk-000412/4","run":2},
@@ -57,32 +57,32 @@
             {"order":"reap","drop":"wk-000398/0","run":3}]}"""),
         arguments(
             "response to a report, no orders",
-            new WorkerMessages.Orders(9_007_199_254_740_993L, List.of()),
+            new WorkerMessages.HeartbeatResponse(9_007_199_254_740_993L, List.of()),
             """
             {"baton":9007199254740993,"orders":[]}"""),
         arguments(
             "direct command",
-            new WorkerMessages.Commands(
-                41, 7, List.of(WorkerMessages.Order.stop("wk-000377/1", 1, 0))),
+            new WorkerMessages.DirectCommands(
+                41, 7, List.of(WorkerMessages.Command.stop("wk-000377/1", 1, 0))),
             """
             {"baton":41,"shift":7,
             "orders":[{"order":"kill","drop":"wk-000377/1","run":1,"wind_down_s":0.0}]}"""),
         arguments(
             "response that names another node",
-            new WorkerMessages.Elsewhere("mast-2"),
+            new WorkerMessages.LeaderRedirect("mast-2"),
             """
             {"dispatcher":"mast-2"}"""),
-        arguments("response that names no node", new WorkerMessages.Elsewhere(null), "{}"));
+        arguments("response that names no node", new WorkerMessages.LeaderRedirect(null), "{}"));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
-  void isOnTheWireAs(String name, Object object, String json) {
+  void writesAndReadsExpectedJson(String name, Object object, String json) {
     assertPinned(object, json);
   }
 
   @Test
-  void readsMessagesOfWhichFieldsAreMissing() {
+  void readsMessagesWithMissingFields() {
     assertRead(
         "{}",
         WorkerMessages.Heartbeat.class,
@@ -91,7 +91,10 @@
         "{\"drop\":null,\"run\":null,\"status\":null,\"cause\":null,\"saved\":null}",
         WorkerMessages.TaskState.class,
         new WorkerMessages.TaskState(null, 0, null, null, null));
-    assertRead("{}", WorkerMessages.Orders.class, new WorkerMessages.Orders(0, null));
-    assertRead("{}", WorkerMessages.Order.class, new WorkerMessages.Order(null, null, 0, null));
+    assertRead(
+        "{}",
+        WorkerMessages.HeartbeatResponse.class,
+        new WorkerMessages.HeartbeatResponse(0, null));
+    assertRead("{}", WorkerMessages.Command.class, new WorkerMessages.Command(null, null, 0, null));
   }
 }
