--- a/src/main/java/dev/windbend/daemon/ShardLeaders.java
+++ b/src/main/java/dev/windbend/daemon/ShardLeaders.java
@@ -99,12 +99,12 @@
    * @param value null: it was removed
    */
   void keyChanged(String key, VersionedValue value) {
-    if (key.startsWith(JobRecord.LIVE)) {
-      String uid = key.substring(JobRecord.LIVE.length());
+    if (key.startsWith(JobRecord.LIVE_PREFIX)) {
+      String uid = key.substring(JobRecord.LIVE_PREFIX.length());
       for (ShardLeader leader : snapshot()) {
         leader.jobRecordChanged(uid, value);
       }
-    } else if (key.startsWith(ScaleOutRecord.KEYS)) {
+    } else if (key.startsWith(ScaleOutRecord.KEY_PREFIX)) {
       for (ShardLeader leader : snapshot()) {
         leader.machineRecordChanged(key, value);
       }
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -79,7 +79,7 @@
     checkMachines(nowMs);
     components.jobs.finishCancelled();
     components.transfers.tick(nowMs);
-    components.fleet.pursue();
+    components.fleet.processPending();
     components.scheduling.runIfDue(SCHEDULING_INTERVAL_MS);
     components.committer.commitDue();
     statusLog.logIfDue(nowMs);
@@ -89,7 +89,7 @@
 
   private void yieldIfNoWorkerContact(long nowMs) {
     long lastContactMs = Math.max(leaseValidSinceMs, leadership.lastWorkerContactMs());
-    if (components.health.lostWorkers(nowMs, lastContactMs)) {
+    if (components.health.isIsolatedFromWorkers(nowMs, lastContactMs)) {
       leadership.yieldLeadership();
     }
   }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -188,7 +188,7 @@
     List<Machine> machines = new ArrayList<>();
     for (Machine machine : state.fleet().machines()) {
       if (inUsableZone(machine)
-          && !machine.returning()
+          && !machine.terminating()
           && !machine.cordoned()
           && machine.liveness().missedResponses() == 0
           && nowMs >= machine.startsRefusedUntilMs()) {
@@ -225,7 +225,7 @@
           placement.machineName(),
           placement.taskName(),
           state.token());
-      placement.stop(0);
+      placement.requestStop(0);
     }
   }
 
@@ -235,9 +235,10 @@
     for (SchedulingDecision.PlacedTask placed : decision.placements()) {
       Job job = jobs.get(placed.job());
       Machine machine = machines.get(placed.machine());
-      machine.add(job.place(job.nextWaiting(), machine.name(), nowMs, state.token(), cycleCount));
+      machine.add(
+          job.place(job.nextWaitingTask(), machine.name(), nowMs, state.token(), cycleCount));
       changed.add(job);
     }
-    changed.forEach(state.jobs()::touched);
+    changed.forEach(state.jobs()::markChanged);
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardFailover.java
+++ b/src/main/java/dev/windbend/shard/ShardFailover.java
@@ -55,7 +55,7 @@
     if (leadership.ended()) {
       return;
     }
-    if (replica.revision() < leadership.token() || !catalog.known()) {
+    if (replica.revision() < leadership.token() || !catalog.isLoaded()) {
       loop.after(RECHECK_INTERVAL_MS, () -> run(onRecovered));
       return;
     }
@@ -66,7 +66,7 @@
   }
 
   private void restoreMachines() {
-    String prefix = ScaleOutRecord.prefix(leadership.shard());
+    String prefix = ScaleOutRecord.shardPrefix(leadership.shard());
     for (Map.Entry<String, VersionedValue> entry : replica.withPrefix(prefix).entrySet()) {
       machines.restore(entry.getKey().substring(prefix.length()), entry.getValue(), true);
     }
@@ -74,8 +74,8 @@
 
   private void restoreJobs(long nowMs) {
     SortedMap<String, JsonNode> entries =
-        pages.restore(replica.withPrefix(JobRecord.pages(leadership.shard())));
-    for (VersionedValue record : replica.withPrefix(JobRecord.LIVE).values()) {
+        pages.restore(replica.withPrefix(JobRecord.pagesPrefix(leadership.shard())));
+    for (VersionedValue record : replica.withPrefix(JobRecord.LIVE_PREFIX).values()) {
       jobs.restore(record, entries, nowMs);
     }
     pages.finishRestore();
--- a/src/main/java/dev/windbend/shard/ShardJobs.java
+++ b/src/main/java/dev/windbend/shard/ShardJobs.java
@@ -55,7 +55,7 @@
    * @return whether the record is that of a live job of this shard
    */
   boolean restore(VersionedValue record, SortedMap<String, JsonNode> entries, long nowMs) {
-    Job job = registry.take(record, entries, nowMs);
+    Job job = registry.restore(record, entries, nowMs);
     if (job == null) {
       return false;
     }
@@ -66,13 +66,13 @@
       } else {
         // A machine's record is deleted only once the cloud has confirmed the machine's termination
         // or the machine is empty, so the task is not running.
-        job.gone(placement);
+        job.confirmTerminated(placement);
       }
     }
-    if (job.cancelled() || cancellations.ahead(job.spec().uid())) {
+    if (job.cancelled() || cancellations.isKnownCancelled(job.spec().uid())) {
       job.cancel();
     }
-    registry.touched(job);
+    registry.markChanged(job);
     return true;
   }
 
@@ -105,7 +105,7 @@
       return;
     }
     boolean cancelledBefore = job.cancelled();
-    job.changed(live, record.version());
+    job.onRecordChange(live, record.version());
     if (job.cancelled() && !cancelledBefore) {
       stopCancelled(job);
     }
@@ -123,27 +123,27 @@
   private void stopCancelled(Job job) {
     LOG.info("job cancelled: shard={} job={}", leadership.shard(), job.spec().uid());
     heartbeats.stopTasks(job);
-    registry.touched(job);
+    registry.markChanged(job);
     scheduling.requestCycle();
   }
 
   /** Enqueues the write of the end of each cancelled job that has no placed task left. */
   void finishCancelled() {
     for (Job job : registry.all()) {
-      if (job.cancelled() && job.over()) {
-        registry.touched(job);
+      if (job.cancelled() && job.finished()) {
+        registry.markChanged(job);
       }
     }
   }
 
   /** Removes the jobs whose end has been recorded. */
   void removeEnded() {
-    registry.archived().forEach(this::remove);
+    registry.archivedJobs().forEach(this::remove);
   }
 
   private void remove(Job job) {
-    registry.forget(job);
-    if (job.doneCount() == 0) {
+    registry.remove(job);
+    if (job.completedCount() == 0) {
       fleet.machines().forEach(machine -> machine.forgetFailedJob(job.spec().uid()));
     }
     for (Placement placement : job.placements()) {
--- a/src/main/java/dev/windbend/shard/ShardMachines.java
+++ b/src/main/java/dev/windbend/shard/ShardMachines.java
@@ -68,7 +68,7 @@
    * @param stored null if the record was deleted
    */
   void recordChanged(String key, VersionedValue stored) {
-    String prefix = ScaleOutRecord.prefix(leadership.shard());
+    String prefix = ScaleOutRecord.shardPrefix(leadership.shard());
     if (leadership.ready() && stored != null && key.startsWith(prefix)) {
       restore(key.substring(prefix.length()), stored, false);
       scheduling.requestCycle();
@@ -94,8 +94,8 @@
     zones.machineGone(machine);
     for (Placement placement : List.copyOf(machine.tasks().values())) {
       machine.remove(placement, nowMs);
-      placement.job().gone(placement);
-      registry.touched(placement.job());
+      placement.job().confirmTerminated(placement);
+      registry.markChanged(placement.job());
     }
     scheduling.requestCycle();
   }
--- a/src/main/java/dev/windbend/shard/ShardServices.java
+++ b/src/main/java/dev/windbend/shard/ShardServices.java
@@ -94,7 +94,7 @@
 
   private PagedStore newPages() {
     return new PagedStore(
-        JobRecord.pages(leadership.shard()),
+        JobRecord.pagesPrefix(leadership.shard()),
         context.deployment().store().maxValueBytes(),
         context.coordination().store().maxWritesPerTransaction());
   }
@@ -247,7 +247,7 @@
     }
 
     @Override
-    public void machineGone(Machine machine) {
+    public void machineTerminated(Machine machine) {
       machines.onMachineTerminated(machine);
     }
 
--- a/src/main/java/dev/windbend/shard/TaskFailures.java
+++ b/src/main/java/dev/windbend/shard/TaskFailures.java
@@ -66,7 +66,7 @@
    */
   private boolean countsAgainstMachines(String uid) {
     Job job = jobs.find(uid);
-    return job == null || job.doneCount() > 0;
+    return job == null || job.completedCount() > 0;
   }
 
   private void quarantine(Machine machine) {
@@ -84,7 +84,7 @@
   /** Delays the job, and no longer counts its failures against machines. */
   private void backOff(Job job) {
     job.backOffUntil(
-        loop.nowMs() + (INITIAL_BACKOFF_MS << Math.min(job.backOffs(), MAX_BACKOFF_DOUBLINGS)));
+        loop.nowMs() + (INITIAL_BACKOFF_MS << Math.min(job.backOffCount(), MAX_BACKOFF_DOUBLINGS)));
     fleet.machines().forEach(machine -> machine.forgetFailedJob(job.spec().uid()));
     job.clearFailedMachines();
   }
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -61,7 +61,7 @@
         }
 
         @Override
-        public void machineGone(Machine machine) {
+        public void machineTerminated(Machine machine) {
           monitor.gone(machine);
         }
 
@@ -101,7 +101,7 @@
 
   ZoneMonitorTest() {
     catalog.start();
-    loop.waiting.clear();
+    loop.pendingTasks.clear();
     monitor = monitor();
     MachineIndex index = new MachineIndex();
     for (int rental = 0; rental < RENTALS; rental++) {
@@ -112,7 +112,8 @@
       ScaleOutRecord record =
           new ScaleOutRecord("t", rental % 2 == 0 ? "a" : "b", true, PER_RENTAL, names, null);
       String name = "p" + rental;
-      index.changed(ScaleOutRecord.prefix(0) + name, new VersionedValue(Json.tree(record), 1));
+      index.recordChanged(
+          ScaleOutRecord.shardPrefix(0) + name, new VersionedValue(Json.tree(record), 1));
       fleet.restore(name, record, 1, index, true);
     }
   }
@@ -165,9 +166,9 @@
     int number = 0;
     for (Machine m : fleet.machines()) {
       if (m.zone() == zone) {
-        Job job = TestJobs.job(number, URGENCIES.get(number++ % URGENCIES.size()));
+        Job job = TestJobs.createJob(number, URGENCIES.get(number++ % URGENCIES.size()));
         var placement = job.place(0, m.name(), loop.nowMs, 7, 1);
-        placement.recordSeen();
+        placement.recordReported();
         placement.recordRunning(loop.nowMs - ranMs);
         m.add(placement);
       }
@@ -199,10 +200,10 @@
       for (int zone : reporting) {
         report(zone);
       }
-      loop.fire();
+      loop.runPendingTasks();
       monitor.look(loop.nowMs, 0);
       health.check(loop.nowMs, 0, monitor::evacuates);
-      fleet.pursue();
+      fleet.processPending();
     }
   }
 
