--- a/src/main/java/dev/windbend/store/GroupCommitter.java
+++ b/src/main/java/dev/windbend/store/GroupCommitter.java
@@ -9,15 +9,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Group commit of a shard leader's changed records: one transaction at a time, urgent writes first,
- * each on condition that the guard key (the shard's leadership) has not changed.
+ * Group commit of a shard leader's changed records. Sends one transaction at a time and adds urgent
+ * writes before the others. Each transaction is conditional on the version of the guard key, which
+ * holds the shard's leadership, so a previous leader cannot write.
  */
 public final class GroupCommitter {
   private static final Logger LOG = LoggerFactory.getLogger(GroupCommitter.class);
 
   private static final long RETRY_MS = 300;
 
-  /** Each key of a large transaction adds this part of the usual pause after it. */
+  /**
+   * The pause after a large transaction is this factor times the number of its writes, in units of
+   * the minimum pause.
+   */
   private static final double PAUSE_FACTOR_PER_WRITE = 0.6;
 
   private final EventLoop loop;
@@ -34,12 +38,15 @@
   private long notBeforeMs;
 
   /**
-   * A committer with nothing to write.
+   * Creates a committer without pending writes.
    *
-   * @param guardKey no write is applied once this key has another version than {@code guardVersion}
-   * @param pauseMs from one transaction to the next, at least
-   * @param onGuardLost called once when the guard has another version; nothing is written any more
-   * @param onProgress called after a transaction was applied, or the keys of a conflict read again
+   * @param guardKey the key that every transaction compares
+   * @param guardVersion the version that {@code guardKey} must have; with any other version no write
+   *     is applied
+   * @param pauseMs the minimum time between the starts of two transactions, in milliseconds
+   * @param onGuardLost called once when the guard key has another version; the committer is closed
+   * @param onProgress called after a transaction was applied, and after the failed keys of a
+   *     conflict were read again
    */
   public GroupCommitter(
       EventLoop loop,
@@ -58,12 +65,15 @@
     this.onProgress = onProgress;
   }
 
-  /** Nothing is sent any more, and the answer to what is in flight is ignored. */
+  /** Stops sending transactions and ignores the outcome of a transaction in flight. */
   public void close() {
     closed = true;
   }
 
-  /** The write has changed, and will be committed; if it is not urgent, with another one. */
+  /**
+   * Registers a changed write for commit. A write that is not urgent is committed together with an
+   * urgent one.
+   */
   public void enqueue(PendingWrite write) {
     pendingWrites.add(write);
     schedule(0);
@@ -82,8 +92,8 @@
   }
 
   /**
-   * Commits if anything is urgent. To be called now and then, as a write may become urgent by the
-   * time that passes.
+   * Starts a transaction if any pending write is urgent, none is in flight and the minimum pause has
+   * passed. Must be called periodically, because a write may become urgent as time passes.
    */
   public void commitDue() {
     long now = loop.nowMs();
@@ -104,7 +114,8 @@
     addWrites(false, now, transaction, group);
     pendingWrites.removeAll(group);
     inFlight = true;
-    // What changes meanwhile goes together, so the rate of writes does not grow with the records.
+    // Changes during the pause are committed together, so the transaction rate stays bounded
+    // regardless of the number of records.
     notBeforeMs =
         now + (long) (pauseMs * Math.max(1, PAUSE_FACTOR_PER_WRITE * transaction.writeCount()));
     store.commit(transaction, outcome -> onOutcome(group, outcome));
@@ -152,15 +163,15 @@
       pendingWrites.add(write);
     }
     if (!outcome.conditionFailed()) {
-      // After an unknown outcome the same conditions go again, so at most one of both is applied,
-      // and a conflict then shows which.
-      LOG.debug("commit to be retried: outcome={}", outcome.kind());
+      // After an unknown outcome the same conditions are sent again, so at most one of the two
+      // attempts is applied; a conflict shows that the first one was.
+      LOG.debug("transaction not applied, retrying: outcome={}", outcome.kind());
       retry(RETRY_MS);
     } else if (outcome.failedKeys().contains(guardKey)) {
       closed = true;
       onGuardLost.run();
     } else {
-      LOG.debug("commit conflict: keys={}", outcome.failedKeys());
+      LOG.debug("transaction conflict, reading keys again: keys={}", outcome.failedKeys());
       reloadFailedKeys(group, outcome.failedKeys());
     }
   }
--- a/src/main/java/dev/windbend/store/KeyValue.java
+++ b/src/main/java/dev/windbend/store/KeyValue.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A key of a list, or a change of a watch.
+ * A key returned by a list request, or a change returned by a watch.
  *
- * @param value the JSON stored; null: this change deleted the key
- * @param version the store's revision at this change
+ * @param value the stored JSON; null if the change deleted the key
+ * @param version the store's revision of the key's last change
  */
 public record KeyValue(String key, JsonNode value, long version) {}
--- a/src/main/java/dev/windbend/store/LeaseRenewal.java
+++ b/src/main/java/dev/windbend/store/LeaseRenewal.java
@@ -1,13 +1,13 @@
 package dev.windbend.store;
 
-/** How the renewal of a lease ended. */
+/** Outcome of a lease renewal. */
 public enum LeaseRenewal {
-  /** The lease runs for its whole term again, from no earlier than the request was sent. */
+  /** The lease is valid for its full term, counted from no earlier than the request was sent. */
   RENEWED,
 
-  /** The lease is over, and the store has deleted the keys put with it. */
+  /** The lease has expired, and the store has deleted the keys attached to it. */
   EXPIRED,
 
-  /** No usable answer: the lease may have been renewed, or may expire. Renew it again soon. */
+  /** No valid response: the lease may or may not have been renewed. Retry soon. */
   UNKNOWN
 }
--- a/src/main/java/dev/windbend/store/OutageTracker.java
+++ b/src/main/java/dev/windbend/store/OutageTracker.java
@@ -3,7 +3,7 @@
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.HttpStatus;
 
-/** Since when calls to the state service fail, and when one was answered last. */
+/** Tracks since when calls to the state service fail, and when the last answered call was sent. */
 final class OutageTracker {
   private static final int NO_RESPONSE = 0;
   private static final long NOT_FAILING = -1;
@@ -16,7 +16,12 @@
     this.loop = loop;
   }
 
-  /** Any answer but a 503 counts as service, refusals too. */
+  /**
+   * Records the result of a call. Any response except 503 counts as answered, including errors.
+   *
+   * @param status the HTTP status, or 0 if there was no response
+   * @param sentMs when the call was sent, by the monotonic clock
+   */
   void onResponse(int status, long sentMs) {
     if (status != NO_RESPONSE && status != HttpStatus.SERVICE_UNAVAILABLE) {
       failingSinceMs = NOT_FAILING;
@@ -26,12 +31,12 @@
     }
   }
 
-  /** For how long no call has been answered; 0 if the last one was. */
+  /** Returns for how many milliseconds calls have been failing; 0 if the last one was answered. */
   long failingForMs() {
     return failingSinceMs == NOT_FAILING ? 0 : loop.nowMs() - failingSinceMs;
   }
 
-  /** When the newest of the calls that were answered was sent, by the monotonic clock. */
+  /** Returns the latest time at which an answered call was sent, by the monotonic clock. */
   long lastAnsweredSentMs() {
     return lastAnsweredSentMs;
   }
--- a/src/main/java/dev/windbend/store/Page.java
+++ b/src/main/java/dev/windbend/store/Page.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One key of a {@link PagedStore}: what counts in it, and what is being written to it. */
+/** One key of a {@link PagedStore}: its current entries, and the entries being written to it. */
 final class Page {
   /** The key in the state service. */
   final String key;
 
-  /** Entries whose newest stored copy is in this page. */
+  /** Entries whose latest stored copy is in this page. */
   final LinkedHashSet<PageEntry> liveEntries = new LinkedHashSet<>();
 
   private final Map<String, JsonNode> content = new TreeMap<>();
@@ -20,13 +20,13 @@
   private long version;
   private int contentBytes;
 
-  /** The version is 0 if the key does not exist. */
+  /** Creates a page with the version of its key, 0 if the key does not exist. */
   Page(String key, long version) {
     this.key = key;
     this.version = version;
   }
 
-  /** The version that the key is known to have; 0: it does not exist. */
+  /** Returns the last known version of the key; 0 if the key does not exist. */
   long version() {
     return version;
   }
@@ -35,14 +35,14 @@
     this.version = version;
   }
 
-  /** Adds an entry to the write of this page. */
+  /** Adds an entry of the given JSON size to the write in flight. */
   void add(PageEntry entry, JsonNode value, int bytes) {
     content.put(entry.id(), value);
     entriesInFlight.add(entry);
     contentBytes += bytes;
   }
 
-  /** How many bytes the entries of the write take. */
+  /** Returns the total size of the entries in flight, in bytes. */
   int contentBytes() {
     return contentBytes;
   }
@@ -51,17 +51,17 @@
     return content.containsKey(entry.id());
   }
 
-  /** The entries of the write. */
+  /** Returns the entries in flight. */
   List<PageEntry> entriesInFlight() {
     return entriesInFlight;
   }
 
-  /** What the write stores. */
+  /** Returns the value that the write in flight stores. */
   PageRecord content() {
     return new PageRecord(content);
   }
 
-  /** The write has ended, whether or not it was applied. */
+  /** Clears the write in flight after it has completed, whether or not it was applied. */
   void endWrite() {
     content.clear();
     entriesInFlight.clear();
--- a/src/main/java/dev/windbend/store/PageAllocator.java
+++ b/src/main/java/dev/windbend/store/PageAllocator.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * Which pages there are, and which entries' newest copies they hold. A page none of whose entries
- * counts any more is free, and is written anew; there is a new one only if none is free.
+ * Tracks the pages and which page holds the latest copy of each entry. A page is free if it holds
+ * no latest copy of an entry that is still needed. Free pages are reused before new ones are
+ * created.
  */
 final class PageAllocator {
   private final String prefix;
@@ -15,12 +16,12 @@
   private final Map<PageEntry, Page> pageOf = new HashMap<>();
   private int nextIndex;
 
-  /** Pages have the keys prefix + 0, prefix + 1 and so on. */
+  /** Creates an allocator without pages. The pages' keys are the prefix followed by 0, 1, 2, ... */
   PageAllocator(String prefix) {
     this.prefix = prefix;
   }
 
-  /** Adds a page that a former leader stored. */
+  /** Adds a page stored by a previous leader. */
   Page addStored(String key, long version) {
     Page page = new Page(key, version);
     pages.add(page);
@@ -32,11 +33,11 @@
     try {
       return Integer.parseInt(key.substring(prefix.length()));
     } catch (NumberFormatException e) {
-      return -1; // a key that no release writes: never the next one either
+      return -1; // no release writes such a key, so it does not affect the next index
     }
   }
 
-  /** A free page, or a new one; none of those in flight. */
+  /** Returns a free page that is not in flight, or a new page if there is none. */
   Page allocate(List<Page> pagesInFlight) {
     for (Page page : pages) {
       if (!pagesInFlight.contains(page) && !inUse(page)) {
@@ -48,7 +49,11 @@
     return page;
   }
 
-  /** The page in use with the fewest entries; null if no more than so many are in use. */
+  /**
+   * Returns the page in use with the fewest entries, leaving out pages in flight.
+   *
+   * @return null if at most {@code maxPagesWithoutCompaction} pages are in use
+   */
   Page leastFilledPage(List<Page> pagesInFlight, int maxPagesWithoutCompaction) {
     Page leastFilled = null;
     int pagesUsed = 0;
@@ -63,7 +68,7 @@
     return pagesUsed <= maxPagesWithoutCompaction ? null : leastFilled;
   }
 
-  /** Whether an entry of the page still counts. */
+  /** Returns whether the page holds an entry that is still needed; drops obsolete entries. */
   private boolean inUse(Page page) {
     page.liveEntries.removeIf(this::removeIfObsolete);
     return !page.liveEntries.isEmpty();
@@ -76,13 +81,13 @@
     return entry.obsolete();
   }
 
-  /** The entry's newest copy is in this page from now on. */
+  /** Records that the latest copy of the entry is in this page. */
   void place(PageEntry entry, Page page) {
     pageOf.put(entry, page);
     page.liveEntries.add(entry);
   }
 
-  /** The entry's newest copy counts no more. */
+  /** Removes the record of the entry's latest copy, if any. */
   void remove(PageEntry entry) {
     Page page = pageOf.remove(entry);
     if (page != null) {
@@ -90,7 +95,7 @@
     }
   }
 
-  /** The key of a page has this version; other keys are ignored. */
+  /** Sets the version of the page with this key; ignores keys of no page. */
   void setVersion(String key, long version) {
     for (Page page : pages) {
       if (page.key.equals(key)) {
@@ -99,7 +104,10 @@
     }
   }
 
-  /** How many pages hold an entry that counted when it was last looked at. */
+  /**
+   * Returns how many pages hold entries that were still needed when the page was last checked. Does
+   * not check again.
+   */
   int pagesInUse() {
     int count = 0;
     for (Page page : pages) {
--- a/src/main/java/dev/windbend/store/PageEntry.java
+++ b/src/main/java/dev/windbend/store/PageEntry.java
@@ -1,42 +1,42 @@
 package dev.windbend.store;
 
 /**
- * A small record of a shard's leader in the state service; many share one key, in pages ({@link
- * PagedStore}). Between {@link #beginWrite} and {@link #onApplied} or {@link #onNotApplied} it is
- * in flight.
+ * A small record that a shard's leader stores in the state service. Many entries share one key, a
+ * page of a {@link PagedStore}. An entry is in flight from {@link #beginWrite} until {@link
+ * #onApplied} or {@link #onNotApplied}.
  */
 public interface PageEntry {
-  /** Unique within the shard, and the same for its successor. */
+  /** Returns an id that is unique within the shard and stays the same for the next leader. */
   String id();
 
-  /** Whether there are changes that are not in flight. */
+  /** Returns whether the entry has changes that are neither stored nor in flight. */
   boolean dirty();
 
-  /** Whether something waits for this write, or it has been put off for long enough. */
+  /** Returns whether the entry must be written now: it blocks other work or its delay is over. */
   boolean urgent(long nowMs);
 
-  /** Whether nothing depends on what is stored any more, so that its place may be reused. */
+  /** Returns whether the stored copy is no longer needed, so that its space may be reused. */
   boolean obsolete();
 
-  /** What is to be stored now, whole; turned into JSON at once. */
+  /** Returns the complete value to store; the caller serializes it to JSON immediately. */
   Object snapshot();
 
-  /** Adds the conditions that must hold, and remembers what is in flight. */
+  /** Adds the entry's conditions to the transaction and records its current state as in flight. */
   void beginWrite(TransactionBuilder transaction);
 
-  /** The write was applied. */
+  /** Called when the write was applied. */
   void onApplied();
 
-  /** The write was not applied, or it is unknown whether it was. */
+  /** Called when the write was not applied, or when its outcome is unknown. */
   void onNotApplied();
 
-  /** Whether {@link #beginWrite} adds a condition on this key. */
+  /** Returns whether {@link #beginWrite} adds a condition on this key. */
   boolean dependsOn(String key);
 
   /**
-   * The condition on the key that this entry depends on did not hold.
+   * Called when the condition on the key that this entry depends on did not hold.
    *
-   * @param stored what the key holds now; null: it does not exist
+   * @param stored the key's current value and version; null if the key does not exist
    */
   void onConflict(VersionedValue stored);
 }
--- a/src/main/java/dev/windbend/store/PageRecord.java
+++ b/src/main/java/dev/windbend/store/PageRecord.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * A page of {@link PagedStore} as stored under one key.
+ * Stored form of one page of a {@link PagedStore}.
  *
- * @param entries the entries' values by their ids
+ * @param entries the values of the entries by entry id
  */
 public record PageRecord(@JsonProperty("e") Map<String, JsonNode> entries) {}
--- a/src/main/java/dev/windbend/store/PagedStore.java
+++ b/src/main/java/dev/windbend/store/PagedStore.java
@@ -11,21 +11,23 @@
 import java.util.TreeMap;
 
 /**
- * Keeps many small entries in few keys, so that a write changes few keys however many entries it
- * carries. A page holds whole entries; the copy in the page written last counts. Changed entries go
- * together to a free page, one of which nothing counts any more; if there is room, entries of the
- * emptiest page are moved along, so that it becomes free (compaction).
+ * Stores many small entries under few keys (pages), so that a transaction writes few keys even if
+ * it contains many entries. A page holds complete entries. If several pages hold a copy of an
+ * entry, the copy in the page with the highest version is valid. Changed entries are written
+ * together to a free page, which is one without valid copies of needed entries. If the written page
+ * has space left, entries of the least filled page are moved to it until that page is free
+ * (compaction).
  */
 public final class PagedStore implements PendingWrite {
-  /** Left free in a page, for the JSON around the entries. */
+  /** Space reserved in each page for the JSON around the entries. */
   private static final int PAGE_OVERHEAD_BYTES = 256;
 
-  /** What an entry takes beside its id and value. */
+  /** JSON size of an entry in addition to its id and value. */
   private static final int ENTRY_OVERHEAD_BYTES = 8;
 
   private static final int MAX_PAGES_PER_WRITE = 3;
 
-  /** So few pages in use need no compaction. */
+  /** Compaction runs only if more pages than this are in use. */
   private static final int MAX_PAGES_WITHOUT_COMPACTION = 3;
 
   private final String prefix;
@@ -36,37 +38,39 @@
   private final PageAllocator allocator;
   private final List<Page> pagesInFlight = new ArrayList<>();
 
-  /** While a former leader's pages are being taken over: where the newest copies are, by id. */
+  /** During a restore: the page that holds the latest copy of each entry, by entry id. */
   private final Map<String, Page> restoredPageById = new HashMap<>();
 
   /**
-   * A page of a write of unknown outcome; null: none. The next write goes to this page too: were it
-   * to go elsewhere, the former one could still be applied after it, and its older entries would
-   * count.
+   * First page of the last write if that write was not applied or its outcome is unknown; null if
+   * there is none. The next write uses this page again, so that at most one of the two writes is
+   * applied. If the next write used another page, the earlier write could still be applied after it,
+   * and its older copies would become the valid ones.
    */
   private Page retryPage;
 
   /**
-   * A store without entries.
+   * Creates a store without entries.
    *
-   * @param prefix of the pages' keys, which end in a number
-   * @param valueBytes the most that a key's value may take
-   * @param maxWrites how many keys a transaction may write
+   * @param prefix the prefix of the pages' keys, which is followed by the page's number
+   * @param valueBytes the maximum size of a key's value, in bytes
+   * @param maxWrites the maximum number of keys that a transaction may write
    */
   public PagedStore(String prefix, int valueBytes, int maxWrites) {
     this.prefix = prefix;
     this.pageBytes = valueBytes - PAGE_OVERHEAD_BYTES;
     this.maxWrites = maxWrites;
-    // The rest is for the pages themselves and the guard of the group commit.
+    // Reserves conditions for the pages themselves and for the guard key of the group commit.
     this.maxConditions = StoreClient.CONDITIONS_PER_WRITE * maxWrites - MAX_PAGES_PER_WRITE - 1;
     this.allocator = new PageAllocator(prefix);
   }
 
   /**
-   * Takes over the pages that a former leader stored. To be followed by {@link #adopt} for each
-   * entry still needed, then {@link #finishRestore}.
+   * Loads the pages stored by a previous leader. The caller then calls {@link #adopt} for each entry
+   * that is still needed, and finally {@link #finishRestore}.
    *
-   * @return the value of each entry's newest copy, by the entry's id
+   * @param stored the values of all pages by key
+   * @return the value of each entry's latest copy, by entry id
    */
   public SortedMap<String, JsonNode> restore(Map<String, VersionedValue> stored) {
     SortedMap<String, JsonNode> newest = new TreeMap<>();
@@ -89,7 +93,7 @@
     }
   }
 
-  /** The entry was made from the copy that {@link #restore} found under its id, if any. */
+  /** Assigns the entry to the page in which {@link #restore} found its latest copy, if any. */
   public void adopt(PageEntry entry) {
     Page page = restoredPageById.remove(entry.id());
     if (page != null) {
@@ -97,12 +101,12 @@
     }
   }
 
-  /** Copies found by {@link #restore} and not adopted count no more. */
+  /** Ends a restore: copies that were not adopted are obsolete. */
   public void finishRestore() {
     restoredPageById.clear();
   }
 
-  /** The entry has changed; it goes with the next write. */
+  /** Registers a changed entry for the next write. */
   public void markChanged(PageEntry entry) {
     changedEntries.add(entry);
   }
@@ -160,7 +164,7 @@
     }
   }
 
-  /** A copy, as entries leave the changed ones while they are added to a page. */
+  /** Returns a copy, because adding an entry to a page removes it from the changed entries. */
   private List<PageEntry> dirtyEntries() {
     List<PageEntry> dirty = new ArrayList<>();
     for (PageEntry entry : changedEntries) {
@@ -189,7 +193,7 @@
     return Json.write(value).length + entry.id().length() + ENTRY_OVERHEAD_BYTES;
   }
 
-  /** Moves entries of the emptiest page along, as far as there is room. */
+  /** Adds entries of the least filled page to the written page, as far as size and limits allow. */
   private void compactInto(Page page, TransactionBuilder transaction) {
     Page emptiest = allocator.leastFilledPage(pagesInFlight, MAX_PAGES_WITHOUT_COMPACTION);
     if (emptiest == null) {
@@ -262,7 +266,7 @@
     }
   }
 
-  /** How many pages hold an entry that is still needed. */
+  /** Returns how many pages hold entries that are still needed. */
   public int pagesInUse() {
     return allocator.pagesInUse();
   }
--- a/src/main/java/dev/windbend/store/PendingWrite.java
+++ b/src/main/java/dev/windbend/store/PendingWrite.java
@@ -1,44 +1,44 @@
 package dev.windbend.store;
 
 /**
- * One or a few keys that a shard's leader keeps in the state service and writes when they change.
- * {@link GroupCommitter} puts several into one transaction. Between {@link #addTo} and {@link
- * #onApplied} or {@link #onNotApplied} the write is in flight.
+ * One or a few keys that a shard's leader stores in the state service and writes when they change.
+ * {@link GroupCommitter} combines several pending writes into one transaction. A write is in flight
+ * from {@link #addTo} until {@link #onApplied} or {@link #onNotApplied}.
  */
 public interface PendingWrite {
-  /** Whether there are changes that are not in flight. */
+  /** Returns whether there are changes that are neither stored nor in flight. */
   boolean dirty();
 
-  /** Whether something waits for this write, or it has been put off for long enough. */
+  /** Returns whether the write must be sent now: it blocks other work or its delay is over. */
   boolean urgent(long nowMs);
 
-  /** How many keys the next write changes. */
+  /** Returns how many keys the next write changes. */
   int writeCount();
 
   /**
-   * How many keys the next write compares at most, but for those that it adds only as far as the
-   * transaction has room for them.
+   * Returns the maximum number of conditions that the next write adds, except for conditions that it
+   * adds only while the transaction is below its limit.
    */
   default int conditionCount() {
     return 1;
   }
 
-  /** Adds conditions and writes to the transaction, and remembers what is in flight. */
+  /** Adds conditions and writes to the transaction, and records the current state as in flight. */
   void addTo(TransactionBuilder transaction);
 
-  /** The write was applied; its keys have this revision as their version. */
+  /** Called when the write was applied; the new version of its keys is {@code revision}. */
   void onApplied(long revision);
 
-  /** The write was not applied, or it is unknown whether it was. */
+  /** Called when the write was not applied, or when its outcome is unknown. */
   void onNotApplied();
 
-  /** Whether this write depends on the key's version. */
+  /** Returns whether this write is conditional on the key's version. */
   boolean dependsOn(String key);
 
   /**
-   * A key that this write owns had another version than expected.
+   * Called when a key that this write depends on had another version than expected.
    *
-   * @param stored what the key holds now; null: it does not exist
+   * @param stored the key's current value and version; null if the key does not exist
    */
   void onConflict(String key, VersionedValue stored);
 }
