--- a/src/main/java/dev/windbend/overload/ConcurrencyLimiter.java
+++ b/src/main/java/dev/windbend/overload/ConcurrencyLimiter.java
@@ -12,9 +12,10 @@
 import java.util.function.Predicate;
 
 /**
- * Limits the users' requests in progress; the limit adapts to their response times. A request over
- * it is answered at once with 503 and when to retry. Submissions get a part of the limit only, so
- * that requests on accepted jobs, cancellations among them, go ahead of them.
+ * Limits the number of concurrent user requests; the limit adapts to their response times. A
+ * request over the limit is answered immediately with 503 and a Retry-After header. Submissions may
+ * use only a part of the limit, which reserves capacity for requests on accepted jobs, for example
+ * cancellations.
  */
 public final class ConcurrencyLimiter {
   private static final int INITIAL_LIMIT = 40;
@@ -35,9 +36,9 @@
   private int inProgress;
 
   /**
-   * A limiter in front of a handler.
+   * Creates a limiter in front of a handler.
    *
-   * @param isSubmission whether a request submits a job
+   * @param isSubmission returns whether a request submits a job
    * @param handler handles the requests within the limit
    */
   public ConcurrencyLimiter(
@@ -47,15 +48,15 @@
     this.handler = handler;
   }
 
-  /** How many requests may be in progress now. */
+  /** Returns how many requests may currently be in progress. */
   public int limit() {
     return limit.getLimit();
   }
 
   /**
-   * Hands the request on, or answers that it is over the limit.
+   * Passes the request to the handler, or rejects it with 503 if it is over the limit.
    *
-   * @param done takes the response; called exactly once, now or later
+   * @param done receives the response; called exactly once, during this call or later
    */
   public void handle(ServerRequest request, Consumer<ServerResponse> done) {
     if (inProgress >= limit.getLimit() * (isSubmission.test(request) ? MAX_SUBMISSION_SHARE : 1)) {
@@ -68,7 +69,7 @@
         request,
         response -> {
           inProgress--;
-          // In an outage of the state service, response times say nothing about overload.
+          // During an outage of the state service, response times do not indicate overload.
           if (response.status() != HttpStatus.SERVICE_UNAVAILABLE) {
             limit.onSample(startNs, Math.max(1, nowNs() - startNs), concurrency, false);
           }
--- a/src/main/java/dev/windbend/overload/package-info.java
+++ b/src/main/java/dev/windbend/overload/package-info.java
@@ -1,2 +1,5 @@
-/** Overload protection: limits the users' requests in progress by their response times. */
+/**
+ * Overload protection: limits the number of concurrent user requests, based on their response
+ * times.
+ */
 package dev.windbend.overload;
--- a/src/main/java/dev/windbend/store/GroupCommitter.java
+++ b/src/main/java/dev/windbend/store/GroupCommitter.java
@@ -19,8 +19,8 @@
   private static final long RETRY_MS = 300;
 
   /**
-   * The pause after a large transaction is this factor times the number of its writes, in units of
-   * the minimum pause.
+   * The pause after a transaction is the minimum pause multiplied by this factor and by the number
+   * of writes, and never less than the minimum pause.
    */
   private static final double PAUSE_FACTOR_PER_WRITE = 0.6;
 
@@ -41,8 +41,8 @@
    * Creates a committer without pending writes.
    *
    * @param guardKey the key that every transaction compares
-   * @param guardVersion the version that {@code guardKey} must have; with any other version no write
-   *     is applied
+   * @param guardVersion the version that {@code guardKey} must have; with any other version no
+   *     write is applied
    * @param pauseMs the minimum time between the starts of two transactions, in milliseconds
    * @param onGuardLost called once when the guard key has another version; the committer is closed
    * @param onProgress called after a transaction was applied, and after the failed keys of a
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Starts a transaction if any pending write is urgent, none is in flight and the minimum pause has
-   * passed. Must be called periodically, because a write may become urgent as time passes.
+   * Starts a transaction if any pending write is urgent, none is in flight and the minimum pause
+   * has passed. Must be called periodically, because a write may become urgent as time passes.
    */
   public void commitDue() {
     long now = loop.nowMs();
--- a/src/main/java/dev/windbend/store/PagedStore.java
+++ b/src/main/java/dev/windbend/store/PagedStore.java
@@ -44,8 +44,8 @@
   /**
    * First page of the last write if that write was not applied or its outcome is unknown; null if
    * there is none. The next write uses this page again, so that at most one of the two writes is
-   * applied. If the next write used another page, the earlier write could still be applied after it,
-   * and its older copies would become the valid ones.
+   * applied. If the next write used another page, the earlier write could still be applied after
+   * it, and its older copies would become the valid ones.
    */
   private Page retryPage;
 
@@ -66,17 +66,17 @@
   }
 
   /**
-   * Loads the pages stored by a previous leader. The caller then calls {@link #adopt} for each entry
-   * that is still needed, and finally {@link #finishRestore}.
+   * Loads the pages stored by a previous leader. The caller then calls {@link #adopt} for each
+   * entry that is still needed, and finally {@link #finishRestore}.
    *
    * @param stored the values of all pages by key
    * @return the value of each entry's latest copy, by entry id
    */
   public SortedMap<String, JsonNode> restore(Map<String, VersionedValue> stored) {
     SortedMap<String, JsonNode> newest = new TreeMap<>();
-    for (Map.Entry<String, VersionedValue> key : stored.entrySet()) {
-      Page page = allocator.addStored(key.getKey(), key.getValue().version());
-      PageRecord record = Json.read(key.getValue().value(), PageRecord.class);
+    for (Map.Entry<String, VersionedValue> storedPage : stored.entrySet()) {
+      Page page = allocator.addStored(storedPage.getKey(), storedPage.getValue().version());
+      PageRecord record = Json.read(storedPage.getValue().value(), PageRecord.class);
       if (record != null && record.entries() != null) {
         record.entries().forEach((id, value) -> restoreCopy(id, value, page, newest));
       }
@@ -86,8 +86,8 @@
 
   private void restoreCopy(
       String id, JsonNode value, Page page, SortedMap<String, JsonNode> newest) {
-    Page other = restoredPageById.get(id);
-    if (other == null || other.version() < page.version()) {
+    Page previous = restoredPageById.get(id);
+    if (previous == null || previous.version() < page.version()) {
       restoredPageById.put(id, page);
       newest.put(id, value);
     }
@@ -195,11 +195,11 @@
 
   /** Adds entries of the least filled page to the written page, as far as size and limits allow. */
   private void compactInto(Page page, TransactionBuilder transaction) {
-    Page emptiest = allocator.leastFilledPage(pagesInFlight, MAX_PAGES_WITHOUT_COMPACTION);
-    if (emptiest == null) {
+    Page leastFilled = allocator.leastFilledPage(pagesInFlight, MAX_PAGES_WITHOUT_COMPACTION);
+    if (leastFilled == null) {
       return;
     }
-    for (PageEntry entry : List.copyOf(emptiest.liveEntries)) {
+    for (PageEntry entry : List.copyOf(leastFilled.liveEntries)) {
       if (page.contains(entry) || transaction.conditionCount() >= maxConditions) {
         continue;
       }
--- a/src/main/java/dev/windbend/store/PendingWrite.java
+++ b/src/main/java/dev/windbend/store/PendingWrite.java
@@ -16,8 +16,8 @@
   int writeCount();
 
   /**
-   * Returns the maximum number of conditions that the next write adds, except for conditions that it
-   * adds only while the transaction is below its limit.
+   * Returns the maximum number of conditions that the next write adds, except for conditions that
+   * it adds only while the transaction is below its limit.
    */
   default int conditionCount() {
     return 1;
--- a/src/main/java/dev/windbend/store/ReadResult.java
+++ b/src/main/java/dev/windbend/store/ReadResult.java
@@ -1,20 +1,21 @@
 package dev.windbend.store;
 
 /**
- * What reading one key gave.
+ * Result of reading one key.
  *
- * @param stored what the key holds; null unless found
+ * @param status whether the key was read and exists
+ * @param stored the key's value and version; null unless the status is {@link Status#FOUND}
  */
 public record ReadResult(Status status, VersionedValue stored) {
-  /** Whether the key was read, and exists. */
+  /** Whether the key was read and exists. */
   public enum Status {
     /** The key exists. */
     FOUND,
 
-    /** The store answered that the key does not exist. */
+    /** The key does not exist, according to the store's response. */
     NOT_FOUND,
 
-    /** No usable answer: nothing is known of the key. Read it again later. */
+    /** There was no valid response, so the state of the key is unknown. Retry later. */
     UNAVAILABLE
   }
 
@@ -25,12 +26,15 @@
     return new ReadResult(Status.FOUND, stored);
   }
 
-  /** The store answered, so {@link #stored} is what the key holds, null if it does not exist. */
+  /**
+   * Returns whether the store answered. If so, {@link #stored} is the key's value, or null if the
+   * key does not exist.
+   */
   public boolean answered() {
     return status != Status.UNAVAILABLE;
   }
 
-  /** The key exists. */
+  /** Returns whether the key exists. */
   public boolean found() {
     return status == Status.FOUND;
   }
--- a/src/main/java/dev/windbend/store/RecordWrite.java
+++ b/src/main/java/dev/windbend/store/RecordWrite.java
@@ -1,8 +1,8 @@
 package dev.windbend.store;
 
 /**
- * A record of one key that something waits for; sent again until it is known to be stored or
- * another writer is found to have been first.
+ * An urgent write of a record under one key. It is retried until the record is known to be stored
+ * or another writer is found to have changed the key first.
  */
 public abstract class RecordWrite implements PendingWrite {
   /** The key of the record. */
@@ -10,18 +10,18 @@
 
   private boolean inFlight;
 
-  /** A record of this key, not in flight. */
+  /** Creates a write of the record under this key, not in flight. */
   protected RecordWrite(String key) {
     this.key = key;
   }
 
-  /** Whether the key does not hold yet what it should. */
+  /** Returns whether the record has a change that is not known to be stored. */
   protected abstract boolean hasUnstoredChange();
 
-  /** Adds the condition and the write, and remembers what is in flight. */
+  /** Adds the condition and the write to the transaction, and records the state in flight. */
   protected abstract void addChange(TransactionBuilder transaction);
 
-  /** The write was applied; the key has this revision as its version. */
+  /** Called when the write was applied; the new version of the key is {@code revision}. */
   protected abstract void applied(long revision);
 
   @Override
--- a/src/main/java/dev/windbend/store/Replica.java
+++ b/src/main/java/dev/windbend/store/Replica.java
@@ -11,13 +11,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A local replica of all keys with one prefix: listed once, then kept by a watch. It lags behind
- * the store, so whatever depends on a version is committed on condition of it.
+ * A local replica of all keys with one prefix. The keys are listed once and then updated by a
+ * watch. The replica lags behind the store, so a transaction based on its data must be conditional
+ * on the versions read from it.
  */
 public final class Replica {
   private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
 
-  /** A watch that hangs is given up soon after this, so the replica does not lag for longer. */
+  /**
+   * Time after which the store answers a watch without changes. A watch without a response times
+   * out soon after it, which bounds the replica's lag.
+   */
   private static final long WATCH_BLOCK_MS = 3_000;
 
   private static final long LIST_RETRY_MS = 500;
@@ -33,54 +37,57 @@
   private long completeUntilMs = Long.MIN_VALUE / 2;
   private boolean synced;
 
-  /** Gets each change of the replica, in the order of the store's revisions for any one key. */
+  /** Receives each change of the replica. Changes of one key arrive in order of their revisions. */
   public interface Listener {
     /**
-     * A key was written or deleted.
+     * Called after a key was written or deleted.
      *
-     * @param stored what it holds now; null: it does not exist any more
+     * @param stored the key's new value and version; null if the key was deleted
      */
     void onChange(String key, VersionedValue stored);
   }
 
-  /** An empty replica; {@link #start} fills it. */
+  /** Creates an empty replica; {@link #start} loads it. */
   public Replica(EventLoop loop, StoreClient store, String prefix) {
     this.loop = loop;
     this.store = store;
     this.prefix = prefix;
   }
 
-  /** Adds a listener for all changes from now on, those of the first list included. */
+  /** Adds a listener for all further changes, including the keys of the first listing. */
   public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
-  /** Lists the keys, and watches them from then on. */
+  /** Lists the keys, then watches them for changes. */
   public void start() {
     listAll();
   }
 
-  /** Whether the keys have been listed once. */
+  /** Returns whether the keys have been listed completely at least once. */
   public boolean synced() {
     return synced;
   }
 
-  /** All changes up to this revision of the store are in the replica; -1: not listed yet. */
+  /**
+   * Returns the store revision up to which the replica contains all changes; -1 before the first
+   * listing is complete.
+   */
   public long revision() {
     return revision;
   }
 
-  /** All changes made before this time of the monotonic clock are in the replica. */
+  /** Returns the time, by the monotonic clock, up to which the replica contains all changes. */
   public long completeUntilMs() {
     return completeUntilMs;
   }
 
-  /** What the key held at the replica's revision or later; null: it did not exist. */
+  /** Returns the key's value at the replica's revision or later; null if the key did not exist. */
   public VersionedValue get(String key) {
     return keys.get(key);
   }
 
-  /** The keys that begin so, with what they hold; a view that changes with the replica. */
+  /** Returns a live view of the keys with this prefix and their values. */
   public NavigableMap<String, VersionedValue> withPrefix(String keyPrefix) {
     return keys.subMap(keyPrefix, true, keyPrefix + '\uffff', false);
   }
@@ -90,22 +97,23 @@
   }
 
   /**
-   * Reads one page after another.
+   * Reads a page of the list and, after it, all further pages.
    *
-   * @param from the key that the page starts after; null: the first page
-   * @param firstRevision the revision of the first page
-   * @param listed all keys on the pages so far
+   * @param startAfter the key after which the page starts; null for the first page
+   * @param firstRevision the revision of the first page; {@link #NOT_LISTED} before it is read
+   * @param listed all keys of the pages read so far
    */
-  private void listPages(String from, long firstRevision, Set<String> listed) {
+  private void listPages(String startAfter, long firstRevision, Set<String> listed) {
     store.list(
         prefix,
-        from,
+        startAfter,
         page -> {
           if (!page.answered()) {
-            loop.after(LIST_RETRY_MS, () -> listPages(from, firstRevision, listed));
+            loop.after(LIST_RETRY_MS, () -> listPages(startAfter, firstRevision, listed));
             return;
           }
-          // The watch replays the changes since the first page, so later pages may be newer.
+          // Later pages may be read at newer revisions, because the watch replays all changes since
+          // the first page.
           long listRevision = firstRevision == NOT_LISTED ? page.revision() : firstRevision;
           for (KeyValue item : page.items()) {
             listed.add(item.key());
@@ -140,7 +148,8 @@
   private void onWatchResult(WatchResult result, long sentMs) {
     switch (result.status()) {
       case COMPACTED -> {
-        LOG.info("replica behind the store's compaction, listing again: revision={}", revision);
+        LOG.info(
+            "replica revision compacted by the store, listing keys again: revision={}", revision);
         listAll();
       }
       case UNAVAILABLE -> loop.after(WATCH_RETRY_MS, this::watch);
--- a/src/main/java/dev/windbend/store/RequestPacer.java
+++ b/src/main/java/dev/windbend/store/RequestPacer.java
@@ -4,8 +4,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Sends queued calls as two rate limits allow: one on all requests, one on the keys that they
- * write. Each lane is first in, first out and bounded; no lane waits behind another one.
+ * Sends queued calls within two rate limits: one on all requests, one on the keys written. Each
+ * lane is a bounded first-in, first-out queue; a call waits only for earlier calls of its own lane
+ * and for the rate limits.
  */
 final class RequestPacer {
   private static final int MAX_QUEUED = 400;
@@ -21,15 +22,15 @@
   private boolean userWriteNext = true;
   private long nextDrainMs = NOTHING_QUEUED;
 
-  /** Calls that wait in line with one another. */
+  /** A queue of calls that are sent in order. */
   enum Lane {
-    /** Calls that write nothing. */
+    /** Calls without writes. */
     READS,
 
     /** Writes that a user waits for. */
     USER_WRITES,
 
-    /** Records of the shards that this controller leads. */
+    /** Writes of records of the shards that this controller leads. */
     LEADER_WRITES
   }
 
@@ -42,9 +43,11 @@
   }
 
   /**
-   * Sends the call once its turn comes.
+   * Queues a call and sends it when the earlier calls of its lane are sent and the rate limits
+   * allow it.
    *
-   * @param reject called instead of {@code send}, at once, if the lane is full
+   * @param writeCount the number of keys that the call writes
+   * @param reject called immediately, instead of {@code send}, if the lane is full
    */
   void submit(Lane lane, int writeCount, Runnable send, Runnable reject) {
     ArrayDeque<QueuedCall> queue = queueFor(lane);
@@ -56,12 +59,15 @@
     drain();
   }
 
-  /** Counts a call that can't wait and is being sent at once; queued ones make up for it. */
+  /**
+   * Charges the request limit for a call that is sent without queueing. Queued calls are delayed
+   * accordingly.
+   */
   void countUnqueuedRequest() {
     requests.take(1);
   }
 
-  /** The service refused a call as too frequent. */
+  /** Lowers the rate of writes or of all requests after the service rejected a call with 429. */
   void onRateLimited(boolean write) {
     (write ? writes : requests).slowDown();
   }
@@ -76,7 +82,7 @@
 
   private void drain() {
     if (draining) {
-      return; // called from a call being sent; the loop below goes on
+      return; // reentrant call from send(); the outer invocation continues draining
     }
     draining = true;
     try {
@@ -99,7 +105,10 @@
     }
   }
 
-  /** Users' writes take turns with the leader's. Returns how long the next one must wait. */
+  /**
+   * Sends user writes and leader writes alternately. Returns the wait of the next write in
+   * milliseconds, or {@link #NOTHING_QUEUED}.
+   */
   private long drainWrites() {
     while (true) {
       boolean forUser = leaderWrites.isEmpty() || (userWriteNext && !userWrites.isEmpty());
@@ -107,7 +116,7 @@
       if (waitMs > 0) {
         return waitMs;
       }
-      // Were users' writes always first, scale-out would come too late in a burst of submissions.
+      // Absolute priority of user writes would delay scale-out too long in a burst of submissions.
       userWriteNext = !forUser;
     }
   }
@@ -120,7 +129,11 @@
     return waitMs;
   }
 
-  /** Returns 0 if a call was sent, else how long it must wait, or {@link #NOTHING_QUEUED}. */
+  /**
+   * Sends the first call of the queue if the rate limits allow it.
+   *
+   * @return 0 if a call was sent, otherwise its wait in milliseconds, or {@link #NOTHING_QUEUED}
+   */
   private long sendNext(ArrayDeque<QueuedCall> queue) {
     QueuedCall call = queue.peek();
     if (call == null) {
--- a/src/main/java/dev/windbend/store/StoreClient.java
+++ b/src/main/java/dev/windbend/store/StoreClient.java
@@ -13,9 +13,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls the state service, each with a time-out, under this controller's part of both rate limits.
- * Calls that must wait for the rate queue up to a bound; over it they are refused at once. Each
- * call's consumer gets its result exactly once, on the event loop.
+ * Client of the state service. Each call has a timeout and counts against this controller's share
+ * of the service's two rate limits. Calls over the rate wait in bounded queues; a call is rejected
+ * immediately if its queue is full. The consumer of each call receives its result exactly once, on
+ * the event loop.
  */
 public final class StoreClient {
   private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
@@ -23,22 +24,23 @@
   private static final long LIST_TIMEOUT_MS = 3 * TIMEOUT_MS;
   private static final int LIST_PAGE_SIZE = 1_000;
 
-  /** The status of a watch from a revision whose changes the service no longer keeps. */
+  /** HTTP status of a watch from a revision whose changes the service has compacted. */
   private static final int GONE = 410;
 
-  /** From this status on the service says that it did not carry out the call. */
+  /** Lowest HTTP status that means that the service did not execute the call. */
   private static final int FIRST_ERROR_STATUS = 400;
 
   /**
-   * One controller may lead most shards, so each may use this many times an even part of the rate
-   * limits; where that is too much together, refusals slow the controllers down.
+   * Each controller's share of the rate limits, as a multiple of an equal share, because one
+   * controller may lead most shards. If the controllers together exceed a limit, rejections by the
+   * service slow them down.
    */
   private static final double RATE_SHARE_FACTOR = 2.5;
 
-  /** Kinds of reads that go on and on; each may take an even part of the rate limit. */
+  /** Number of kinds of periodic reads; each may use an equal part of the request rate limit. */
   private static final double POLLING_READ_KINDS = 4.0;
 
-  /** A transaction may have this many conditions for each key that it may write. */
+  /** Number of conditions allowed in a transaction for each key that it may write. */
   static final int CONDITIONS_PER_WRITE = 4;
 
   private static final long MIN_POLL_INTERVAL_MS = 50;
@@ -53,12 +55,14 @@
   private final long pollIntervalMs;
 
   /**
-   * A client of the service at the address.
+   * Creates a client of the service at the address.
    *
-   * @param address host and port
-   * @param requestsPerSecond the service's rate limit on all calls of all controllers
-   * @param writesPerSecond its rate limit on keys written, of all controllers
-   * @param controllers how many controllers share both limits
+   * @param address host and port of the service
+   * @param requestsPerSecond the service's limit on the request rate of all controllers together
+   * @param writesPerSecond the service's limit on keys written per second by all controllers
+   *     together
+   * @param maxWritesPerTransaction how many keys a transaction may write or delete
+   * @param controllers the number of controllers that share both limits
    */
   public StoreClient(
       EventLoop loop,
@@ -81,29 +85,32 @@
             (long) (MS_PER_SECOND * POLLING_READ_KINDS * controllers / requestsPerSecond));
   }
 
-  /** Pause between reads of a kind that goes on and on, so that all kinds fit the rate limit. */
+  /**
+   * Returns the interval between periodic reads of one kind, in milliseconds, at which all kinds
+   * together stay within the request rate limit.
+   */
   public long pollIntervalMs() {
     return pollIntervalMs;
   }
 
-  /** How many keys a transaction may write or delete. */
+  /** Returns how many keys a transaction may write or delete. */
   public int maxWritesPerTransaction() {
     return maxWritesPerTransaction;
   }
 
-  /** How many keys a transaction may compare. */
+  /** Returns how many conditions a transaction may have. */
   public int maxConditionsPerTransaction() {
     return CONDITIONS_PER_WRITE * maxWritesPerTransaction;
   }
 
-  /** For how long no call has been answered, in milliseconds; 0 if the last one was. */
+  /** Returns for how many milliseconds calls have been failing; 0 if the last one was answered. */
   public long failingForMs() {
     return outages.failingForMs();
   }
 
   /**
-   * When the newest of the calls that were answered was sent, by the monotonic clock: the service
-   * served this controller then, or later.
+   * Returns the latest time at which an answered call was sent, by the monotonic clock. The service
+   * was reachable at that time or later.
    */
   public long lastAnsweredSentMs() {
     return outages.lastAnsweredSentMs();
@@ -115,53 +122,64 @@
         RequestPacer.Lane.READS,
         0,
         () ->
-            send("GET", "/keys/" + key, null, TIMEOUT_MS, reply -> done.accept(readResult(reply))),
+            send(
+                "GET",
+                "/keys/" + key,
+                null,
+                TIMEOUT_MS,
+                response -> done.accept(readResult(response))),
         () -> done.accept(ReadResult.UNAVAILABLE));
   }
 
-  private static ReadResult readResult(ClientResponse reply) {
-    if (reply.ok()) {
-      StoreMessages.StoredKey pair = Json.read(reply.body(), StoreMessages.StoredKey.class);
-      if (pair != null) {
-        return ReadResult.found(new VersionedValue(pair.value(), pair.version()));
+  private static ReadResult readResult(ClientResponse response) {
+    if (response.ok()) {
+      StoreMessages.StoredKey storedKey = Json.read(response.body(), StoreMessages.StoredKey.class);
+      if (storedKey != null) {
+        return ReadResult.found(new VersionedValue(storedKey.value(), storedKey.version()));
       }
     }
-    return reply.status() == HttpStatus.NOT_FOUND ? ReadResult.NOT_FOUND : ReadResult.UNAVAILABLE;
+    return response.status() == HttpStatus.NOT_FOUND
+        ? ReadResult.NOT_FOUND
+        : ReadResult.UNAVAILABLE;
   }
 
   /**
    * Reads one page of the keys with the prefix.
    *
-   * @param from the key that the page starts after; null: the first page
+   * @param startAfter the key after which the page starts; null for the first page
    */
-  public void list(String prefix, String from, Consumer<ListResult> done) {
+  public void list(String prefix, String startAfter, Consumer<ListResult> done) {
     String path =
         "/keys?prefix="
             + prefix
-            + (from == null ? "" : "&from=" + from)
+            + (startAfter == null ? "" : "&from=" + startAfter)
             + "&limit="
             + LIST_PAGE_SIZE;
     pacer.submit(
         RequestPacer.Lane.READS,
         0,
-        () -> send("GET", path, null, LIST_TIMEOUT_MS, reply -> done.accept(listResult(reply))),
+        () ->
+            send("GET", path, null, LIST_TIMEOUT_MS, response -> done.accept(listResult(response))),
         () -> done.accept(ListResult.UNAVAILABLE));
   }
 
-  private static ListResult listResult(ClientResponse reply) {
+  private static ListResult listResult(ClientResponse response) {
     StoreMessages.KeyList page =
-        reply.ok() ? Json.read(reply.body(), StoreMessages.KeyList.class) : null;
+        response.ok() ? Json.read(response.body(), StoreMessages.KeyList.class) : null;
     if (page == null || page.items() == null) {
       return ListResult.UNAVAILABLE;
     }
     List<KeyValue> items = new ArrayList<>(page.items().size());
-    for (StoreMessages.StoredKey pair : page.items()) {
-      items.add(new KeyValue(pair.key(), pair.value(), pair.version()));
+    for (StoreMessages.StoredKey storedKey : page.items()) {
+      items.add(new KeyValue(storedKey.key(), storedKey.value(), storedKey.version()));
     }
     return new ListResult(true, items, page.hasMore(), page.revision());
   }
 
-  /** Commits what a user waits for, or only compares: does not wait behind leaders' writes. */
+  /**
+   * Commits a transaction that a user waits for or that has conditions only. It does not queue
+   * behind writes of leaders.
+   */
   public void commitForUser(TransactionBuilder transaction, Consumer<TransactionOutcome> done) {
     commit(
         transaction.writeCount() == 0 ? RequestPacer.Lane.READS : RequestPacer.Lane.USER_WRITES,
@@ -169,7 +187,7 @@
         done);
   }
 
-  /** Commits a leader's records. */
+  /** Commits a transaction with records of a shard's leader. */
   public void commit(TransactionBuilder transaction, Consumer<TransactionOutcome> done) {
     commit(RequestPacer.Lane.LEADER_WRITES, transaction, done);
   }
@@ -183,16 +201,21 @@
         writeCount,
         () ->
             send(
-                writeCount, "POST", "/txn", body, TIMEOUT_MS, reply -> done.accept(outcome(reply))),
+                writeCount,
+                "POST",
+                "/txn",
+                body,
+                TIMEOUT_MS,
+                response -> done.accept(outcome(response))),
         () -> done.accept(outcome(TransactionOutcome.Kind.REFUSED)));
   }
 
-  private static TransactionOutcome outcome(ClientResponse reply) {
+  private static TransactionOutcome outcome(ClientResponse response) {
     StoreMessages.TransactionResult result =
-        reply.ok() || reply.status() == HttpStatus.CONFLICT
-            ? Json.read(reply.body(), StoreMessages.TransactionResult.class)
+        response.ok() || response.status() == HttpStatus.CONFLICT
+            ? Json.read(response.body(), StoreMessages.TransactionResult.class)
             : null;
-    if (result != null && reply.ok()) {
+    if (result != null && response.ok()) {
       return new TransactionOutcome(TransactionOutcome.Kind.APPLIED, result.revision(), List.of());
     }
     if (result != null && result.failedKeys() != null) {
@@ -200,7 +223,7 @@
           TransactionOutcome.Kind.CONDITION_FAILED, result.revision(), result.failedKeys());
     }
     return outcome(
-        reply.status() >= FIRST_ERROR_STATUS
+        response.status() >= FIRST_ERROR_STATUS
             ? TransactionOutcome.Kind.REFUSED
             : TransactionOutcome.Kind.UNKNOWN);
   }
@@ -210,9 +233,10 @@
   }
 
   /**
-   * Asks for a lease. Not queued: leadership must not wait behind other calls.
+   * Requests a lease. Sent without queueing, because leadership must not be delayed by other calls.
    *
-   * @param done takes the lease's id; empty: none was granted, as far as is known
+   * @param termMs the time after the last renewal at which the lease expires, in milliseconds
+   * @param done receives the lease's id, or empty if no lease is known to be granted
    */
   public void acquireLease(long termMs, Consumer<OptionalLong> done) {
     pacer.countUnqueuedRequest();
@@ -221,15 +245,15 @@
         "/holds",
         Json.write(new StoreMessages.LeaseRequest(termMs)),
         TIMEOUT_MS,
-        reply -> {
+        response -> {
           StoreMessages.LeaseGrant lease =
-              reply.ok() ? Json.read(reply.body(), StoreMessages.LeaseGrant.class) : null;
+              response.ok() ? Json.read(response.body(), StoreMessages.LeaseGrant.class) : null;
           done.accept(
               lease == null || lease.id() < 0 ? OptionalLong.empty() : OptionalLong.of(lease.id()));
         });
   }
 
-  /** Renews a lease for its term. Not queued either. */
+  /** Renews a lease for its full term. Sent without queueing, like {@link #acquireLease}. */
   public void renewLease(long lease, Consumer<LeaseRenewal> done) {
     pacer.countUnqueuedRequest();
     send(
@@ -237,9 +261,9 @@
         "/holds/" + lease + "/renew",
         new byte[0],
         TIMEOUT_MS,
-        reply ->
+        response ->
             done.accept(
-                switch (reply.status()) {
+                switch (response.status()) {
                   case HttpStatus.OK -> LeaseRenewal.RENEWED;
                   case HttpStatus.NOT_FOUND -> LeaseRenewal.EXPIRED;
                   default -> LeaseRenewal.UNKNOWN;
@@ -247,11 +271,11 @@
   }
 
   /**
-   * Waits for changes of the keys with the prefix. Not queued, and no sign of an outage or of the
-   * rate, as its answer comes late by design.
+   * Waits for changes of the keys with the prefix. Sent without queueing. Its response is delayed
+   * by design, so it is not used to detect outages or to adapt the rate.
    *
-   * @param fromRevision changes after it are asked for
-   * @param blockMs the service answers with no changes if there are none for so long
+   * @param fromRevision the revision after which changes are requested
+   * @param blockMs the time without changes after which the service sends an empty response
    */
   void watch(String prefix, long fromRevision, long blockMs, Consumer<WatchResult> done) {
     pacer.countUnqueuedRequest();
@@ -261,15 +285,15 @@
         "/follow?prefix=" + prefix + "&from=" + fromRevision + "&block_ms=" + blockMs,
         null,
         blockMs + TIMEOUT_MS,
-        reply -> done.accept(watchResult(reply, fromRevision)));
+        response -> done.accept(watchResult(response, fromRevision)));
   }
 
-  private static WatchResult watchResult(ClientResponse reply, long fromRevision) {
+  private static WatchResult watchResult(ClientResponse response, long fromRevision) {
     StoreMessages.WatchEvents events =
-        reply.ok() ? Json.read(reply.body(), StoreMessages.WatchEvents.class) : null;
+        response.ok() ? Json.read(response.body(), StoreMessages.WatchEvents.class) : null;
     if (events == null) {
       WatchResult.Status status =
-          reply.status() == GONE ? WatchResult.Status.COMPACTED : WatchResult.Status.UNAVAILABLE;
+          response.status() == GONE ? WatchResult.Status.COMPACTED : WatchResult.Status.UNAVAILABLE;
       return new WatchResult(status, List.of(), fromRevision);
     }
     if (events.changes() == null) {
@@ -304,13 +328,13 @@
         path,
         body,
         timeoutMs,
-        reply -> {
-          if (reply.status() == HttpStatus.TOO_MANY_REQUESTS) {
-            LOG.debug("store call rate-limited: path={}", path);
+        response -> {
+          if (response.status() == HttpStatus.TOO_MANY_REQUESTS) {
+            LOG.debug("state service rate limit exceeded: path={}", path);
             pacer.onRateLimited(writeCount > 0);
           }
-          outages.onResponse(reply.status(), sentMs);
-          done.accept(reply);
+          outages.onResponse(response.status(), sentMs);
+          done.accept(response);
         });
   }
 }
--- a/src/main/java/dev/windbend/store/StoreMessages.java
+++ b/src/main/java/dev/windbend/store/StoreMessages.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 
-/** The state service's wire format. */
+/** Messages of the state service's protocol. */
 final class StoreMessages {
   private StoreMessages() {}
 
@@ -15,26 +15,26 @@
       @JsonProperty("stamp") long version) {}
 
   /**
-   * One page of a list.
+   * Response to a list request: one page of keys.
    *
-   * @param hasMore whether there are keys after the last one
-   * @param revision the revision at which the page was read
+   * @param hasMore whether further keys follow the last one of the page
+   * @param revision the store's revision at which the page was read
    */
   record KeyList(
       @JsonProperty("pairs") List<StoredKey> items,
       @JsonProperty("has_next") boolean hasMore,
       @JsonProperty("ledger") long revision) {}
 
-  /** The key must have the version; 0: it must not exist. */
+  /** Condition that the key has the version; version 0 requires that the key does not exist. */
   record Condition(@JsonProperty("path") String key, @JsonProperty("stamp") long version) {}
 
   /**
    * A write of a transaction, or a change of a watch: {@code put} with its value, or {@code
    * delete}.
    *
-   * @param putKey the key written; null: this is a deletion
-   * @param lease the key is deleted when this lease expires; null: it stays
-   * @param deletedKey the key deleted; null: this is a put
+   * @param putKey the key written; null for a deletion
+   * @param lease the lease whose expiry deletes the key; null if there is none
+   * @param deletedKey the key deleted; null for a put
    * @param version the revision of the change; null in a transaction
    */
   record Write(
@@ -44,30 +44,34 @@
       @JsonProperty("remove") String deletedKey,
       @JsonProperty("stamp") Long version) {}
 
-  /** Writes all, on condition that all conditions hold. */
+  /** Transaction request: all writes are applied if all conditions hold, otherwise none. */
   record Transaction(
       @JsonProperty("when") List<Condition> conditions, @JsonProperty("then") List<Write> writes) {}
 
   /**
-   * Answers a transaction.
+   * Response to a transaction.
    *
-   * @param revision if applied, the version of all keys written
-   * @param failedKeys the keys whose condition did not hold; null: applied
+   * @param revision if the transaction was applied, the new version of all written keys
+   * @param failedKeys the keys whose condition did not hold; null if the transaction was applied
    */
   record TransactionResult(
       @JsonProperty("ledger") long revision, @JsonProperty("failed") List<String> failedKeys) {}
 
-  /** Asks for a lease that expires so long after its last renewal. */
+  /**
+   * Request for a lease.
+   *
+   * @param termMs the time after the last renewal at which the lease expires, in milliseconds
+   */
   record LeaseRequest(@JsonProperty("life_ms") long termMs) {}
 
-  /** Grants a lease. */
+  /** Response that grants a lease. */
   record LeaseGrant(@JsonProperty("permit") long id) {}
 
   /**
-   * Answers a watch.
+   * Response to a watch.
    *
-   * @param revision all changes up to it are in the answer
-   * @param changes in their order; null: none
+   * @param revision the revision up to which the response contains all changes
+   * @param changes the changes in order of their revisions; null if there are none
    */
   record WatchEvents(
       @JsonProperty("ledger") long revision, @JsonProperty("log") List<Write> changes) {}
--- a/src/main/java/dev/windbend/store/TokenBucket.java
+++ b/src/main/java/dev/windbend/store/TokenBucket.java
@@ -3,22 +3,23 @@
 import dev.windbend.runtime.EventLoop;
 
 /**
- * A token bucket for calls under another service's rate limit. It holds at most one second's worth
- * of tokens, halves its rate when the service refuses calls as too frequent, and recovers linearly.
+ * A token bucket for calls to a service with a rate limit. Its capacity is the number of tokens of
+ * one second at the current rate, and at least 1. The rate is halved when the service rejects calls
+ * for exceeding the limit, and then recovers linearly.
  */
 public final class TokenBucket {
-  /** Refusals within this time of one that slowed the bucket down are of the same moment. */
+  /** Rejections within this time after a rate reduction do not reduce the rate again. */
   private static final long SLOW_DOWN_INTERVAL_MS = 300;
 
   private static final double SLOW_DOWN_FACTOR = 0.5;
 
-  /** The rate never falls below this share of the full one. */
+  /** Lower bound of the rate, as a fraction of the full rate. */
   private static final double MIN_RATE_FRACTION = 1.0 / 8;
 
-  /** From nothing to the full rate. */
+  /** Time in which the rate recovers from 0 to the full rate. */
   private static final double RECOVERY_SECONDS = 10;
 
-  /** Tokens missing by no more than this are due to rounding. */
+  /** Maximum number of missing tokens that is attributed to rounding errors. */
   private static final double ROUNDING_TOLERANCE_TOKENS = 1e-9;
 
   private static final double MS_PER_SECOND = 1_000;
@@ -30,7 +31,7 @@
   private long lastRefillMs;
   private long lastSlowDownMs = Long.MIN_VALUE / 2;
 
-  /** A full bucket at its full rate, in tokens a second. */
+  /** Creates a full bucket with this full rate, in tokens per second. */
   public TokenBucket(EventLoop loop, double ratePerSecond) {
     this.loop = loop;
     this.fullRatePerSecond = ratePerSecond;
@@ -40,8 +41,8 @@
   }
 
   /**
-   * How many milliseconds to wait for so many tokens; 0: they may be taken now. A cost above the
-   * bucket's size needs it full.
+   * Returns the time in milliseconds until {@code cost} tokens are available; 0 if they are
+   * available now. A cost above the capacity requires a full bucket.
    */
   public long waitMs(int cost) {
     refill();
@@ -52,15 +53,18 @@
   }
 
   /**
-   * Takes so many tokens, whether or not they are there: calls that can't wait go at once, and
-   * later ones wait until the debt is made up for.
+   * Takes {@code cost} tokens even if fewer are available. Calls that cannot wait may overdraw the
+   * bucket; later calls then wait until the balance is restored.
    */
   public void take(int cost) {
     refill();
     tokens -= cost;
   }
 
-  /** The service refused a call as too frequent. Refusals of one moment count once. */
+  /**
+   * Reduces the rate after the service rejected a call for exceeding its rate limit. Has no effect
+   * within 300 ms after the last reduction.
+   */
   public void slowDown() {
     refill();
     if (lastRefillMs - lastSlowDownMs < SLOW_DOWN_INTERVAL_MS) {
--- a/src/main/java/dev/windbend/store/TransactionBuilder.java
+++ b/src/main/java/dev/windbend/store/TransactionBuilder.java
@@ -5,17 +5,18 @@
 import java.util.List;
 
 /**
- * A compare-and-swap transaction being put together: its writes are applied all together, if every
- * key compared still has the version given, or else not at all.
+ * Builder of a compare-and-swap transaction. All its writes are applied atomically if every
+ * compared key has the expected version; otherwise none is applied.
  */
 public final class TransactionBuilder {
   private final List<StoreMessages.Condition> conditions = new ArrayList<>();
   private final List<StoreMessages.Write> writes = new ArrayList<>();
 
   /**
-   * The key must have this version. Of several conditions on one key the first counts.
+   * Adds the condition that the key has this version. If there already is a condition on the key,
+   * the new one is ignored.
    *
-   * @param version as read; 0: the key must not exist
+   * @param version the expected version; 0 requires that the key does not exist
    */
   public TransactionBuilder ifVersion(String key, long version) {
     for (StoreMessages.Condition condition : conditions) {
@@ -27,40 +28,42 @@
     return this;
   }
 
-  /** The key must not exist. */
+  /** Adds the condition that the key does not exist. */
   public TransactionBuilder ifAbsent(String key) {
     return ifVersion(key, 0);
   }
 
-  /** Writes the key; {@code value} is turned into JSON at once, so later changes don't count. */
+  /**
+   * Adds a write of the key. {@code value} is serialized immediately; later changes are ignored.
+   */
   public TransactionBuilder put(String key, Object value) {
     writes.add(new StoreMessages.Write(key, Json.tree(value), null, null, null));
     return this;
   }
 
-  /** Writes a key that the store deletes when the lease expires. */
+  /** Adds a write of a key that the store deletes when the lease expires. */
   public TransactionBuilder putWithLease(String key, Object value, long lease) {
     writes.add(new StoreMessages.Write(key, Json.tree(value), lease, null, null));
     return this;
   }
 
-  /** Deletes the key. */
+  /** Adds a deletion of the key. */
   public TransactionBuilder delete(String key) {
     writes.add(new StoreMessages.Write(null, null, null, key, null));
     return this;
   }
 
-  /** How many keys are compared. */
+  /** Returns how many keys are compared. */
   public int conditionCount() {
     return conditions.size();
   }
 
-  /** How many keys are written or deleted. */
+  /** Returns how many keys are written or deleted. */
   public int writeCount() {
     return writes.size();
   }
 
-  /** The message as it stands; what is added later is not in it. */
+  /** Returns the message with a copy of the conditions and writes added so far. */
   StoreMessages.Transaction build() {
     return new StoreMessages.Transaction(List.copyOf(conditions), List.copyOf(writes));
   }
--- a/src/main/java/dev/windbend/store/TransactionOutcome.java
+++ b/src/main/java/dev/windbend/store/TransactionOutcome.java
@@ -3,40 +3,43 @@
 import java.util.List;
 
 /**
- * How a transaction ended.
+ * Outcome of a transaction.
  *
- * @param revision the revision of the store: if applied, the version that all written keys now
- *     have; 0 if refused or unknown
+ * @param kind whether the transaction was applied
+ * @param revision the store's revision; if applied, the new version of all written keys; 0 if the
+ *     transaction was refused or its outcome is unknown
  * @param failedKeys the keys whose condition did not hold; empty unless a condition failed
  */
 public record TransactionOutcome(Kind kind, long revision, List<String> failedKeys) {
-  /** What is known of the transaction. */
+  /** Whether the transaction was applied, as far as known. */
   public enum Kind {
     /** All conditions held, and all writes are stored. */
     APPLIED,
 
     /**
-     * Nothing is stored: another writer was first. Read the failed keys before trying again. After
-     * an earlier attempt of unknown outcome, that attempt may be the other writer.
+     * Nothing is stored, because another writer changed a compared key first. Read the failed keys
+     * before retrying. After an earlier attempt with unknown outcome, that attempt may be the other
+     * writer.
      */
     CONDITION_FAILED,
 
-    /** Surely not applied, as it was turned away or never sent. It may be sent again at once. */
+    /** Not applied, because it was rejected or not sent. It may be retried immediately. */
     REFUSED,
 
     /**
-     * No answer: it may have been applied, or may yet be. Send it again with the same conditions,
-     * of which at most one of both attempts can meet, or read the keys.
+     * No valid response: the transaction may have been applied or may still be applied. Retry it
+     * with the same conditions, so that at most one of the two attempts is applied, or read the
+     * keys.
      */
     UNKNOWN
   }
 
-  /** Whether all writes are stored. */
+  /** Returns whether all writes are stored. */
   public boolean applied() {
     return kind == Kind.APPLIED;
   }
 
-  /** Whether another writer was first. */
+  /** Returns whether a condition failed because another writer changed a compared key first. */
   public boolean conditionFailed() {
     return kind == Kind.CONDITION_FAILED;
   }
--- a/src/main/java/dev/windbend/store/WatchResult.java
+++ b/src/main/java/dev/windbend/store/WatchResult.java
@@ -3,21 +3,22 @@
 import java.util.List;
 
 /**
- * What a watch gave.
+ * Result of a watch.
  *
- * @param changes in the order of their revisions; empty unless OK
- * @param revision all changes up to this revision have been handed over
+ * @param status whether the changes are complete
+ * @param changes the changes in order of their revisions; empty unless the status is OK
+ * @param revision the revision up to which all changes have been delivered
  */
 record WatchResult(Status status, List<KeyValue> changes, long revision) {
   /** Whether the changes are complete. */
   enum Status {
-    /** All changes of the prefix between both revisions are in the result. */
+    /** The result contains all changes between the requested revision and its own revision. */
     OK,
 
-    /** The store no longer keeps the changes since that revision: list the prefix again. */
+    /** The store has discarded the changes since the requested revision. List the prefix again. */
     COMPACTED,
 
-    /** No usable answer: watch again from the same revision. */
+    /** There was no valid response. Retry from the same revision. */
     UNAVAILABLE
   }
 }
--- a/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
+++ b/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
@@ -27,29 +27,29 @@
   @Test
   void rejectsRequestsOverLimitWithRetryAfter() {
     int limit = limiter.limit();
-    int[] refused = {0};
+    int[] rejected = {0};
     for (int i = 0; i < limit + 5; i++) {
       limiter.handle(
           request,
           response -> {
             assertThat(response.retryAfterS()).isPositive();
-            refused[0]++;
+            rejected[0]++;
           });
     }
-    assertThat(refused[0]).isEqualTo(5);
+    assertThat(rejected[0]).isEqualTo(5);
     assertThat(inProgress).hasSize(limit);
   }
 
   @Test
   void acceptsOtherRequestWhenSubmissionsReachTheirShare() {
     ServerRequest submission = new ServerRequest("POST", "/", Map.of(), new byte[0]);
-    int[] refused = {0};
+    int[] rejected = {0};
     for (int i = 0; i < limiter.limit(); i++) {
-      limiter.handle(submission, response -> refused[0]++);
+      limiter.handle(submission, response -> rejected[0]++);
     }
-    assertThat(refused[0]).isPositive();
-    limiter.handle(request, response -> refused[0] = -1);
-    assertThat(refused[0]).isPositive();
+    assertThat(rejected[0]).isPositive();
+    limiter.handle(request, response -> rejected[0] = -1);
+    assertThat(rejected[0]).isPositive();
   }
 
   @Test
@@ -57,13 +57,13 @@
     for (int i = 0; i < 300; i++) {
       serveAtLimit(10);
     }
-    int before = limiter.limit();
-    int least = before;
+    int limitBefore = limiter.limit();
+    int lowestLimit = limitBefore;
     for (int i = 0; i < 30; i++) {
       serveAtLimit(2_000);
-      least = Math.min(least, limiter.limit());
+      lowestLimit = Math.min(lowestLimit, limiter.limit());
     }
-    assertThat(least).isLessThan(before);
+    assertThat(lowestLimit).isLessThan(limitBefore);
   }
 
   private void serveAtLimit(long ms) {
--- a/src/test/java/dev/windbend/store/GroupCommitterTest.java
+++ b/src/test/java/dev/windbend/store/GroupCommitterTest.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** What a shard's leader commits together. */
+/** Tests which writes of a shard's leader are combined into one transaction. */
 class GroupCommitterTest {
   private static final int MAX_WRITES = 8;
   private static final int MAX_CONDITIONS = 4 * MAX_WRITES;
@@ -27,7 +27,7 @@
   private final PagedStore pages = new PagedStore("w/p/0/", 4_096, MAX_WRITES);
   private long revision = 10;
 
-  /** A state service that refuses what the protocol's limits on a transaction forbid. */
+  /** Fake state service that rejects transactions above the protocol's limits. */
   private void respond(
       String address,
       String method,
@@ -47,7 +47,7 @@
             : new ClientResponse(200, reply.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** A placement of a job: goes with a page, on condition of the job's record. */
+  /** A placement of a job, stored in a page on condition that the job's record is unchanged. */
   private static final class Placement implements PageEntry {
     private final String job;
     private boolean inFlight;
@@ -108,7 +108,7 @@
     public void onConflict(VersionedValue stored) {}
   }
 
-  /** A record of its own key, such as that of a scale-out. */
+  /** A record with a key of its own, for example a scale-out record. */
   private static final class ScaleOut extends RecordWrite {
     private boolean written;
 
@@ -164,7 +164,10 @@
     }
   }
 
-  /** Guards against a leader whose transaction the store refuses as too large, again and again. */
+  /**
+   * Guards against a transaction with more conditions than the store allows, which the store would
+   * reject on every retry.
+   */
   @Test
   void keepsTransactionsWithinConditionLimit() {
     List<Placement> placements = enqueuePlacements(100);
--- a/src/test/java/dev/windbend/store/PagedStoreTest.java
+++ b/src/test/java/dev/windbend/store/PagedStoreTest.java
@@ -11,11 +11,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Entries in pages against a store that knows versions; writes may be lost, or land late. */
+/**
+ * Tests entries in pages against a fake store with versions. Transactions may be lost or applied
+ * late.
+ */
 class PagedStoreTest {
   private static final int MAX_VALUE_BYTES = 1_024;
 
-  /** Keeps a number, in some bytes. */
+  /** An entry that stores a number, padded by a given number of bytes. */
   private static final class CounterEntry implements PageEntry {
     final String id;
     final int sizeBytes;
@@ -55,7 +58,7 @@
     }
 
     @Override
-    public void beginWrite(TransactionBuilder draft) {
+    public void beginWrite(TransactionBuilder transaction) {
       valueInFlight = value;
     }
 
@@ -76,7 +79,7 @@
     }
 
     @Override
-    public void onConflict(VersionedValue now) {}
+    public void onConflict(VersionedValue stored) {}
   }
 
   private final Map<String, VersionedValue> store = new LinkedHashMap<>();
@@ -99,49 +102,50 @@
   }
 
   private TransactionBuilder beginTransaction() {
-    TransactionBuilder d = new TransactionBuilder();
-    pages.addTo(d);
-    return d;
+    TransactionBuilder transaction = new TransactionBuilder();
+    pages.addTo(transaction);
+    return transaction;
   }
 
-  /** Whether all conditions held. */
-  private boolean applyToStore(TransactionBuilder d) {
-    for (StoreMessages.Condition c : d.build().conditions()) {
-      long is = store.containsKey(c.key()) ? store.get(c.key()).version() : 0;
-      if (is != c.version()) {
+  /** Applies the transaction if all its conditions hold; returns whether it was applied. */
+  private boolean applyToStore(TransactionBuilder transaction) {
+    for (StoreMessages.Condition condition : transaction.build().conditions()) {
+      long actualVersion =
+          store.containsKey(condition.key()) ? store.get(condition.key()).version() : 0;
+      if (actualVersion != condition.version()) {
         return false;
       }
     }
     revision++;
-    for (StoreMessages.Write c : d.build().writes()) {
-      assertThat(Json.write(c.value()).length).isLessThanOrEqualTo(MAX_VALUE_BYTES);
-      store.put(c.putKey(), new VersionedValue(c.value(), revision));
+    for (StoreMessages.Write write : transaction.build().writes()) {
+      assertThat(Json.write(write.value()).length).isLessThanOrEqualTo(MAX_VALUE_BYTES);
+      store.put(write.putKey(), new VersionedValue(write.value(), revision));
     }
     return true;
   }
 
   private int writeAll() {
-    int changes = 0;
+    int pageWrites = 0;
     while (pages.dirty()) {
-      TransactionBuilder d = beginTransaction();
-      changes += d.writeCount();
-      if (applyToStore(d)) {
+      TransactionBuilder transaction = beginTransaction();
+      pageWrites += transaction.writeCount();
+      if (applyToStore(transaction)) {
         pages.onApplied(revision);
       } else {
         pages.onNotApplied();
-        for (StoreMessages.Condition c : d.build().conditions()) {
-          pages.onConflict(c.key(), store.get(c.key()));
+        for (StoreMessages.Condition condition : transaction.build().conditions()) {
+          pages.onConflict(condition.key(), store.get(condition.key()));
         }
       }
     }
-    return changes;
+    return pageWrites;
   }
 
   private void assertNextLeaderRestoresAll() {
     Map<String, JsonNode> found = new PagedStore("w/p/0/", MAX_VALUE_BYTES, 8).restore(store);
-    for (CounterEntry c : counters) {
-      if (c.storedValue > 0 && !c.obsolete) {
-        assertThat(found.get(c.id).asText()).as(c.id).isEqualTo(c.snapshot());
+    for (CounterEntry counter : counters) {
+      if (counter.storedValue > 0 && !counter.obsolete) {
+        assertThat(found.get(counter.id).asText()).as(counter.id).isEqualTo(counter.snapshot());
       }
     }
   }
@@ -157,7 +161,7 @@
       assertThat(writeAll()).isEqualTo(1);
       assertNextLeaderRestoresAll();
     }
-    assertThat(store.size()).as("pages become free again").isLessThan(8);
+    assertThat(store.size()).as("number of pages, which are reused when free").isLessThan(8);
   }
 
   @Test
@@ -169,7 +173,7 @@
     pages.onNotApplied();
     change(0, 1);
     writeAll();
-    assertThat(applyToStore(lost)).as("its page has another version by now").isFalse();
+    assertThat(applyToStore(lost)).as("whether the delayed transaction is applied").isFalse();
     assertNextLeaderRestoresAll();
   }
 
@@ -197,9 +201,9 @@
     next.finishRestore();
     counters.get(1).value++;
     next.markChanged(counters.get(1));
-    TransactionBuilder d = new TransactionBuilder();
-    next.addTo(d);
-    assertThat(applyToStore(d)).isTrue();
+    TransactionBuilder transaction = new TransactionBuilder();
+    next.addTo(transaction);
+    assertThat(applyToStore(transaction)).isTrue();
     next.onApplied(revision);
     assertNextLeaderRestoresAll();
   }
--- a/src/test/java/dev/windbend/store/RequestPacerTest.java
+++ b/src/test/java/dev/windbend/store/RequestPacerTest.java
@@ -26,7 +26,7 @@
     sent.clear();
   }
 
-  /** In a burst of submissions scale-out would come too late, were users' writes always first. */
+  /** Guards against scale-out writes being delayed by user writes in a burst of submissions. */
   @Test
   void alternatesUserAndLeaderWrites() {
     exhaustWriteTokens();
@@ -64,7 +64,7 @@
     assertThat(rejected).isEqualTo(1);
   }
 
-  /** A lease's renewal goes at once even with no token left; the calls in the lanes pay for it. */
+  /** Lease renewals are sent even without tokens; queued calls wait until the debt is repaid. */
   @Test
   void delaysQueuedCallAfterUnqueuedCalls() {
     for (int i = 0; i < 2 * REQUESTS_PER_SECOND; i++) {
--- a/src/test/java/dev/windbend/store/StoreMessagesTest.java
+++ b/src/test/java/dev/windbend/store/StoreMessagesTest.java
@@ -16,28 +16,28 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Messages from and to the state service, and pages of entries as stored there. */
+/** Tests the JSON of messages to and from the state service, and of stored pages of entries. */
 class StoreMessagesTest {
   static Stream<Arguments> messages() {
     return Stream.of(
         arguments(
-            "key",
+            "stored key",
             new StoreMessages.StoredKey("a/b", tree("{\"k\":1}"), 412),
             """
             {"path":"a/b","v":{"k":1},"stamp":412}"""),
         arguments(
-            "list of keys",
+            "key list",
             new StoreMessages.KeyList(
                 List.of(new StoreMessages.StoredKey("c/8", tree("true"), 430)), true, 431),
             """
             {"pairs":[{"path":"c/8","v":true,"stamp":430}],"has_next":true,"ledger":431}"""),
         arguments(
-            "transaction that was applied",
+            "result of an applied transaction",
             new StoreMessages.TransactionResult(432, null),
             """
             {"ledger":432}"""),
         arguments(
-            "transaction that was not applied",
+            "result of a transaction with failed conditions",
             new StoreMessages.TransactionResult(431, List.of("a/b", "c/d")),
             """
             {"ledger":431,"failed":["a/b","c/d"]}"""),
@@ -55,17 +55,17 @@
             "then":[{"set":"a/b","v":{"k":1},"permit":7},{"set":"a/c","v":[2]},
             {"remove":"c/d"}]}"""),
         arguments(
-            "transaction of nothing",
+            "empty transaction",
             new StoreMessages.Transaction(List.of(), List.of()),
             """
             {"when":[],"then":[]}"""),
         arguments(
-            "lease wanted",
+            "lease request",
             new StoreMessages.LeaseRequest(5_000),
             """
             {"life_ms":5000}"""),
         arguments(
-            "lease",
+            "lease grant",
             new StoreMessages.LeaseGrant(7),
             """
             {"permit":7}"""),
@@ -80,12 +80,12 @@
             {"ledger":433,
             "log":[{"set":"c/9","v":{"k":1},"stamp":433},{"remove":"c/d","stamp":432}]}"""),
         arguments(
-            "page of entries as stored",
+            "stored page",
             new PageRecord(entries("wk-000001:2", "{\"a\":1}", "wk-000001/0", "{\"d\":\"BYA=\"}")),
             """
             {"e":{"wk-000001:2":{"a":1},"wk-000001/0":{"d":"BYA="}}}"""),
-        arguments("empty page as stored", new PageRecord(Map.of()), "{\"e\":{}}"),
-        arguments("page without entries", new PageRecord(null), "{}"));
+        arguments("stored page without entries", new PageRecord(Map.of()), "{\"e\":{}}"),
+        arguments("stored page with entries missing", new PageRecord(null), "{}"));
   }
 
   private static Map<String, JsonNode> entries(
@@ -114,17 +114,17 @@
         "{\"set\":null,\"permit\":null,\"remove\":null,\"stamp\":null}",
         StoreMessages.Write.class,
         new StoreMessages.Write(null, null, null, null, null));
-    // The state service says more of a key than we ask for.
+    // The state service also sends fields that the client does not use, such as the lease.
     assertRead(
         "{\"path\":\"a/b\",\"v\":{\"k\":1},\"stamp\":412,\"permit\":7}",
         StoreMessages.StoredKey.class,
         new StoreMessages.StoredKey("a/b", tree("{\"k\":1}"), 412));
   }
 
-  /** Values go in whole, and within them too what is null is left out. */
+  /** Null fields are omitted, also within values. Of two conditions on a key the first is kept. */
   @Test
   void buildsTransaction() {
-    TransactionBuilder draft =
+    TransactionBuilder transaction =
         new TransactionBuilder()
             .ifVersion("a", 3)
             .ifVersion("a", 4)
@@ -132,7 +132,7 @@
             .put("b", new StoreMessages.LeaseGrant(2))
             .delete("c");
     assertWritten(
-        draft.build(),
+        transaction.build(),
         """
         {"when":[{"path":"a","stamp":3}],
         "then":[{"set":"a","v":{"ledger":1},"permit":9},{"set":"b","v":{"permit":2}},
