--- a/src/main/java/dev/windbend/store/GroupCommitter.java
+++ b/src/main/java/dev/windbend/store/GroupCommitter.java
@@ -164,7 +164,7 @@
     }
     if (!outcome.conditionFailed()) {
       // After an unknown outcome the same conditions are sent again, so at most one of the two
-      // attempts is applied; a conflict shows that the first one was.
+      // attempts is applied. If the first one was, the second one ends in a conflict.
       LOG.debug("transaction not applied, retrying: outcome={}", outcome.kind());
       retry(RETRY_MS);
     } else if (outcome.failedKeys().contains(guardKey)) {
--- a/src/main/java/dev/windbend/store/RequestPacer.java
+++ b/src/main/java/dev/windbend/store/RequestPacer.java
@@ -5,8 +5,8 @@
 
 /**
  * Sends queued calls within two rate limits: one on all requests, one on the keys written. Each
- * lane is a bounded first-in, first-out queue; a call waits only for earlier calls of its own lane
- * and for the rate limits.
+ * lane is a bounded first-in, first-out queue. Reads do not wait behind writes, and the two lanes
+ * of writes are served alternately.
  */
 final class RequestPacer {
   private static final int MAX_QUEUED = 400;
@@ -82,7 +82,7 @@
 
   private void drain() {
     if (draining) {
-      return; // reentrant call from send(); the outer invocation continues draining
+      return; // reentrant call while a call is being sent; the outer invocation continues
     }
     draining = true;
     try {
--- a/src/main/java/dev/windbend/store/StoreClient.java
+++ b/src/main/java/dev/windbend/store/StoreClient.java
@@ -66,14 +66,14 @@
    */
   public StoreClient(
       EventLoop loop,
-      HttpClient web,
+      HttpClient httpClient,
       String address,
       double requestsPerSecond,
       double writesPerSecond,
       int maxWritesPerTransaction,
       int controllers) {
     this.loop = loop;
-    this.httpClient = web;
+    this.httpClient = httpClient;
     this.address = address;
     this.maxWritesPerTransaction = maxWritesPerTransaction;
     double share = Math.min(1.0, RATE_SHARE_FACTOR / controllers);
--- a/src/main/java/dev/windbend/store/StoreMessages.java
+++ b/src/main/java/dev/windbend/store/StoreMessages.java
@@ -29,8 +29,8 @@
   record Condition(@JsonProperty("path") String key, @JsonProperty("stamp") long version) {}
 
   /**
-   * A write of a transaction, or a change of a watch: {@code put} with its value, or {@code
-   * delete}.
+   * A write of a transaction, or a change in the response to a watch: either a put of a key and its
+   * value, or a deletion of a key.
    *
    * @param putKey the key written; null for a deletion
    * @param lease the lease whose expiry deletes the key; null if there is none
