--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -93,7 +93,7 @@
             leaders::transfer);
     JobProgress progress = new JobProgress();
     replica.addListener(machines::recordChanged);
-    replica.addListener(progress::changed);
+    replica.addListener(progress::onChange);
     replica.addListener(leaders::keyChanged);
     this.shardContext = newContext(cloud, members.count());
     MetricsEndpoint metrics =
@@ -192,11 +192,12 @@
             cancellationBroadcaster::broadcast,
             new JobAdmission(layout, settings.deployment().teams(), catalog),
             spec -> pendingReason.of(spec).orElse(null));
-    ConcurrencyLimiter limiter = new ConcurrencyLimiter(loop, JobHandler::submits, jobs::handle);
+    ConcurrencyLimiter limiter =
+        new ConcurrencyLimiter(loop, JobHandler::isSubmission, jobs::handle);
     return new RequestRouter()
         .post("/hello", new HeartbeatRouter(settings.node(), replica, machines, election, leaders))
         .get("/up", new HealthCheck(replica, catalog, store, outageDetector))
-        .subtree(JobHandler::serves, limiter::handle);
+        .subtree(JobHandler::handlesPath, limiter::handle);
   }
 
   private RequestRouter newPeerEndpoints(MetricsEndpoint metrics) {
--- a/src/main/java/dev/windbend/daemon/ShardLeaders.java
+++ b/src/main/java/dev/windbend/daemon/ShardLeaders.java
@@ -99,8 +99,8 @@
    * @param value null: it was removed
    */
   void keyChanged(String key, VersionedValue value) {
-    if (key.startsWith(JobRecord.LIVE)) {
-      String uid = key.substring(JobRecord.LIVE.length());
+    if (key.startsWith(JobRecord.LIVE_PREFIX)) {
+      String uid = key.substring(JobRecord.LIVE_PREFIX.length());
       for (ShardLeader leader : snapshot()) {
         leader.jobRecordChanged(uid, value);
       }
--- a/src/main/java/dev/windbend/shard/PendingJobBuilder.java
+++ b/src/main/java/dev/windbend/shard/PendingJobBuilder.java
@@ -39,7 +39,7 @@
       Job job, long nowMs, Object2IntOpenHashMap<String> machineIndexByName, boolean guaranteed) {
     long ageMs = deadlines.ageMs(job);
     return new PendingJob(
-        job.team(),
+        job.teamIndex(),
         job.spec().urgency().rank(),
         requirements(job),
         constraints(job, machineIndexByName),
@@ -73,7 +73,7 @@
         job.waitingCount(),
         starvedJobs.placedTasksPerZone(job),
         ageMs,
-        job.begun(),
+        job.started(),
         StarvedJobs.isStarved(job, nowMs),
         state.zones().displaced(job));
   }
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -173,7 +173,7 @@
     double[] gpus = new double[cores.length];
     Set<Job> guaranteed = new HashSet<>();
     for (Job job : jobs) {
-      int team = job.team();
+      int team = job.teamIndex();
       int openTasks = job.waitingCount() + job.placements().size();
       cores[team] += openTasks * job.spec().cores();
       gpus[team] += openTasks * job.spec().gpus();
--- a/src/main/java/dev/windbend/zone/Displacements.java
+++ b/src/main/java/dev/windbend/zone/Displacements.java
@@ -53,7 +53,7 @@
     while (all.hasNext()) {
       Displaced d = all.next();
       boolean known = jobs.find(d.job.spec().uid()) == d.job;
-      if (!known || d.job.cancelled() || d.job.over()) {
+      if (!known || d.job.cancelled() || d.job.finished()) {
         all.remove();
       } else if (runsAgain(d.job)) {
         metrics.runsAgain(d.job.spec().urgency(), nowMs - d.lostMs);
@@ -68,7 +68,7 @@
   }
 
   private static boolean confirmedRunning(Placement placement) {
-    return placement.seen();
+    return placement.reported();
   }
 
   /** The most urgent of a zone's displaced jobs, for the record. */
--- a/src/main/java/dev/windbend/zone/EvacuationTasks.java
+++ b/src/main/java/dev/windbend/zone/EvacuationTasks.java
@@ -28,7 +28,7 @@
     Job job = p.job();
     long estimateMs = times.estimateMs(job);
     long ranMs = ranMs(p, estimateMs, nowMs);
-    long stepMs = (long) (MS * job.spec().checkpointS());
+    long stepMs = (long) (MS * job.spec().checkpointIntervalSeconds());
     long unsavedMs = stepMs > 0 ? ranMs % stepMs : ranMs;
     long savedMs = ranMs - unsavedMs;
     return new EvacuationPlan.Task(
@@ -42,8 +42,8 @@
 
   /** A task taken over from a former owner and not heard of since is half way, for all we know. */
   private static long ranMs(Placement p, long estimateMs, long nowMs) {
-    if (p.runningMs() >= 0) {
-      return nowMs - p.runningMs();
+    if (p.runningSinceMs() >= 0) {
+      return nowMs - p.runningSinceMs();
     }
     return p.inherited() ? estimateMs / 2 : 0;
   }
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -101,7 +101,7 @@
 
   ZoneMonitorTest() {
     catalog.start();
-    loop.waiting.clear();
+    loop.pendingTasks.clear();
     monitor = monitor();
     MachineIndex index = new MachineIndex();
     for (int rental = 0; rental < RENTALS; rental++) {
@@ -166,9 +166,9 @@
     int number = 0;
     for (Machine m : fleet.machines()) {
       if (m.zone() == zone) {
-        Job job = TestJobs.job(number, URGENCIES.get(number++ % URGENCIES.size()));
+        Job job = TestJobs.createJob(number, URGENCIES.get(number++ % URGENCIES.size()));
         var placement = job.place(0, m.name(), loop.nowMs, 7, 1);
-        placement.recordSeen();
+        placement.recordReported();
         placement.recordRunning(loop.nowMs - ranMs);
         m.add(placement);
       }
@@ -200,7 +200,7 @@
       for (int zone : reporting) {
         report(zone);
       }
-      loop.fire();
+      loop.runPendingTasks();
       monitor.look(loop.nowMs, 0);
       health.check(loop.nowMs, 0, monitor::evacuates);
       fleet.processPending();
