--- a/src/main/java/dev/windbend/daemon/Arguments.java
+++ b/src/main/java/dev/windbend/daemon/Arguments.java
@@ -4,14 +4,15 @@
 import java.util.Optional;
 
 /**
- * The command line. It is read without a library, which would cost a starting controller processor
- * time.
+ * The parsed command line. It is parsed without a library, because loading one would use CPU time
+ * at each start of a controller.
  *
- * @param config the platform's settings file; there for {@link Action#RUN}
- * @param settings the operators' own settings file; without it the defaults hold
+ * @param action what the process does
+ * @param config the platform's settings file (TOML); present if the action is {@link Action#RUN}
+ * @param settings the operators' settings file (INI); if empty, the defaults apply
  */
 record Arguments(Action action, Optional<Path> config, Optional<Path> settings) {
-  /** What {@code --help} prints, and a wrong command line after its message. */
+  /** Help text, printed by {@code --help} and after the error for an invalid command line. */
   static final String USAGE =
       """
       Usage: windbend [-hV] [--config=FILE] [--settings=FILE]
@@ -28,19 +29,19 @@
   private static final String CONFIG = "--config";
   private static final String SETTINGS = "--settings";
 
-  /** What the process is asked to do. */
+  /** What the process does. */
   enum Action {
-    /** Run a controller. */
+    /** Runs a controller. */
     RUN,
-    /** Print {@link #USAGE}. */
+    /** Prints {@link #USAGE}. */
     HELP,
-    /** Print the version. */
+    /** Prints the version. */
     VERSION,
-    /** Run {@link ClassArchiveTraining}; used by the build only, and not in the usage text. */
+    /** Runs {@link ClassArchiveTraining}. Only the build uses it, so the help text omits it. */
     TRAIN_CLASS_ARCHIVE
   }
 
-  /** A wrong command line; the message says what is wrong. */
+  /** Thrown for an invalid command line. The message states the reason for the user. */
   static final class InvalidArgumentsException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -49,14 +50,20 @@
     }
   }
 
+  /**
+   * Parses the command line.
+   *
+   * @throws InvalidArgumentsException if an option is unknown or lacks its value, if a file is
+   *     given twice, or if the settings file that {@link Action#RUN} requires is missing
+   */
   static Arguments parse(String... arguments) throws InvalidArgumentsException {
     return new Parser(arguments).parse();
   }
 
-  /** Reads the arguments from left to right. */
+  /** Parses the arguments from left to right. */
   private static final class Parser {
     private final String[] arguments;
-    private int next;
+    private int nextIndex;
     private Action action = Action.RUN;
     private Path config;
     private Path settings;
@@ -66,8 +73,8 @@
     }
 
     Arguments parse() throws InvalidArgumentsException {
-      while (next < arguments.length) {
-        readOption(arguments[next++]);
+      while (nextIndex < arguments.length) {
+        readOption(arguments[nextIndex++]);
       }
       if (action == Action.RUN && config == null) {
         throw new InvalidArgumentsException("--config FILE is needed; see --help");
@@ -88,16 +95,21 @@
       }
     }
 
-    /** The option's value, which follows its name after an equals sign or as the next argument. */
+    /**
+     * Returns the file of an option, which follows the option's name after an equals sign or as the
+     * next argument.
+     *
+     * @param previous the file from an earlier occurrence of the option; null if there is none
+     */
     private Path readFile(String name, String argument, Path previous)
         throws InvalidArgumentsException {
       boolean isNextArgument = argument.equals(name);
-      if (isNextArgument && next == arguments.length) {
+      if (isNextArgument && nextIndex == arguments.length) {
         throw new InvalidArgumentsException(
             "Missing required parameter for option '" + name + "' (FILE)");
       }
       Path file =
-          Path.of(isNextArgument ? arguments[next++] : argument.substring(name.length() + 1));
+          Path.of(isNextArgument ? arguments[nextIndex++] : argument.substring(name.length() + 1));
       if (previous != null) {
         throw new InvalidArgumentsException("option '" + name + "' should be specified only once");
       }
--- a/src/main/java/dev/windbend/daemon/ClassArchiveTraining.java
+++ b/src/main/java/dev/windbend/daemon/ClassArchiveTraining.java
@@ -9,10 +9,11 @@
 import java.util.Map;
 
 /**
- * A training run for the JVM's class archive: the program runs for a moment on loopback against
- * services in memory, so that the build's archive holds the classes that a controller needs. It
- * serves jobs from submission to end, and a second controller takes over. A class that is not in
- * the archive is read, verified and linked at each start, on a share of a core.
+ * A training run for the JVM's class archive, which the build creates from the classes loaded in
+ * this run. Two controllers run for a few seconds on the loopback interface with an in-memory state
+ * service and cloud. The run includes jobs from submission to completion and failovers. A class
+ * that is missing from the archive is read, verified and linked at each start of a controller,
+ * which may have only a share of a core.
  */
 final class ClassArchiveTraining {
   private static final long FAILOVER_AFTER_MS = 4_000;
@@ -25,7 +26,7 @@
   private static final String ANY_PORT = LOOPBACK + 0;
   private static final String PLACEHOLDER_ADDRESS = LOOPBACK + 1;
 
-  /** The placeholder stands for the address of the cloud and the state service. */
+  /** Platform settings; the placeholder is the address of the cloud and the state service. */
   private static final String SETTINGS_TEMPLATE =
       """
       host_name = "training"
@@ -72,6 +73,7 @@
       list_lag_s = 1.0
       """;
 
+  /** A job submission; the placeholders are the job's id and urgency. */
   private static final String SUBMISSION_TEMPLATE =
       """
       {"uid":"%s","fleet":"kind","crew":"team","shape":"batch","urgency":"%s",
@@ -96,7 +98,7 @@
     this.services = new TrainingServices(loop);
   }
 
-  /** Settings with no services, which exercise the reading of a settings file. */
+  /** Returns settings without usable services; reading them loads the classes of the parser. */
   static Settings settings() throws InvalidSettingsException {
     return settings(PLACEHOLDER_ADDRESS);
   }
@@ -105,7 +107,7 @@
     return SettingsReader.parse(SETTINGS_TEMPLATE.formatted(servicesAddress));
   }
 
-  /** Starts the run; at its end the process ends. */
+  /** Starts the training run and returns. The process exits at the end of the run. */
   static void run(Policy policy, IoThread thread) {
     new ClassArchiveTraining(policy, thread).start();
   }
@@ -119,8 +121,9 @@
   }
 
   /**
-   * The second controller has the name of the first, so it takes its shard over at once. The first
-   * goes on, so that they depose one another: more failovers.
+   * Starts a controller, which receives all requests from then on. The second controller has the
+   * name of the first, so it becomes the leader of the shard at once. The first controller keeps
+   * running, so that the two depose each other and cause further failovers.
    */
   private void startController(InetSocketAddress servicesAddress) {
     Settings settings;
@@ -135,7 +138,7 @@
     loop.after(0, controller::start);
   }
 
-  /** Requests of a health check, a user and all workers. */
+  /** Sends the requests of a health check, a user and all workers. */
   private void sendRequests() {
     send("GET", "/up", null);
     if (submittedJobs < JOB_COUNT) {
@@ -164,9 +167,9 @@
   }
 
   /**
-   * Sends a request to the latest controller.
+   * Sends a request to the controller that was started last and ignores the response.
    *
-   * @param body null: none
+   * @param body the request body; null for a request without a body
    */
   private void send(String method, String path, String body) {
     byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -29,9 +29,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One controller: wires its parts together and starts them. All of it runs on one event loop. */
+/** One controller: creates, connects and starts its components, which share one event loop. */
 final class Controller {
-  /** The prefix of all keys that windbend keeps in the state service. */
+  /** Prefix of all keys that windbend stores in the state service. */
   private static final String KEY_PREFIX = "w/";
 
   private static final double MS_PER_SECOND = 1_000;
@@ -57,9 +57,9 @@
   private final RequestHandler peerEndpoints;
 
   /**
-   * A controller that has not started yet.
+   * Creates a controller that has not started yet.
    *
-   * @param http calls the state service, the cloud, the other controllers and workers
+   * @param http client for calls to the state service, the cloud, other controllers and workers
    */
   Controller(Settings settings, Policy policy, EventLoop loop, HttpClient http) {
     this.settings = settings;
@@ -102,7 +102,7 @@
     this.peerEndpoints = newPeerEndpoints(metricsEndpoint);
   }
 
-  /** Starts to read the state service and to stand for election. */
+  /** Starts reading the state service and taking part in leader elections. */
   void start() {
     catalog.start();
     replica.start();
@@ -110,12 +110,12 @@
     outageDetector.start();
   }
 
-  /** Handles what users, workers and health checks send. */
+  /** Returns the handler for requests of users, workers and health checks. */
   RequestHandler clientEndpoints() {
     return clientEndpoints;
   }
 
-  /** Handles what other controllers and operators send. */
+  /** Returns the handler for requests of other controllers and operators. */
   RequestHandler peerEndpoints() {
     return peerEndpoints;
   }
--- a/src/main/java/dev/windbend/daemon/ControllerMembership.java
+++ b/src/main/java/dev/windbend/daemon/ControllerMembership.java
@@ -6,12 +6,13 @@
 import java.util.Map;
 
 /**
- * The controllers of the deployment, this one first.
+ * Names and addresses of the deployment's controllers.
  *
- * @param controllerNames the names of all
- * @param peerAddresses host and port of the others, in their order
- * @param peerAddressByName the same by name
- * @param controllerCount how many there are; more than {@code nodes} if the settings name not all
+ * @param controllerNames names of the controllers in the settings, this controller first
+ * @param peerAddresses host and port of each other controller, in the order of the names
+ * @param peerAddressByName host and port of each other controller, by its name
+ * @param controllerCount number of controllers in the deployment; exceeds the number of names if
+ *     the settings do not list every controller
  */
 record ControllerMembership(
     List<String> controllerNames,
@@ -19,6 +20,7 @@
     Map<String, String> peerAddressByName,
     int controllerCount) {
 
+  /** Returns the controllers in the settings. */
   static ControllerMembership of(Settings settings) {
     List<String> controllerNames = new ArrayList<>(List.of(settings.controllerName()));
     List<String> peerAddresses = new ArrayList<>();
--- a/src/main/java/dev/windbend/daemon/DeploymentSpecMapper.java
+++ b/src/main/java/dev/windbend/daemon/DeploymentSpecMapper.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.stream.DoubleStream;
 
-/** Maps the settings to what the leaders of shards need of them. */
+/** Converts the deployment's settings to the {@link DeploymentSpec} that shard leaders use. */
 final class DeploymentSpecMapper {
   private static final double MIN_ASSUMED_LIST_LAG_SECONDS = 1;
   private static final int BYTES_PER_KIB = 1024;
@@ -15,9 +15,9 @@
   private DeploymentSpecMapper() {}
 
   /**
-   * The deployment as the settings describe it.
+   * Converts the deployment's settings.
    *
-   * @param controllerCount how many controllers there are
+   * @param controllerCount number of controllers in the deployment
    */
   static DeploymentSpec map(Settings.Deployment deployment, int controllerCount) {
     return new DeploymentSpec(
@@ -48,7 +48,11 @@
     return quotas;
   }
 
-  /** Objectives of an unknown kind, or without what their kind needs, are ignored. */
+  /**
+   * Groups objectives by kind of job. Of several wait objectives, the longest time applies; finish
+   * times and deadline factors are all kept, in ascending order. Objectives of an unknown kind, or
+   * without a field that their kind requires, are ignored.
+   */
   private static DeploymentSpec.ServiceObjectives serviceObjectives(
       List<Settings.Objective> objectives) {
     Map<String, double[]> deadlineFactors = new HashMap<>();
@@ -80,8 +84,8 @@
     valuesByJobKind.merge(
         jobKind,
         new double[] {value},
-        (present, added) ->
-            DoubleStream.concat(DoubleStream.of(present), DoubleStream.of(added))
+        (existing, added) ->
+            DoubleStream.concat(DoubleStream.of(existing), DoubleStream.of(added))
                 .sorted()
                 .toArray());
   }
--- a/src/main/java/dev/windbend/daemon/HealthCheck.java
+++ b/src/main/java/dev/windbend/daemon/HealthCheck.java
@@ -10,7 +10,7 @@
 import dev.windbend.store.StoreClient;
 import java.util.function.Consumer;
 
-/** Answers whether this controller can serve users and workers: 200 or 503. */
+/** Responds with 200 if this controller can serve users and workers, and with 503 otherwise. */
 final class HealthCheck implements RequestHandler {
   private static final long MAX_HEALTHY_STORE_FAILURE_MS = 3_000;
 
@@ -41,8 +41,10 @@
   }
 
   /**
-   * Whether the state service fails this controller, but not the others. In an outage for all, no
-   * controller is better than another, and requests are answered with when to retry.
+   * Returns whether the state service fails for this controller only: another controller has been
+   * served recently, or no other controller responds. In an outage that affects all controllers,
+   * this one stays healthy: no other controller could serve better, and its responses state when to
+   * retry.
    */
   private boolean isIsolatedFromStore() {
     return store.failingForMs() > MAX_HEALTHY_STORE_FAILURE_MS
--- a/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
+++ b/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
@@ -15,13 +15,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Routes a worker's heartbeat to the leader of its machine's shard. If that is another controller,
- * the worker is told which (421); while nobody can answer, it is to retry (503).
+ * Routes a worker's heartbeat to the leader of its machine's shard. If another controller is the
+ * leader, the response names that controller (421). If no leader can handle the heartbeat yet, the
+ * worker has to retry (503).
  */
 final class HeartbeatRouter implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatRouter.class);
 
-  /** The shard whose leader takes in orphaned machines. */
+  /** Shard whose leader adopts orphaned machines. */
   private static final int ORPHANED_MACHINES_SHARD = 0;
 
   private final String controllerName;
@@ -46,7 +47,8 @@
   @Override
   public void handle(ServerRequest request, Consumer<ServerResponse> done) {
     if (!replica.synced()) {
-      // Whose machine it is isn't known yet, and parsing the message would delay the first sync.
+      // The machine's shard is unknown until the replica is synced, and parsing the heartbeat would
+      // delay the first sync.
       done.accept(ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE));
       return;
     }
@@ -64,12 +66,16 @@
     }
   }
 
-  /** No leader here has the machine: it is another controller's, orphaned, or being taken over. */
+  /**
+   * Handles a heartbeat from a machine that no ready leader on this controller has: its shard is
+   * led by another controller, its local leader has not recovered the machine yet, or it is
+   * orphaned.
+   */
   private void handleWithoutLocalLeader(
       WorkerMessages.Heartbeat heartbeat, Consumer<ServerResponse> done) {
     String machine = heartbeat.machine();
     int recordedShard = machineIndex.shardOf(machine);
-    LOG.debug("heartbeat not led here: shard={} machine={}", recordedShard, machine);
+    LOG.debug("no local leader for heartbeat: shard={} machine={}", recordedShard, machine);
     boolean isUnassigned = recordedShard < 0;
     int shard = isUnassigned ? ORPHANED_MACHINES_SHARD : recordedShard;
     ShardLeader leader = leaders.leaderOf(shard);
--- a/src/main/java/dev/windbend/daemon/InvalidSettingsException.java
+++ b/src/main/java/dev/windbend/daemon/InvalidSettingsException.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * A settings file that cannot be used. The message is meant for the operator; file, section, key
- * and accepted values are there as far as they are known.
+ * Thrown if a settings file is unreadable or invalid. The message is written for operators. File,
+ * section, key and expected values are available as far as they are known.
  */
 final class InvalidSettingsException extends Exception {
   private static final long serialVersionUID = 1L;
@@ -25,36 +25,40 @@
     this.expected = expected;
   }
 
-  /** The file cannot be read. */
+  /** Creates an exception for a file that cannot be read. */
   static InvalidSettingsException unreadable(Path file, String reason, IOException cause) {
     return new InvalidSettingsException(
         "cannot read " + file + ": " + reason, file.toString(), null, null, null, cause);
   }
 
-  /** The text is not in this format, for instance TOML. */
+  /** Creates an exception for a text that is not in the given format, for instance TOML. */
   static InvalidSettingsException malformed(String format, IOException cause) {
     return new InvalidSettingsException(
         "not " + format + ": " + cause.getMessage(), null, null, null, null, cause);
   }
 
-  /** A TOML key lacks a value, or has one that is not accepted. */
+  /** Creates an exception for a TOML key that is missing or has an invalid value. */
   static InvalidSettingsException missingOrInvalid(String section, String key) {
     return new InvalidSettingsException(
         "missing or invalid: " + qualifiedKey(section, key), null, section, key, null, null);
   }
 
-  /** As {@link #missingOrInvalid(String, String)}, with a remark, for instance on the format. */
-  static InvalidSettingsException missingOrInvalid(String section, String key, String expected) {
+  /**
+   * Creates an exception for a TOML key that is missing or has an invalid value.
+   *
+   * @param detail follows the key in the message, for instance the required format
+   */
+  static InvalidSettingsException missingOrInvalid(String section, String key, String detail) {
     return new InvalidSettingsException(
-        "missing or invalid: " + qualifiedKey(section, key) + " " + expected,
+        "missing or invalid: " + qualifiedKey(section, key) + " " + detail,
         null,
         section,
         key,
-        expected,
+        detail,
         null);
   }
 
-  /** The value of a TOML key has another type. */
+  /** Creates an exception for a TOML key whose value has the wrong type. */
   static InvalidSettingsException wrongType(String section, String key, String expected) {
     return new InvalidSettingsException(
         "wrong type at " + qualifiedKey(section, key) + ": it must be " + expected,
@@ -65,7 +69,7 @@
         null);
   }
 
-  /** The value of an INI key is not one of those accepted. */
+  /** Creates an exception for an INI key whose value is malformed or out of range. */
   static InvalidSettingsException invalidValue(
       String section, String key, String expected, String value) {
     return new InvalidSettingsException(
@@ -77,7 +81,7 @@
         null);
   }
 
-  /** An INI section has another name now. */
+  /** Creates an exception for an INI section that is given under its former name. */
   static InvalidSettingsException renamedSection(String formerName, String currentName) {
     return new InvalidSettingsException(
         "[" + formerName + "] is now called [" + currentName + "]",
@@ -88,28 +92,28 @@
         null);
   }
 
-  /** This exception with the file, which the message then starts with. */
+  /** Returns a copy of this exception with the file, whose name also starts the message. */
   InvalidSettingsException withFile(Path path) {
     return new InvalidSettingsException(
         path + ": " + getMessage(), path.toString(), section, key, expected, this);
   }
 
-  /** The file, as it was named on the command line. */
+  /** Returns the file as named on the command line. */
   Optional<String> file() {
     return Optional.ofNullable(file);
   }
 
-  /** The section or table; empty for the top level of a TOML file. */
+  /** Returns the section or table; an empty string for the top level of a TOML file. */
   Optional<String> section() {
     return Optional.ofNullable(section);
   }
 
-  /** The key within the section. */
+  /** Returns the key within the section. */
   Optional<String> key() {
     return Optional.ofNullable(key);
   }
 
-  /** What the key accepts: a type, a range with its bounds, or a format. */
+  /** Returns what the key accepts, for instance a type, a range with its bounds, or a format. */
   Optional<String> expected() {
     return Optional.ofNullable(expected);
   }
--- a/src/main/java/dev/windbend/daemon/IoThread.java
+++ b/src/main/java/dev/windbend/daemon/IoThread.java
@@ -16,7 +16,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The one thread that a controller runs on: its event loop, HTTP client and HTTP server. */
+/** The only thread of a controller, with its event loop, HTTP client and HTTP server. */
 final class IoThread {
   private static final int BUFFER_BYTES = 8_192;
   private static final int MAX_POOLED_BUFFERS = 64;
@@ -35,10 +35,10 @@
   }
 
   /**
-   * Starts the thread, runs the task on it and returns when the task has ended; the thread goes on.
-   * All that reads files must be done before: the caller's thread waits, because where the platform
-   * rewrites the places that often make system calls, two threads in the same one (libc's read) at
-   * that moment end the process.
+   * Starts the thread, runs the task on it and returns when the task has ended. The thread keeps
+   * running. The calling thread waits meanwhile, and code that reads files must run before this
+   * method: some platforms patch frequently used system call sites at run time, and the process
+   * crashes if two threads execute the same site, for instance in libc's read, during the patch.
    *
    * @param onFailure called on the thread if the task throws
    */
@@ -46,7 +46,7 @@
       throws IOException, InterruptedException {
     DefaultByteBufferPool buffers =
         new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
-    Undertow.builder(); // reads files, so it is loaded here
+    Undertow.builder(); // loads classes that read files before the thread starts
     CountDownLatch started = new CountDownLatch(1);
     XnioWorker worker = Xnio.getInstance().createWorker(workerOptions());
     worker
@@ -81,10 +81,10 @@
   }
 
   /**
-   * Listens on a port and handles its requests on this thread.
+   * Listens on an address and handles its requests on this thread.
    *
-   * @param address host and port; port 0: any free one
-   * @return the address listened on
+   * @param address host and port; port 0 selects a free port
+   * @return the address that the server listens on
    */
   InetSocketAddress listen(String address, RequestHandler handler) {
     return HttpServer.listen(worker, buffers, address, handler);
--- a/src/main/java/dev/windbend/daemon/JobAdmission.java
+++ b/src/main/java/dev/windbend/daemon/JobAdmission.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Admits the jobs that the deployment could ever run: those of a known team whose single task is
- * within the team's limit and fits a machine type that the job allows.
+ * Admits a job only if the deployment can run it: the job's team is known, and a single task does
+ * not exceed the team's limit and fits a machine type that the job allows.
  */
 final class JobAdmission implements AdmissionPolicy {
   private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -25,9 +25,9 @@
   private final MachineTypeCatalog catalog;
 
   /**
-   * An admission policy for a deployment.
+   * Creates an admission policy for a deployment.
    *
-   * @param teams in the order of the layout
+   * @param teams the teams, in the order of the layout's team indexes
    */
   JobAdmission(ShardLayout layout, List<Settings.Team> teams, MachineTypeCatalog catalog) {
     this.layout = layout;
@@ -35,7 +35,10 @@
     this.catalog = catalog;
   }
 
-  /** Undecided until the machine types are known. */
+  /**
+   * Decides whether the job is admitted. The decision on a job of a known team is {@link
+   * Admission#UNDECIDED} until the machine types are loaded.
+   */
   @Override
   public Admission decide(JobSpec spec) {
     int teamIndex = layout.teamIndex(spec.team());
@@ -62,7 +65,8 @@
   }
 
   /**
-   * Whether the job may run on the type, which must be offered in the job's zone, if it has one.
+   * Returns whether the job may run on the machine type. If the job requires a zone, the type must
+   * be offered there.
    */
   private boolean isAllowedType(JobSpec spec, MachineType type) {
     if (spec.types() != null && !spec.types().contains(type.name())) {
--- a/src/main/java/dev/windbend/daemon/Main.java
+++ b/src/main/java/dev/windbend/daemon/Main.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 
-/** The entry point of the process: command line, settings, exit codes. */
+/** The entry point: evaluates the command line, reads the settings and starts a controller. */
 public final class Main {
   private static final int EXIT_OK = 0;
   private static final int EXIT_FAILURE = 1;
@@ -16,9 +16,9 @@
   private Main() {}
 
   /**
-   * Starts a controller, or prints help or version and ends the process.
+   * Starts a controller, or prints the help text or the version and exits.
    *
-   * @param args see {@link Arguments#USAGE}
+   * @param args the command line, see {@link Arguments#USAGE}
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     StartupProperties.setLogLevel(System.getenv("LOG_LEVEL"));
@@ -29,7 +29,7 @@
     }
   }
 
-  /** The exit code; empty if the process goes on. */
+  /** Returns the exit code; empty if the process keeps running. */
   private static OptionalInt run(String[] args) throws IOException, InterruptedException {
     Arguments arguments;
     try {
--- a/src/main/java/dev/windbend/daemon/MetricsEndpoint.java
+++ b/src/main/java/dev/windbend/daemon/MetricsEndpoint.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** This controller's metrics, served as one JSON object from name to value. */
+/** Serves this controller's metrics as one JSON object with a field for each metric. */
 final class MetricsEndpoint implements RequestHandler {
   private final MeterRegistry registry = new SimpleMeterRegistry();
   private final Map<Integer, Counter> responsesByStatus = new HashMap<>();
@@ -33,17 +33,25 @@
     this.zoneMetrics = zoneMetrics;
     this.zoneMonitoringEnabled = zoneMonitoringEnabled;
     Gauge.builder("windbend.shards", leaders, ShardLeaders::shardCount).register(registry);
-    Gauge.builder("windbend.jobs.live", leaders, all -> all.sum(ShardLeader::liveJobCount))
+    Gauge.builder(
+            "windbend.jobs.live",
+            leaders,
+            shardLeaders -> shardLeaders.sum(ShardLeader::liveJobCount))
         .register(registry);
-    Gauge.builder("windbend.machines", leaders, all -> all.sum(ShardLeader::machineCount))
+    Gauge.builder(
+            "windbend.machines",
+            leaders,
+            shardLeaders -> shardLeaders.sum(ShardLeader::machineCount))
         .register(registry);
     Gauge.builder(
-            "windbend.waiting.oldest.s", leaders, all -> all.max(ShardLeader::oldestWaitSeconds))
+            "windbend.waiting.oldest.s",
+            leaders,
+            shardLeaders -> shardLeaders.max(ShardLeader::oldestWaitSeconds))
         .register(registry);
     Gauge.builder("windbend.store.failing.ms", store, StoreClient::failingForMs).register(registry);
   }
 
-  /** A handler that counts the responses of another one by status. */
+  /** Returns a handler that delegates to another one and counts its responses by status. */
   RequestHandler countingResponses(RequestHandler handler) {
     return (request, done) ->
         handler.handle(
--- a/src/main/java/dev/windbend/daemon/OperatorSettings.java
+++ b/src/main/java/dev/windbend/daemon/OperatorSettings.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Reads the operators' own settings, an INI file; each has a default. */
+/** Reads the operators' settings from an INI file. Each setting has a default. */
 final class OperatorSettings {
   private static final String PLAN_SECTION = "plan";
   private static final String SHARD_SECTION = "shard";
@@ -14,21 +14,21 @@
   private static final String WORKER_SECTION = "worker";
   private static final double SECONDS_PER_DAY = 86_400;
 
-  /** Written out here, so that a start without such a file loads no INI reader. */
+  /** Literal values, so that a start without a settings file does not load the INI parser. */
   private static final Policy DEFAULTS =
       new Policy(10_000, true, 60_000, 4, 4_000, true, 0.7, ZoneSettings.DEFAULTS);
 
   private OperatorSettings() {}
 
-  /** What holds without a file. */
+  /** Returns the settings that apply without a file. */
   static Policy defaults() {
     return DEFAULTS;
   }
 
   /**
-   * Reads the file.
+   * Reads and validates the file.
    *
-   * @param zoneNames the names of the zones that the deployment has
+   * @param zoneNames names of the deployment's zones
    */
   static Policy read(Path file, List<String> zoneNames) throws InvalidSettingsException {
     try {
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Reads a file's text.
+   * Parses and validates the text of a file.
    *
-   * @param zoneNames the names of the zones that the deployment has
+   * @param zoneNames names of the deployment's zones
    */
   static Policy parse(String text, List<String> zoneNames) throws InvalidSettingsException {
     IniFile ini = new IniFile(text);
--- a/src/main/java/dev/windbend/daemon/PendingReason.java
+++ b/src/main/java/dev/windbend/daemon/PendingReason.java
@@ -7,7 +7,7 @@
 import dev.windbend.zone.ZoneState;
 import java.util.Optional;
 
-/** Why a job is pending, where its user should know: the zone that it asks for is unreachable. */
+/** Explains to the user why a job is pending if the zone that the job requires is unreachable. */
 final class PendingReason {
   private final Replica replica;
   private final ShardLayout layout;
@@ -19,7 +19,7 @@
     this.zoneMonitoringEnabled = zoneMonitoringEnabled;
   }
 
-  /** The reason, for the user; empty if the job just waits for its turn. */
+  /** Returns the reason to show to the user; empty unless the job's zone is unreachable. */
   Optional<String> reasonFor(JobSpec spec) {
     int teamIndex = layout.teamIndex(spec.team());
     if (!zoneMonitoringEnabled || spec.zone() == null || teamIndex < 0) {
--- a/src/main/java/dev/windbend/daemon/RequestRouter.java
+++ b/src/main/java/dev/windbend/daemon/RequestRouter.java
@@ -10,8 +10,8 @@
 import java.util.function.Predicate;
 
 /**
- * Routes requests by path and method to their handlers. A path that is not served is answered with
- * 404, a method that is not with 405.
+ * Routes requests to handlers by path and method. The response to an unknown path is 404, and to a
+ * method that a path does not support 405.
  */
 final class RequestRouter implements RequestHandler {
   private static final RequestHandler NOT_FOUND =
@@ -19,26 +19,28 @@
 
   private final Map<String, Route> routes = new HashMap<>();
   private Predicate<String> subtreePaths = path -> false;
-  private RequestHandler subtree = NOT_FOUND;
+  private RequestHandler subtreeHandler = NOT_FOUND;
 
   private record Route(String method, RequestHandler handler) {}
 
-  /** Adds a handler for GET requests on exactly this path. */
+  /** Adds a handler for GET requests with exactly this path. */
   RequestRouter get(String path, RequestHandler handler) {
     routes.put(path, new Route("GET", handler));
     return this;
   }
 
-  /** Adds a handler for POST requests on exactly this path. */
+  /** Adds a handler for POST requests with exactly this path. */
   RequestRouter post(String path, RequestHandler handler) {
     routes.put(path, new Route("POST", handler));
     return this;
   }
 
-  /** Sets the handler for the paths, beside the exact ones, that the predicate accepts. */
+  /**
+   * Sets the handler for paths that the predicate accepts and that have no handler of their own.
+   */
   RequestRouter subtree(Predicate<String> paths, RequestHandler handler) {
     subtreePaths = paths;
-    subtree = handler;
+    subtreeHandler = handler;
     return this;
   }
 
@@ -46,7 +48,7 @@
   public void handle(ServerRequest request, Consumer<ServerResponse> done) {
     Route route = routes.get(request.path());
     if (route == null) {
-      RequestHandler handler = subtreePaths.test(request.path()) ? subtree : NOT_FOUND;
+      RequestHandler handler = subtreePaths.test(request.path()) ? subtreeHandler : NOT_FOUND;
       handler.handle(request, done);
     } else if (route.method().equals(request.method())) {
       route.handler().handle(request, done);
--- a/src/main/java/dev/windbend/daemon/Settings.java
+++ b/src/main/java/dev/windbend/daemon/Settings.java
@@ -4,14 +4,16 @@
 import java.util.OptionalDouble;
 
 /**
- * The platform's settings file: this controller, its peers, the services it uses and the
- * deployment. {@link SettingsReader} reads it, {@link SettingsValidator} checks it.
+ * The contents of the platform's settings file. {@link SettingsReader} reads the file and {@link
+ * SettingsValidator} checks its values.
  *
  * @param controllerName this controller's name
- * @param zone the zone that it runs in
+ * @param zone zone that this controller runs in; null if the file does not state it
  * @param clientListenAddress host and port for users, workers and health checks
  * @param peerListenAddress host and port for other controllers and operators
  * @param peers the other controllers
+ * @param services addresses of the cloud and the state service
+ * @param deployment properties that all controllers of the deployment share
  */
 record Settings(
     String controllerName,
@@ -25,23 +27,29 @@
   /**
    * Another controller of the deployment.
    *
-   * @param address host and port that it listens on for peers
+   * @param controllerName the controller's name
+   * @param address host and port where the controller listens for its peers
    */
   record Peer(String controllerName, String address) {}
 
   /**
-   * Addresses, as host and port.
+   * Addresses of the services that a controller uses.
    *
-   * @param cloud the cloud's API
-   * @param state the state service
+   * @param cloud host and port of the cloud's API
+   * @param state host and port of the state service
    */
   record Services(String cloud, String state) {}
 
   /**
-   * What is the same for all controllers of the deployment.
+   * Properties that all controllers of the deployment share.
    *
-   * @param controllers how many controllers there are
-   * @param zones the names of the zones
+   * @param controllers number of controllers
+   * @param zones names of the zones
+   * @param teams quotas of the teams; a team's position is its index
+   * @param objectives service-level objectives of jobs
+   * @param workers configuration of the workers
+   * @param stateService limits of the state service
+   * @param cloud limits of the cloud's API
    */
   record Deployment(
       int controllers,
@@ -53,8 +61,14 @@
       Cloud cloud) {}
 
   /**
-   * A team's quota: what is guaranteed to it, and its limit. In the file a limit of 0 means none,
-   * and a guarantee of 0 none either: such a team uses what the others leave.
+   * A team's guaranteed and maximum resources. In the file, a maximum of 0 means that the team has
+   * no limit, and a guarantee of 0 means that the team uses only what the other teams leave free.
+   *
+   * @param name the team's name in submissions
+   * @param guaranteedCores number of cores that are guaranteed to the team
+   * @param maxCores maximum number of cores; infinite if the file states 0
+   * @param guaranteedGpus number of GPUs that are guaranteed to the team
+   * @param maxGpus maximum number of GPUs; infinite if the file states 0
    */
   record Team(
       String name, double guaranteedCores, double maxCores, double guaranteedGpus, double maxGpus) {
@@ -65,32 +79,35 @@
   }
 
   /**
-   * A service-level objective.
+   * A service-level objective of jobs.
    *
    * @param kind finished, deadline, wait or guarantee
-   * @param jobKind the kind of jobs that it is about; null for kind guarantee
-   * @param withinSeconds seconds from submission to the end or to the start, by kind
-   * @param deadlineFactor for kind deadline: how many times the job's own time limit
+   * @param jobKind kind of jobs that the objective applies to; null for an objective of kind
+   *     guarantee
+   * @param withinSeconds maximum time from a job's submission to its end (kind finished) or to its
+   *     start (kinds wait and guarantee)
+   * @param deadlineFactor for kind deadline: multiple of a job's own deadline within which the job
+   *     should finish
    */
   record Objective(
       String kind, String jobKind, OptionalDouble withinSeconds, OptionalDouble deadlineFactor) {}
 
   /**
-   * What workers are configured with.
+   * Configuration of the workers.
    *
-   * @param heartbeatIntervalSeconds the interval of their heartbeats
-   * @param leaseSeconds how long a worker runs on without an answer to its heartbeats
-   * @param cancelSeconds the time within which a cancelled job's tasks must have ended
+   * @param heartbeatIntervalSeconds time between two heartbeats of a worker
+   * @param leaseSeconds how long a worker keeps its tasks without a response to its heartbeats
+   * @param cancelSeconds maximum time from a job's cancellation to the end of the job's tasks
    */
   record Workers(double heartbeatIntervalSeconds, double leaseSeconds, double cancelSeconds) {}
 
   /**
-   * The limits of the state service, for all controllers together.
+   * Limits of the state service for all controllers together.
    *
-   * @param requestsPerSecond all requests
-   * @param writesPerSecond the transactions among them
-   * @param maxValueKib the largest value, in KiB
-   * @param maxTransactionOps conditions and changes in one transaction
+   * @param requestsPerSecond maximum request rate, transactions included
+   * @param writesPerSecond maximum transaction rate
+   * @param maxValueKib maximum size of a stored value in KiB
+   * @param maxTransactionOps maximum number of conditions and changes in a transaction
    */
   record StateService(
       double requestsPerSecond,
@@ -99,10 +116,10 @@
       int maxTransactionOps) {}
 
   /**
-   * The limits of the cloud's API.
+   * Limits of the cloud's API.
    *
-   * @param requestsPerSecond for all controllers together
-   * @param maxListLagSeconds how old a listing of machines may be
+   * @param requestsPerSecond maximum request rate of all controllers together
+   * @param maxListLagSeconds maximum time by which the cloud's list of machines lags behind
    */
   record Cloud(double requestsPerSecond, double maxListLagSeconds) {}
 }
--- a/src/main/java/dev/windbend/daemon/SettingsReader.java
+++ b/src/main/java/dev/windbend/daemon/SettingsReader.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads {@link Settings} from TOML. Keys that it does not know are ignored. */
+/** Reads {@link Settings} from TOML. Unknown keys are ignored. */
 final class SettingsReader {
   private SettingsReader() {}
 
@@ -21,7 +21,7 @@
     return parse(toml);
   }
 
-  /** Reads and validates a file's text. */
+  /** Parses and validates the text of a file. */
   static Settings parse(String toml) throws InvalidSettingsException {
     Settings settings = readSettings(TomlTable.parse(toml));
     SettingsValidator.validate(settings);
--- a/src/main/java/dev/windbend/daemon/SettingsValidator.java
+++ b/src/main/java/dev/windbend/daemon/SettingsValidator.java
@@ -1,8 +1,9 @@
 package dev.windbend.daemon;
 
 /**
- * Checks {@link Settings} as they were read. Before it, what the file lacks is null or 0; after it,
- * only {@link Settings#zone} and the texts of an objective may be null.
+ * Validates {@link Settings} after they are read. Before validation, the value of a missing key is
+ * null or 0. After validation, only {@link Settings#zone} and the kind and job kind of an objective
+ * may be null.
  */
 final class SettingsValidator {
   private static final String TOP_LEVEL = "";
@@ -18,7 +19,11 @@
 
   private SettingsValidator() {}
 
-  /** Reports the first key that is missing or has a value that is not accepted. */
+  /**
+   * Validates the settings.
+   *
+   * @throws InvalidSettingsException for the first key that is missing or has an invalid value
+   */
   static void validate(Settings settings) throws InvalidSettingsException {
     require(isNotBlank(settings.controllerName()), TOP_LEVEL, "host_name");
     requireAddress(settings.clientListenAddress(), TOP_LEVEL, "client_listen");
--- a/src/main/java/dev/windbend/daemon/ShardLeaders.java
+++ b/src/main/java/dev/windbend/daemon/ShardLeaders.java
@@ -13,17 +13,17 @@
 import java.util.Map;
 import java.util.function.ToIntFunction;
 
-/** The shards that this controller leads, each with its {@link ShardLeader}. */
+/** The {@link ShardLeader}s of the shards that this controller leads. */
 final class ShardLeaders implements LeaderElection.Listener {
   private final Factory factory;
   private final Map<Integer, ShardLeader> leaders = new LinkedHashMap<>();
 
-  /** Makes the leader of a shard that this controller was elected for. */
+  /** Creates the leader of a shard that this controller was elected for. */
   interface Factory {
     /**
-     * A leader that has not started yet.
+     * Creates a leader that has not started yet.
      *
-     * @param token the fencing token
+     * @param token fencing token of the leader's term
      */
     ShardLeader create(int shard, long token);
   }
@@ -47,27 +47,27 @@
     }
   }
 
-  /** How many shards are led here. */
+  /** Returns the number of shards that this controller leads. */
   int shardCount() {
     return leaders.size();
   }
 
-  /** The sum of a figure over all shards led here. */
+  /** Returns the sum of a metric over all shards that this controller leads. */
   int sum(ToIntFunction<ShardLeader> metric) {
     return leaders.values().stream().mapToInt(metric).sum();
   }
 
-  /** The largest of a figure over all shards led here; 0 if there are none. */
+  /** Returns the maximum of a metric over all shards that this controller leads; 0 without one. */
   int max(ToIntFunction<ShardLeader> metric) {
     return leaders.values().stream().mapToInt(metric).max().orElse(0);
   }
 
-  /** The leader of a shard; null if it is not led here. */
+  /** Returns the leader of a shard; null if this controller does not lead the shard. */
   ShardLeader leaderOf(int shard) {
     return leaders.get(shard);
   }
 
-  /** The leader that has this machine and is ready; null if there is none here. */
+  /** Returns the ready leader that has the machine; null if no leader on this controller has it. */
   ShardLeader leaderOfMachine(String machine) {
     for (ShardLeader leader : leaders.values()) {
       if (leader.ready() && leader.hasMachine(machine)) {
@@ -78,9 +78,10 @@
   }
 
   /**
-   * Transfers machines from a shard led here to another shard.
+   * Transfers machines from a shard that this controller leads to another shard.
    *
-   * @return null if the shard is not led here
+   * @return the reply to the leader of the other shard; null if this controller does not lead
+   *     {@code fromShard}
    */
   MachineTransferMessages.Reply transfer(
       int fromShard, int toShard, MachineTransferMessages.Request request) {
@@ -88,15 +89,15 @@
     return leader == null ? null : leader.transfer(toShard, request);
   }
 
-  /** A cancellation was confirmed to its user by some controller. */
+  /** Notifies the leaders that a controller has confirmed a job's cancellation to the user. */
   void cancel(String uid) {
     leaders.values().forEach(leader -> leader.cancel(uid));
   }
 
   /**
-   * A key of the state service has changed.
+   * Notifies the leaders of a changed key in the state service.
    *
-   * @param value null: it was removed
+   * @param value the new value; null if the key was removed
    */
   void keyChanged(String key, VersionedValue value) {
     if (key.startsWith(JobRecord.LIVE_PREFIX)) {
@@ -111,14 +112,14 @@
     }
   }
 
-  /** How the zones are, as each shard led here sees them. */
+  /** Returns the status of the zones for each shard that this controller leads. */
   List<ZoneStatus> zoneStatuses() {
     List<ZoneStatus> statuses = new ArrayList<>();
     leaders.values().forEach(leader -> statuses.addAll(leader.zoneStatuses()));
     return statuses;
   }
 
-  /** A copy: a leader that learns of a change may be deposed meanwhile. */
+  /** Returns a copy, because a leader may be deposed while it is notified of a change. */
   private List<ShardLeader> copyOfLeaders() {
     return List.copyOf(leaders.values());
   }
--- a/src/main/java/dev/windbend/daemon/StartupProperties.java
+++ b/src/main/java/dev/windbend/daemon/StartupProperties.java
@@ -6,9 +6,9 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * System properties: the log level, and those that keep libraries from loading what windbend does
- * not use. A controller that restarts with a small share of a core is away for as long as its start
- * takes.
+ * Sets system properties for the log level, and to keep libraries from loading classes that
+ * windbend does not use. Loading them would delay the start of a controller, which may have only a
+ * small share of a core and is unavailable until it has started.
  */
 final class StartupProperties {
   private static final String DEFAULT_LOG_LEVEL = "info";
@@ -16,9 +16,9 @@
   private StartupProperties() {}
 
   /**
-   * To be called before the first logger is made.
+   * Sets the log level and format. Must be called before the first logger is created.
    *
-   * @param level one of the logger's levels in any case; null or blank: the default
+   * @param level name of a log level, in upper or lower case; null or blank for the default
    */
   static void setLogLevel(String level) {
     boolean isSet = level != null && !level.isBlank();
@@ -34,17 +34,21 @@
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
   }
 
-  /** To be called before any class of XNIO, Jackson or the JDK's formats is used. */
+  /**
+   * Disables library features that windbend does not use. Must be called before any class of XNIO,
+   * Jackson or the JDK's text formats is used.
+   */
   static void disableUnusedLibraryFeatures() {
-    // XNIO registers its beans with JMX, and works without; metrics are served by windbend itself.
+    // XNIO registers MBeans but also works without JMX. Windbend serves its metrics itself.
     System.setProperty("javax.management.builder.initial", NoMBeanServer.class.getName());
     System.setProperty("jboss.threads.eqe.register-mbean", "false");
-    // Jackson prepares date formats, which windbend does not use, from the larger of two sets of
-    // locale data.
+    // Jackson initializes date formats, which windbend does not use. By default they are loaded
+    // from
+    // the larger of the JDK's two sets of locale data.
     System.setProperty("java.locale.providers", "COMPAT");
   }
 
-  /** Refuses to make an MBean server, so that nothing is loaded for it. */
+  /** Rejects the creation of an MBean server, so that its classes are not loaded. */
   public static final class NoMBeanServer extends MBeanServerBuilder {
     @Override
     public MBeanServer newMBeanServer(
--- a/src/main/java/dev/windbend/daemon/TomlTable.java
+++ b/src/main/java/dev/windbend/daemon/TomlTable.java
@@ -9,13 +9,13 @@
 import java.util.OptionalDouble;
 
 /**
- * A table of a TOML file, read key by key: binding it to records by reflection costs a starting
- * controller processor time.
+ * A table of a TOML file, whose values are read by key. Binding the file to records by reflection
+ * would use more CPU time at each start of a controller.
  */
 final class TomlTable {
   private final JsonNode node;
 
-  /** The table's name with those of its parents, separated by dots; empty for the top level. */
+  /** Names of the table and its parents, separated by dots; empty for the top level. */
   private final String path;
 
   private TomlTable(JsonNode node, String path) {
@@ -23,6 +23,11 @@
     this.path = path;
   }
 
+  /**
+   * Parses the text of a file and returns the table of its top level.
+   *
+   * @throws InvalidSettingsException if the text is not in TOML format
+   */
   static TomlTable parse(String toml) throws InvalidSettingsException {
     try {
       return new TomlTable(Json.tree(new TomlFactory().createParser(toml)), "");
@@ -31,7 +36,7 @@
     }
   }
 
-  /** The table under the key; null if there is none. */
+  /** Returns a table; null if the key is missing. */
   TomlTable table(String key) throws InvalidSettingsException {
     JsonNode value = node.get(key);
     if (value == null) {
@@ -41,7 +46,7 @@
     return new TomlTable(value, qualifiedKey(key));
   }
 
-  /** The tables of an array; none if the key is missing. */
+  /** Returns the tables of an array; an empty list if the key is missing. */
   List<TomlTable> tables(String key) throws InvalidSettingsException {
     List<TomlTable> values = new ArrayList<>();
     for (JsonNode value : array(key)) {
@@ -51,7 +56,7 @@
     return values;
   }
 
-  /** The strings of an array; none if the key is missing. */
+  /** Returns the strings of an array; an empty list if the key is missing. */
   List<String> strings(String key) throws InvalidSettingsException {
     List<String> values = new ArrayList<>();
     for (JsonNode value : array(key)) {
@@ -70,7 +75,7 @@
     return value;
   }
 
-  /** A string; null if the key is missing. */
+  /** Returns a string; null if the key is missing. */
   String string(String key) throws InvalidSettingsException {
     JsonNode value = node.get(key);
     if (value == null) {
@@ -80,12 +85,12 @@
     return value.textValue();
   }
 
-  /** A number; 0 if the key is missing. */
+  /** Returns a number; 0 if the key is missing. */
   double number(String key) throws InvalidSettingsException {
     return optionalNumber(key).orElse(0);
   }
 
-  /** A number, if the key is there. */
+  /** Returns a number; empty if the key is missing. */
   OptionalDouble optionalNumber(String key) throws InvalidSettingsException {
     JsonNode value = node.get(key);
     if (value == null) {
@@ -95,7 +100,7 @@
     return OptionalDouble.of(value.doubleValue());
   }
 
-  /** An integer; 0 if the key is missing. */
+  /** Returns an integer; 0 if the key is missing. */
   int integer(String key) throws InvalidSettingsException {
     JsonNode value = node.get(key);
     if (value == null) {
--- a/src/main/java/dev/windbend/daemon/TrainingServices.java
+++ b/src/main/java/dev/windbend/daemon/TrainingServices.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 
 /**
- * A state service and a cloud for {@link ClassArchiveTraining}, in memory and for one user: just
- * enough for a controller to take its ordinary paths. No rate is limited, no lease expires.
+ * An in-memory state service and cloud for {@link ClassArchiveTraining}. They support only the
+ * requests of a controller in normal operation, without rate limits and without expiry of leases.
  */
 final class TrainingServices {
   private static final String KEY_PATH = "/keys/";
@@ -35,7 +35,7 @@
     this.loop = loop;
   }
 
-  /** The names of all machines that were added. */
+  /** Returns the names of all machines that were added. */
   List<String> machineNames() {
     return List.copyOf(machineNames);
   }
--- a/src/main/java/dev/windbend/daemon/TrainingWorker.java
+++ b/src/main/java/dev/windbend/daemon/TrainingWorker.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * A worker for {@link ClassArchiveTraining}: sends heartbeats, starts tasks and ends each after
- * some heartbeats.
+ * A simulated worker for {@link ClassArchiveTraining}. It sends heartbeats, starts tasks and
+ * reports each task as exited after a fixed number of heartbeats.
  */
 final class TrainingWorker {
   private static final int MAX_HEARTBEATS_WHILE_RUNNING = 4;
@@ -41,7 +41,7 @@
     this.machine = machine;
   }
 
-  /** Sends a heartbeat unless the response to the last one is still awaited. */
+  /** Sends a heartbeat unless the response to the previous heartbeat is pending. */
   void sendHeartbeat(String controllerAddress) {
     if (awaitingResponse) {
       return;
--- a/src/main/java/dev/windbend/daemon/ZoneSettings.java
+++ b/src/main/java/dev/windbend/daemon/ZoneSettings.java
@@ -3,7 +3,7 @@
 import dev.windbend.zone.ZonePolicy;
 import java.util.List;
 
-/** Reads the operators' settings on the loss of zones. */
+/** Reads the operators' settings for the detection of lost zones and for their return. */
 final class ZoneSettings {
   private static final String SECTION = "zone";
   private static final double SECONDS_PER_MINUTE = 60;
@@ -14,16 +14,16 @@
   private static final double MIN_MACHINES_RETURNED_PER_SECOND = 0.01;
   private static final double MAX_MACHINES_RETURNED_PER_SECOND = 1_000;
 
-  /** What holds without the section. */
+  /** Settings that apply if the section is missing. */
   static final ZonePolicy DEFAULTS =
       new ZonePolicy(false, List.of(), 3_000, 3_000, 10_000, 300_000, 600_000, 5, 5_000);
 
   private ZoneSettings() {}
 
   /**
-   * Reads the section.
+   * Reads and validates the section.
    *
-   * @param zoneNames the names of the zones that the deployment has
+   * @param zoneNames names of the deployment's zones
    */
   static ZonePolicy read(IniFile ini, List<String> zoneNames) throws InvalidSettingsException {
     List<String> monitored = monitoredZones(ini, zoneNames);
