--- a/src/main/java/dev/windbend/daemon/InvalidSettingsException.java
+++ b/src/main/java/dev/windbend/daemon/InvalidSettingsException.java
@@ -98,7 +98,7 @@
         path + ": " + getMessage(), path.toString(), section, key, expected, this);
   }
 
-  /** Returns the file as named on the command line. */
+  /** Returns the file as named on the command line; empty if unknown. */
   Optional<String> file() {
     return Optional.ofNullable(file);
   }
@@ -108,7 +108,7 @@
     return Optional.ofNullable(section);
   }
 
-  /** Returns the key within the section. */
+  /** Returns the key within the section; empty if the whole section or file is invalid. */
   Optional<String> key() {
     return Optional.ofNullable(key);
   }
--- a/src/main/java/dev/windbend/daemon/IoThread.java
+++ b/src/main/java/dev/windbend/daemon/IoThread.java
@@ -16,7 +16,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The only thread of a controller, with its event loop, HTTP client and HTTP server. */
+/** The thread that a controller runs on, with its event loop, HTTP client and HTTP server. */
 final class IoThread {
   private static final int BUFFER_BYTES = 8_192;
   private static final int MAX_POOLED_BUFFERS = 64;
@@ -36,9 +36,10 @@
 
   /**
    * Starts the thread, runs the task on it and returns when the task has ended. The thread keeps
-   * running. The calling thread waits meanwhile, and code that reads files must run before this
-   * method: some platforms patch frequently used system call sites at run time, and the process
-   * crashes if two threads execute the same site, for instance in libc's read, during the patch.
+   * running. The calling thread waits for the task, and code that reads files must run before the
+   * thread starts: some platforms patch frequently used system call sites at run time, and the
+   * process crashes if two threads execute the same site, for instance in libc's read, at that
+   * moment.
    *
    * @param onFailure called on the thread if the task throws
    */
@@ -46,7 +47,7 @@
       throws IOException, InterruptedException {
     DefaultByteBufferPool buffers =
         new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
-    Undertow.builder(); // loads classes that read files before the thread starts
+    Undertow.builder(); // loads, before the thread starts, classes that read files
     CountDownLatch started = new CountDownLatch(1);
     XnioWorker worker = Xnio.getInstance().createWorker(workerOptions());
     worker
--- a/src/main/java/dev/windbend/daemon/MetricsEndpoint.java
+++ b/src/main/java/dev/windbend/daemon/MetricsEndpoint.java
@@ -33,20 +33,12 @@
     this.zoneMetrics = zoneMetrics;
     this.zoneMonitoringEnabled = zoneMonitoringEnabled;
     Gauge.builder("windbend.shards", leaders, ShardLeaders::shardCount).register(registry);
-    Gauge.builder(
-            "windbend.jobs.live",
-            leaders,
-            shardLeaders -> shardLeaders.sum(ShardLeader::liveJobCount))
+    Gauge.builder("windbend.jobs.live", leaders, all -> all.sum(ShardLeader::liveJobCount))
         .register(registry);
-    Gauge.builder(
-            "windbend.machines",
-            leaders,
-            shardLeaders -> shardLeaders.sum(ShardLeader::machineCount))
+    Gauge.builder("windbend.machines", leaders, all -> all.sum(ShardLeader::machineCount))
         .register(registry);
     Gauge.builder(
-            "windbend.waiting.oldest.s",
-            leaders,
-            shardLeaders -> shardLeaders.max(ShardLeader::oldestWaitSeconds))
+            "windbend.waiting.oldest.s", leaders, all -> all.max(ShardLeader::oldestWaitSeconds))
         .register(registry);
     Gauge.builder("windbend.store.failing.ms", store, StoreClient::failingForMs).register(registry);
   }
--- a/src/main/java/dev/windbend/daemon/ShardLeaders.java
+++ b/src/main/java/dev/windbend/daemon/ShardLeaders.java
@@ -57,7 +57,7 @@
     return leaders.values().stream().mapToInt(metric).sum();
   }
 
-  /** Returns the maximum of a metric over all shards that this controller leads; 0 without one. */
+  /** Returns the maximum of a metric over all shards that this controller leads, or 0. */
   int max(ToIntFunction<ShardLeader> metric) {
     return leaders.values().stream().mapToInt(metric).max().orElse(0);
   }
--- a/src/test/java/dev/windbend/daemon/ArgumentsTest.java
+++ b/src/test/java/dev/windbend/daemon/ArgumentsTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The command line: words are separated by blanks here. */
+/** Parsing of the command line. In the tables below, spaces separate the arguments. */
 class ArgumentsTest {
 
   @ParameterizedTest(name = "{0}")
--- a/src/test/java/dev/windbend/daemon/CommandLineTest.java
+++ b/src/test/java/dev/windbend/daemon/CommandLineTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a process started from the command line prints, and how it ends. */
+/** Output and exit code of a process that is started from the command line. */
 class CommandLineTest {
   private static final String HELP =
       """
@@ -30,7 +30,7 @@
       Exit codes: 2 for a wrong command line or settings, 1 for other failures.
       """;
 
-  /** How a process ended, and what it printed. */
+  /** Exit code and output of a process. */
   private record ProcessResult(int exitCode, String standardOutput, String standardError) {}
 
   private static ProcessResult run(Path directory, String... arguments)
@@ -44,7 +44,7 @@
     command.addAll(List.of(arguments));
     ProcessBuilder builder =
         new ProcessBuilder(command).redirectOutput(out.toFile()).redirectError(err.toFile());
-    // The JVM would announce it on standard error, which is compared to the letter.
+    // The JVM prints a notice of this variable on standard error, which is compared exactly.
     builder.environment().remove("JAVA_TOOL_OPTIONS");
     Process process = builder.start();
     try {
--- a/src/test/java/dev/windbend/daemon/ControllerTest.java
+++ b/src/test/java/dev/windbend/daemon/ControllerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a controller answers to single requests. */
+/** Responses of a controller to single requests. */
 class ControllerTest {
   private static final String SUBMISSION =
       "{'uid':'wk-000001','fleet':'k','crew':'red','shape':'batch','urgency':'idle','drops':2,"
@@ -94,7 +94,10 @@
     }
   }
 
-  /** The largest job there may be: kept in few keys, asked about and cancelled like any other. */
+  /**
+   * A job of the maximum size is stored in few keys, within the size limit of a value, and can be
+   * queried and cancelled like any other job.
+   */
   @Test
   void runsAndCancelsJobWith100000Tasks() {
     String largest = SUBMISSION.replace("'drops':2", "'drops':100000");
@@ -106,7 +109,7 @@
                 .path("status")
                 .asText())
         .isEqualTo("running");
-    assertThat(cluster.store.largestValue).as("bytes of a value").isLessThan(4096);
+    assertThat(cluster.store.largestValue).as("largest stored value in bytes").isLessThan(4096);
     assertThat(sendRequest(2, "POST", "/v1/jobs/wk-000001/cancel", "").status()).isEqualTo(200);
     cluster.time.runUntil(120_000);
     assertThat(cluster.store.liveKeys("w/j/")).isZero();
@@ -127,7 +130,10 @@
     assertThat(sendRequest(0, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(404);
   }
 
-  /** Under load the record of an adoption is long in coming: the machine is dealt out once. */
+  /**
+   * Guards against a machine that is adopted twice: under load, the write of the adoption's record
+   * is delayed, and the machine sends further heartbeats before the record is stored.
+   */
   @Test
   void adoptsMachineOnceIfRecordWriteIsDelayed() {
     cluster.store.holdWrites = "w/h/";
@@ -144,7 +150,7 @@
   void redirectsWorkersToTheLeaderAndIgnoresStaleHeartbeats() {
     cluster.boot("a", false);
     cluster.time.runUntil(30_000);
-    // Not adopted twice, and a heartbeat from before changes nothing.
+    // The machine must not be adopted again, and a stale heartbeat must have no effect.
     String staleHeartbeat =
         "{'truck':'host-000000','addr':'x','rig':'t4','yard':'a','standby':false,'shift':1,"
             + "'tally':1,'baton':0,'recall_s':null,'drops':[{'drop':'wk-000001/0','run':1,"
--- a/src/test/java/dev/windbend/daemon/SettingsKeysTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsKeysTest.java
@@ -10,7 +10,7 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-/** Each key of the settings files goes to the setting that it is for. */
+/** Each key of the settings files is read into the setting that it belongs to. */
 class SettingsKeysTest {
   private static final List<String> ZONES = List.of("a", "b");
 
@@ -67,7 +67,7 @@
       unknown = 1
       """;
 
-  /** Each key of the platform's file; what is not known is ignored everywhere. */
+  /** The file contains every key, and in each table an unknown key, which must be ignored. */
   @Test
   void readsEveryPlatformSettingsKey() throws InvalidSettingsException {
     assertThat(SettingsReader.parse(PLATFORM_TOML))
@@ -104,7 +104,7 @@
           0.7,
           new ZonePolicy(false, List.of(), 3_000, 3_000, 10_000, 300_000, 600_000, 5, 5_000));
 
-  /** Each key of the operators' file; what is not known is ignored everywhere. */
+  /** The file contains every key, and in each section an unknown key, which must be ignored. */
   @Test
   void readsEveryOperatorSettingsKey() throws InvalidSettingsException {
     String ini =
@@ -148,7 +148,7 @@
     assertThat(OperatorSettings.defaults()).isEqualTo(DEFAULT_POLICY);
   }
 
-  /** The file in the repository says so of itself: the defaults, but for enabled. */
+  /** The file in the repository states that it contains the defaults, except for enabled. */
   @Test
   void shippedZoneSettingsFileContainsDefaults() throws InvalidSettingsException {
     Path file = Path.of("deploy", "zones.ini");
--- a/src/test/java/dev/windbend/daemon/SettingsTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Reading and validation of the platform's and the operators' settings files. */
 class SettingsTest {
   private static final List<String> ZONES = List.of("a", "b");
 
@@ -54,7 +55,7 @@
     assertThat(settings.peers()).isEmpty();
   }
 
-  @ParameterizedTest(name = "{0} -> {1} names {2}")
+  @ParameterizedTest(name = "{0} -> {1}: message contains {2}")
   @CsvSource(
       delimiter = '|',
       quoteCharacter = '`',
@@ -79,7 +80,10 @@
         .hasMessageContaining(expectedMessagePart);
   }
 
-  /** A guest team: taken for a limit of no cores at all, every job of it was refused with 422. */
+  /**
+   * Guards against reading a limit of 0 as no capacity at all: every job of a guest team, whose
+   * limits are 0, was rejected with 422.
+   */
   @Test
   void treatsZeroTeamLimitAsUnlimited() throws InvalidSettingsException {
     Settings settings =
@@ -118,7 +122,7 @@
         .hasMessageContaining("must be");
   }
 
-  /** Section, key and range are named, and for zones those that the deployment has. */
+  /** The message contains section, key and range; for zones, it lists those of the deployment. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -147,8 +151,8 @@
         .hasMessageContaining("[shard]");
   }
 
-  /** Beside the message, the exception has section, key and accepted values. */
-  @ParameterizedTest(name = "{0}: section {1}, key {2}, accepted {3}")
+  /** The exception carries section, key and expected values in addition to its message. */
+  @ParameterizedTest(name = "{0}: section {1}, key {2}, expected {3}")
   @CsvSource(
       delimiter = '|',
       value = {
