--- a/src/main/java/dev/windbend/daemon/ZoneSettings.java
+++ b/src/main/java/dev/windbend/daemon/ZoneSettings.java
@@ -27,7 +27,7 @@
    */
   static ZonePolicy read(IniFile ini, List<String> zoneNames) throws InvalidSettingsException {
     List<String> monitored = monitoredZones(ini, zoneNames);
-    long backoffMs = durationMs(ini, "backoff_s", DEFAULTS.backoffMs(), 1, SECONDS_PER_HOUR);
+    long backoffMs = durationMs(ini, "backoff_s", DEFAULTS.minBackoffMs(), 1, SECONDS_PER_HOUR);
     return new ZonePolicy(
         ini.booleanValue(SECTION, "enabled", DEFAULTS.enabled()),
         monitored,
@@ -38,17 +38,17 @@
         durationMs(
             ini,
             "longest_backoff_s",
-            Math.max(backoffMs, DEFAULTS.longestBackoffMs()),
+            Math.max(backoffMs, DEFAULTS.maxBackoffMs()),
             backoffMs / MS_PER_SECOND,
             SECONDS_PER_DAY),
-        durationMs(ini, "decay_s", DEFAULTS.decayMs(), 1, SECONDS_PER_DAY),
+        durationMs(ini, "decay_s", DEFAULTS.backoffDecayMs(), 1, SECONDS_PER_DAY),
         ini.doubleValue(
             SECTION,
             "return_per_s",
-            DEFAULTS.returnPerSecond(),
+            DEFAULTS.initialReturnPerSecond(),
             MIN_MACHINES_RETURNED_PER_SECOND,
             MAX_MACHINES_RETURNED_PER_SECOND),
-        durationMs(ini, "widen_s", DEFAULTS.widenMs(), 1, SECONDS_PER_HOUR));
+        durationMs(ini, "widen_s", DEFAULTS.rateDoublingMs(), 1, SECONDS_PER_HOUR));
   }
 
   private static List<String> monitoredZones(IniFile ini, List<String> zoneNames)
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -95,6 +95,6 @@
   }
 
   private void checkMachines(long nowMs) {
-    components.health.check(nowMs, leaseValidSinceMs, components.zones.availability()::evacuates);
+    components.health.check(nowMs, leaseValidSinceMs, components.zones.availability()::isEvacuated);
   }
 }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -204,7 +204,7 @@
    */
   private boolean inUsableZone(Machine machine) {
     return !machine.zoneClosed()
-        || (machine.lastHeartbeatMs() < 0 && !state.zones().evacuates(machine.zone()));
+        || (machine.lastHeartbeatMs() < 0 && !state.zones().isEvacuated(machine.zone()));
   }
 
   private boolean allInheritedMachinesConfirmed() {
--- a/src/test/java/dev/windbend/daemon/SettingsTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsTest.java
@@ -136,7 +136,7 @@
   void enablesZoneMonitoringForListedZones() throws InvalidSettingsException {
     ZonePolicy zones = OperatorSettings.parse("[zone]\nenabled = true\nzones = b\n", ZONES).zones();
     assertThat(zones.enabled()).isTrue();
-    assertThat(zones.watched()).containsExactly("b");
+    assertThat(zones.monitoredZones()).containsExactly("b");
     assertThat(OperatorSettings.defaults().zones().enabled()).isFalse();
   }
 
