--- a/src/main/java/dev/windbend/job/Admission.java
+++ b/src/main/java/dev/windbend/job/Admission.java
@@ -1,11 +1,11 @@
 package dev.windbend.job;
 
-/** What an {@link AdmissionPolicy} decided on a submission. */
+/** The decision of an {@link AdmissionPolicy} on a submission. */
 public sealed interface Admission {
   /** The job is admitted. */
   Admission ADMITTED = new Admitted();
 
-  /** Nothing can be decided yet; the user is asked to submit again later. */
+  /** No decision is possible yet; the user is asked to submit the job again later. */
   Admission UNDECIDED = new Undecided();
 
   /** The job can run. */
@@ -14,10 +14,10 @@
   /**
    * The job can never run.
    *
-   * @param reason why, for the user
+   * @param reason the reason, for the user
    */
   record Rejected(String reason) implements Admission {}
 
-  /** What the decision depends on is not known yet. */
+  /** Information that the decision depends on is not available yet. */
   record Undecided() implements Admission {}
 }
--- a/src/main/java/dev/windbend/job/Cancellations.java
+++ b/src/main/java/dev/windbend/job/Cancellations.java
@@ -10,11 +10,14 @@
 import java.util.function.Consumer;
 
 /**
- * Which cancellations users may have been told of beyond what the mirror shows: those confirmed by
- * this node a moment ago, and those heard of from other nodes while the state service fails us.
+ * Cancellations that are confirmed to users and that this controller's replica may lack: those that
+ * this controller confirmed itself, and those that other controllers reported.
  */
 public final class Cancellations {
-  /** More than that is not told: whoever lags so far lets the leases of its workers end. */
+  /**
+   * Maximum number of cancellations in a list. A controller that lacks more of them gets no list
+   * and lets the leases of its workers expire.
+   */
   public static final int MAX_LISTED = 500;
 
   private final Replica replica;
@@ -22,19 +25,32 @@
   private final Map<String, Long> confirmed = new LinkedHashMap<>();
   private final Map<String, Long> receivedFromPeers = new LinkedHashMap<>();
 
-  /** A job that is finally cancelled, and the revision at which it was. */
+  /**
+   * A cancelled job.
+   *
+   * @param uid the id of the job
+   * @param revision the store revision at which the job was cancelled
+   */
   public record Cancelled(
       @JsonProperty("job") String uid, @JsonProperty("revision") long revision) {}
 
   /**
-   * @param onCancelled told of each job of which it is news that it is cancelled
+   * Creates an empty set of cancellations.
+   *
+   * @param onCancelled called with the id of each job that becomes known as cancelled
    */
   public Cancellations(Replica replica, Consumer<String> onCancelled) {
     this.replica = replica;
     this.onCancelled = onCancelled;
   }
 
-  /** A user is being told so by this node. False: the mirror, and with it everybody here, knows. */
+  /**
+   * Records that this controller confirms a cancellation to its user.
+   *
+   * @param revision the store revision at which the job was cancelled
+   * @return whether the cancellation is new; false if the replica contains it or if it was
+   *     confirmed before
+   */
   boolean confirm(String uid, long revision) {
     removeReplicated();
     if (revision <= replica.revision() || confirmed.put(uid, revision) != null) {
@@ -44,7 +60,7 @@
     return true;
   }
 
-  /** Other nodes say so. */
+  /** Adds cancellations that another controller has confirmed. */
   public void addFromPeers(List<Cancelled> received) {
     removeReplicated();
     for (Cancelled cancelled : received) {
@@ -55,15 +71,18 @@
     }
   }
 
-  /** Known to be cancelled though the mirror's record may not say so yet. */
+  /** Returns whether the job is known to be cancelled before the replica shows it. */
   public boolean isKnownCancelled(String uid) {
     return confirmed.containsKey(uid) || receivedFromPeers.containsKey(uid);
   }
 
   /**
-   * All jobs of which this node may have told a user after that revision that they are cancelled,
-   * but for those whose tasks an owner has proved gone. What a former life of this process told is
-   * in the mirror once that is read. Null: can't be told, so nobody may rely on us.
+   * Returns all cancellations after the revision that this controller may have confirmed, except
+   * those of jobs whose tasks are all confirmed terminated. The replica, once it is listed,
+   * contains the cancellations that this controller confirmed before a restart.
+   *
+   * @return null if the replica is not listed yet, or if there are more than {@link #MAX_LISTED};
+   *     the caller must then assume that it lacks cancellations
    */
   public List<Cancelled> listSince(long revision) {
     removeReplicated();
@@ -86,12 +105,15 @@
     return cancelled.size() > MAX_LISTED ? null : cancelled;
   }
 
-  /** This node knows of all cancellations up to this revision. */
+  /** Returns the store revision up to which this controller knows all cancellations. */
   public long completeUpToRevision() {
     return replica.revision();
   }
 
-  /** This node knows of all that were confirmed before then (steady clock). */
+  /**
+   * Returns the time, in milliseconds of the monotonic clock, before which all confirmed
+   * cancellations are known to this controller.
+   */
   public long completeUntilMs() {
     return replica.completeUntilMs();
   }
--- a/src/main/java/dev/windbend/job/Job.java
+++ b/src/main/java/dev/windbend/job/Job.java
@@ -14,12 +14,21 @@
 import java.util.List;
 import java.util.Set;
 
-/** A live job as its shard's owner sees it, with the records that keep it. */
+/**
+ * A live job in the memory of its shard's leader. It tracks the state of each task and provides the
+ * records that are written to the state service: placement batches, completed tasks and the final
+ * record.
+ */
 public final class Job {
-  /** Tasks whose ends are recorded together. */
+  /** Number of tasks whose completion is stored in one page entry. */
   static final int TASKS_PER_COMPLETION_ENTRY = 8_192;
 
+  /** Completed tasks are collected for at most this time before their entry is written. */
   private static final long MAX_COMPLETION_WRITE_DELAY_MS = 1_500;
+
+  /**
+   * Number of low bits of an attempt that hold the scheduling cycle; the high bits hold the token.
+   */
   private static final int CYCLE_BITS = 32;
 
   private final JobSpec spec;
@@ -37,27 +46,43 @@
   private int waitingTaskCount;
   private final Int2ObjectOpenHashMap<Placement> placementByTask = new Int2ObjectOpenHashMap<>();
 
-  /** Done, and not recorded as done yet: which state of the piece will say it. */
+  /**
+   * Completed tasks whose completion is not stored yet, each with the change count of its {@link
+   * CompletionEntry} from which on the entry contains the completion.
+   */
   private final Int2LongOpenHashMap unrecordedCompletions = new Int2LongOpenHashMap();
 
-  /** Placements of such tasks. */
+  /** Confirmed terminated placements of the tasks in {@link #unrecordedCompletions}, by task. */
   private final Int2ObjectOpenHashMap<Placement> exitedPlacements = new Int2ObjectOpenHashMap<>();
 
+  /** Placement batches that were not handed out for writing yet. */
   private final List<PlacementBatch> newBatches = new ArrayList<>();
+
   private PlacementBatch currentBatch;
   private long currentCycle = -1;
   private int nextBatchNumber;
   private boolean archived;
   private boolean started;
 
+  /** Time before which no task is placed (monotonic clock); 0 if there is none. */
   private long notBeforeMs;
 
-  /** When a task of it was placed or completed last, or this owner took the job in (steady). */
+  /**
+   * Time at which a task was last placed or completed, or at which this leader restored the job
+   * (monotonic clock).
+   */
   private long lastProgressMs;
 
   private int backOffCount;
   private final Set<String> failedMachines = new HashSet<>();
 
+  /**
+   * Creates a job whose tasks are all waiting.
+   *
+   * @param version version of the live record's key in the state service
+   * @param team index of the job's team within the shard
+   * @param nowMs current time by the monotonic clock
+   */
   public Job(JobRecord.Live record, long version, int team, long nowMs) {
     this.lastProgressMs = nowMs;
     this.spec = record.spec();
@@ -77,67 +102,76 @@
     waitingTaskCount = spec.tasks();
   }
 
-  /** What its user submitted. */
+  /** Returns the job as its user submitted it. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** Key of its live record in the state service. */
+  /** Returns the key of the job's live record in the state service. */
   public String recordKey() {
     return recordKey;
   }
 
-  /** When it was submitted (wall clock, ms). */
+  /** Returns when the job was submitted, in milliseconds of the wall clock. */
   public long submittedWallMs() {
     return submittedWallMs;
   }
 
-  /** Dense index of its team. */
+  /** Returns the index of the job's team within the shard, counted from 0. */
   public int teamIndex() {
     return teamIndex;
   }
 
-  /** Whether it is finally cancelled: none of its tasks is placed or started any more. */
+  /**
+   * Returns whether the job is cancelled. This is final: its tasks are neither placed nor started
+   * any more.
+   */
   public boolean cancelled() {
     return cancelled;
   }
 
-  /** No task of it is placed before this time (steady clock, ms); 0: no such limit. */
+  /**
+   * Returns the time before which no task is placed, in milliseconds of the monotonic clock; 0 if
+   * there is none.
+   */
   public long notBeforeMs() {
     return notBeforeMs;
   }
 
-  /** How often it has been backed off after its tasks failed on several machines. */
+  /** Returns how often the job was backed off because its tasks failed on several machines. */
   public int backOffCount() {
     return backOffCount;
   }
 
-  /** NameIndex of the machines on which its tasks have failed since its last back-off. */
+  /** Returns the names of the machines on which the job's tasks failed since its last back-off. */
   public Iterable<String> failedMachines() {
     return failedMachines;
   }
 
-  /** How many machines its tasks have failed on since its last back-off. */
+  /** Returns on how many machines the job's tasks failed since its last back-off. */
   public int failedMachineCount() {
     return failedMachines.size();
   }
 
-  /** A task of it failed on this machine, which is avoided from now on. */
+  /** Records that a task of the job failed on the machine, which is avoided from now on. */
   public void recordFailedMachine(String machineName) {
     failedMachines.add(machineName);
   }
 
-  /** No machine is avoided any more for failures of its tasks. */
+  /** Clears the failed machines, so that none of them is avoided any more. */
   public void clearFailedMachines() {
     failedMachines.clear();
   }
 
-  /** Its tasks wait until this time (steady clock, ms). */
+  /** Defers the placement of tasks until the given time (monotonic clock, milliseconds). */
   public void deferUntil(long untilMs) {
     notBeforeMs = untilMs;
   }
 
-  /** Its tasks failed on several machines: they wait until this time (steady clock, ms). */
+  /**
+   * Defers the placement of tasks until the given time (monotonic clock, milliseconds) because
+   * tasks failed on several machines, and counts the back-off.
+   */
   public void backOffUntil(long untilMs) {
     backOffCount++;
     notBeforeMs = untilMs;
@@ -158,7 +192,7 @@
     setWaiting(task, false);
   }
 
-  /** Takes over what the record says of the ends of tasks. */
+  /** Marks the tasks as completed that a stored entry lists as completed. */
   void restoreCompletedTasks(PageEntry entry, JobRecord.CompletedTasks record) {
     int firstTask = ((CompletionEntry) entry).index * TASKS_PER_COMPLETION_ENTRY;
     BitSet completed =
@@ -173,8 +207,12 @@
   }
 
   /**
-   * Takes over placements, for the machines to confirm. Of a task that was placed several times the
-   * last attempt counts: the others were proved gone before it.
+   * Restores the placements of a stored batch; the machines confirm them later. If a task was
+   * placed several times, the placement with the highest attempt is valid, because a task is placed
+   * again only after its previous attempt was confirmed terminated.
+   *
+   * @param id the id of the stored page entry
+   * @return the batch as a page entry
    */
   PageEntry restoreBatch(String id, JobRecord.PlacementBatch record, long nowMs) {
     PlacementBatch batch = new PlacementBatch(this, id, record.attempt());
@@ -202,8 +240,10 @@
     return batch;
   }
 
+  /** Separates the job id from the batch number in the id of a placement batch. */
   static final char BATCH_SEPARATOR = ':';
 
+  /** Returns the number of the batch with this id; 0 if the id is malformed. */
   private int batchNumber(String id) {
     try {
       return Integer.parseInt(id.substring(id.lastIndexOf(BATCH_SEPARATOR) + 1));
@@ -212,73 +252,92 @@
     }
   }
 
-  /** What the owner keeps of the ends of its tasks, in pages. */
+  /** Returns the page entries that store which tasks are completed. */
   List<PageEntry> pageEntries() {
     return pageEntries;
   }
 
-  /** What was placed since the last call, to be written. */
+  /** Returns the placement batches created since the last call; they are to be written. */
   List<PlacementBatch> drainNewBatches() {
     List<PlacementBatch> all = List.copyOf(newBatches);
     newBatches.clear();
     return all;
   }
 
+  /** Returns the last known version of the live record's key. */
   long recordVersion() {
     return recordVersion;
   }
 
-  /** A successor must find this placement: it is not proved gone, or its end is not recorded. */
+  /**
+   * Returns whether the next leader must find the placement in the records: it is not confirmed
+   * terminated, or the completion of its task is not stored yet.
+   */
   boolean needsRecord(Placement placement) {
     return placementByTask.get(placement.task()) == placement
         || exitedPlacements.get(placement.task()) == placement;
   }
 
+  /** Returns how many tasks are waiting to be placed; 0 if the job is cancelled. */
   public int waitingCount() {
     return cancelled ? 0 : waitingTaskCount;
   }
 
-  /** How long it has been without a task placed or completed. */
+  /** Returns for how many milliseconds no task of the job has been placed or completed. */
   public long timeSinceProgressMs(long nowMs) {
     return nowMs - lastProgressMs;
   }
 
+  /** Returns how many tasks are completed. */
   public int completedCount() {
     return completedCount;
   }
 
+  /** Returns a live view of the placements that are not confirmed terminated. */
   public Collection<Placement> placements() {
     return placementByTask.values();
   }
 
+  /** Returns the placement of the task that is not confirmed terminated; null if there is none. */
   public Placement placement(int task) {
     return placementByTask.get(task);
   }
 
+  /** Returns whether the task is completed, even if this is not stored yet. */
   public boolean isCompleted(int task) {
     return completedTasks.get(task);
   }
 
+  /** Returns whether all tasks are completed. */
   public boolean allCompleted() {
     return completedCount == spec.tasks();
   }
 
-  /** Nothing of it is left to do or to prove gone. */
+  /**
+   * Returns whether the job has no task left to run: all tasks are completed, or the job is
+   * cancelled and all its placements are confirmed terminated.
+   */
   public boolean finished() {
     return allCompleted() || (cancelled && placementByTask.isEmpty());
   }
 
+  /** Returns whether the live record was replaced by the final record. */
   public boolean archived() {
     return archived;
   }
 
+  /** Returns the waiting task with the lowest index; -1 if no task is waiting. */
   public int nextWaitingTask() {
     return waitingTasks.nextSetBit(0);
   }
 
   /**
-   * Attempts only grow: by the token from owner to owner, and by the round within an owner's time.
-   * No two attempts of a task are placed in one round.
+   * Places a task on a machine. Attempts of a task only increase: from leader to leader by the
+   * token, and under one leader by the cycle, because a cycle places a task at most once.
+   *
+   * @param machine the name of the machine
+   * @param token the token of this leader
+   * @param cycle the number of the scheduling cycle
    */
   public Placement place(int task, String machine, long nowMs, long token, long cycle) {
     if (currentBatch == null || currentCycle != cycle || currentBatch.full()) {
@@ -298,7 +357,10 @@
     return placement;
   }
 
-  /** Its start may go out: the record says so. */
+  /**
+   * Returns whether the start of the placement may be sent: the placement is stored, was made by
+   * this leader and is not to be stopped.
+   */
   public boolean mayStart(Placement placement) {
     return !placement.inherited()
         && !cancelled
@@ -306,7 +368,9 @@
         && placement.batch.recorded();
   }
 
-  /** The attempt is proved gone; unless the task is done it waits again. */
+  /**
+   * Removes a placement that is confirmed terminated. Its task waits again unless it is completed.
+   */
   public void confirmTerminated(Placement placement) {
     if (!placementByTask.remove(placement.task(), placement)) {
       return;
@@ -321,6 +385,7 @@
     }
   }
 
+  /** Marks the task as completed; has no effect if it already is. */
   public void complete(int task, long nowMs) {
     if (!completedTasks.get(task)) {
       markCompleted(task);
@@ -331,39 +396,48 @@
     }
   }
 
-  /** The record says that this task is done, so its exit need not be kept on the machine. */
+  /**
+   * Returns whether the completion of the task is stored, so that the worker need not keep its exit
+   * any longer.
+   */
   public boolean completionRecorded(int task) {
     return archived || (completedTasks.get(task) && !unrecordedCompletions.containsKey(task));
   }
 
-  /** The move to its final record. */
+  /** Returns the write that replaces the live record by the final record. */
   public PendingWrite archiveWrite() {
     return archiveWrite;
   }
 
-  /** Begun: some task has been placed, or is done. */
+  /** Returns whether any task has been placed or completed. */
   public boolean started() {
     return started || !placementByTask.isEmpty() || completedCount > 0;
   }
 
-  /** A change of the live record by anybody: a cancellation, or our own write. */
+  /**
+   * Applies a newer version of the live record, for example a cancellation or a write of this
+   * leader.
+   */
   public void onRecordChange(JobRecord.Live record, long newVersion) {
     if (newVersion > this.recordVersion) {
       this.recordVersion = newVersion;
       if (record.cancelled()) {
-        // Here, whoever brings the news: a write of ours that fails on it may be the first.
+        // A conflict of a write may show the cancellation before the replica does.
         cancel();
       }
     }
   }
 
-  /** It is finally cancelled, though our copy of its record may not say so yet. */
+  /**
+   * Cancels the job and requests the stop of all its placements. Its record may not show the
+   * cancellation yet.
+   */
   public void cancel() {
     cancelled = true;
     placementByTask.values().forEach(p -> p.requestStop(0));
   }
 
-  /** Which of some neighbouring tasks are done, as kept in a page. */
+  /** Stores which tasks of one index range are completed, as a page entry. */
   private final class CompletionEntry implements PageEntry {
     private final int index;
     private long changeCount;
@@ -456,10 +530,15 @@
 
     @Override
     public void onConflict(VersionedValue stored) {
-      // depends on nothing
+      // The entry adds no condition.
     }
   }
 
+  /**
+   * Applies the current value of the live record's key.
+   *
+   * @param stored null if the key does not exist, which means that the job is archived
+   */
   void applyStoredRecord(VersionedValue stored) {
     if (stored == null) {
       archived = true;
@@ -471,7 +550,10 @@
     }
   }
 
-  /** Moves the job to its final record, once: the live key must be as this owner knows it. */
+  /**
+   * Replaces the live record by the final record. The write is conditional on the known version of
+   * the live record, so that it is applied at most once.
+   */
   private final class ArchiveWrite implements PendingWrite {
     private boolean inFlight;
 
--- a/src/main/java/dev/windbend/job/JobHandler.java
+++ b/src/main/java/dev/windbend/job/JobHandler.java
@@ -19,8 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The users' API, on every node alike: what it answers is read from, or was just written to, the
- * state service, so no node can give an older answer than another has given.
+ * Handles the requests of users; every controller serves them. The response is based on a record
+ * that was just read from the state service or written to it, so that no controller returns an
+ * older record than another one has returned. Task counts come from the replica and may lag.
  */
 public final class JobHandler {
   private static final Logger LOG = LoggerFactory.getLogger(JobHandler.class);
@@ -38,12 +39,16 @@
   private final Function<JobSpec, String> pendingReason;
   private boolean writeInProgress;
 
+  /** An admitted submission that is not stored yet. */
   private record PendingSubmission(JobRecord.Live record, Consumer<ServerResponse> done) {}
 
   /**
-   * @param cancellationBroadcaster tells the other nodes of a cancellation that their mirrors may
-   *     lack; the user's answer does not wait for it
-   * @param pendingReason why a job waits, where its user should know; null: nothing to say
+   * Creates a handler.
+   *
+   * @param cancellationBroadcaster sends a cancellation to the other controllers, whose replicas
+   *     may lack it; the response to the user does not wait for this
+   * @param pendingReason returns the reason why a job is pending, for its user; null if it waits
+   *     only for its turn
    */
   public JobHandler(
       EventLoop loop,
@@ -64,14 +69,21 @@
     this.pendingReason = pendingReason;
   }
 
+  /** Returns whether this handler serves the path. */
   public static boolean handlesPath(String path) {
     return path.equals(JOBS_PATH) || path.startsWith(JOBS_PATH + "/");
   }
 
+  /** Returns whether the request submits a job. */
   public static boolean isSubmission(ServerRequest request) {
     return request.path().equals(JOBS_PATH);
   }
 
+  /**
+   * Handles one request.
+   *
+   * @param done receives the response exactly once, during this call or later
+   */
   public void handle(ServerRequest request, Consumer<ServerResponse> done) {
     String rest = request.path().substring(JOBS_PATH.length());
     if (rest.isEmpty()) {
@@ -119,7 +131,10 @@
     writeSubmissions();
   }
 
-  /** A job accepted when the machine types or the teams were others stays accepted. */
+  /**
+   * Responds to a rejected submission. A job that already exists stays accepted and its status is
+   * returned: the machine types or the teams may have changed since it was accepted.
+   */
   private void respondToRejected(
       String uid, Admission.Rejected rejected, Consumer<ServerResponse> done) {
     lookup.find(
@@ -135,7 +150,10 @@
         });
   }
 
-  /** Group commit: all that came while the last write was under way goes together. */
+  /**
+   * Writes the pending submissions as a group commit. Submissions that arrive while a transaction
+   * is in progress are written together by the next one.
+   */
   private void writeSubmissions() {
     if (writeInProgress || pendingSubmissions.isEmpty()) {
       return;
@@ -146,7 +164,8 @@
     while (!pendingSubmissions.isEmpty() && submissions.size() < store.maxWritesPerTransaction()) {
       String uid = pendingSubmissions.peek().record().spec().uid();
       if (uidsInTransaction.putIfAbsent(uid, true) != null) {
-        break; // the same job twice: the second goes later and finds the first
+        break; // A repeated submission of the same job is left for the next transaction, which
+        // finds it stored.
       }
       PendingSubmission submission = pendingSubmissions.poll();
       transaction.ifAbsent(JobRecord.LIVE_PREFIX + uid).ifAbsent(JobRecord.ENDED_PREFIX + uid);
@@ -162,7 +181,7 @@
             case APPLIED ->
                 submissions.forEach(
                     submission -> {
-                      LOG.debug("accepted {}", submission.record().spec().uid());
+                      LOG.debug("job accepted: job={}", submission.record().spec().uid());
                       submission
                           .done()
                           .accept(
@@ -222,7 +241,7 @@
               transaction,
               outcome -> {
                 if (outcome.applied()) {
-                  LOG.info("cancelled {}", uid);
+                  LOG.info("job cancellation stored: job={}", uid);
                   confirmCancellation(uid, outcome.revision());
                   done.accept(
                       ServerResponse.of(
@@ -268,6 +287,7 @@
         new UserMessages.Status(uid, status, tasks.completed(), tasks.running(), reason));
   }
 
+  /** Records a cancellation that is confirmed to the user, and broadcasts it if it is new. */
   private void confirmCancellation(String uid, long revision) {
     if (cancellations.confirm(uid, revision)) {
       cancellationBroadcaster.accept(new Cancellations.Cancelled(uid, revision));
--- a/src/main/java/dev/windbend/job/JobLookup.java
+++ b/src/main/java/dev/windbend/job/JobLookup.java
@@ -16,10 +16,10 @@
 import java.util.function.Consumer;
 
 /**
- * What the state service surely knows of a job now. The mirror's copy of a live job is good if a
- * comparison finds its version unchanged; one comparison serves all questions that wait for it, so
- * requests to the state service do not grow with those of users. Where the mirror lags, the keys
- * themselves are read.
+ * Looks up the current record of a job in the state service. If the replica holds the live record,
+ * a transaction that contains only conditions checks whether its version is current. One
+ * transaction checks many lookups, so that the request rate on the state service does not grow with
+ * the rate of user requests. If the replica lags, the job's keys are read instead.
  */
 final class JobLookup {
   private static final int MAX_CACHED_ENDED_JOBS = 20_000;
@@ -33,7 +33,7 @@
   private boolean checkScheduled;
   private long nextCheckMs;
 
-  /** Final answers stay what they are. */
+  /** Cached final records by job id. They never change, and the oldest entry is evicted first. */
   private final Map<String, JobRecord.Ended> endedJobs =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -44,8 +44,15 @@
         }
       };
 
-  /** Both null and sure: no such job. */
+  /**
+   * The result of a lookup. If it is conclusive and both records are null, the job does not exist.
+   *
+   * @param conclusive false if the state service did not answer
+   * @param liveValue value and version of the live record; null if the job is not live
+   * @param ended the final record; null if the job is live
+   */
   record Result(boolean conclusive, VersionedValue liveValue, JobRecord.Ended ended) {
+    /** Returns the parsed live record; null if there is none or if it is malformed. */
     JobRecord.Live liveRecord() {
       return conclusive && liveValue != null
           ? Json.read(liveValue.value(), JobRecord.Live.class)
@@ -53,8 +60,10 @@
     }
   }
 
+  /** A lookup that waits for a check of the version of the live record in the replica. */
   private record Query(String uid, VersionedValue replicaCopy, Consumer<Result> done) {}
 
+  /** Creates a lookup with an empty cache. */
   JobLookup(EventLoop loop, StoreClient store, Replica replica) {
     this.loop = loop;
     this.store = store;
@@ -62,6 +71,11 @@
     this.maxConditions = Math.max(1, store.maxConditionsPerTransaction() - 1);
   }
 
+  /**
+   * Looks up a job.
+   *
+   * @param done receives the result exactly once, during this call or later
+   */
   void find(String uid, Consumer<Result> done) {
     JobRecord.Ended cached = endedJobs.get(uid);
     if (cached != null) {
@@ -101,7 +115,7 @@
       return;
     }
     checkInProgress = true;
-    // A crowd does not wait for the pause.
+    // While more lookups are waiting, the next check is sent without the poll interval.
     nextCheckMs = pendingQueries.isEmpty() ? loop.nowMs() + store.pollIntervalMs() : 0;
     store.commitForUser(
         transaction,
@@ -122,7 +136,10 @@
         });
   }
 
-  /** Reads the live key, then the final one: jobs move only that way, so one of both shows it. */
+  /**
+   * Reads the live key and then the final key. A job only ever moves from the live to the final
+   * key, so that one of the two reads finds it.
+   */
   private void readLive(String uid, Consumer<Result> done) {
     store.get(
         JobRecord.LIVE_PREFIX + uid,
@@ -135,6 +152,11 @@
         });
   }
 
+  /**
+   * Reads the final key.
+   *
+   * @param ifNotFound runs instead of {@code done} if the key does not exist
+   */
   private void readEnded(String uid, Runnable ifNotFound, Consumer<Result> done) {
     store.get(
         JobRecord.ENDED_PREFIX + uid,
--- a/src/main/java/dev/windbend/job/JobProgress.java
+++ b/src/main/java/dev/windbend/job/JobProgress.java
@@ -8,16 +8,33 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How far jobs are, as the owners' pages tell. For display: it may lag. */
+/**
+ * Counts the tasks of jobs from the pages that the leaders of the shards store. The counts are for
+ * display only and may lag.
+ */
 public final class JobProgress {
+  /**
+   * The counts of one page entry.
+   *
+   * @param version the version of the page from which the entry was read
+   */
   private record EntryCount(long version, int completed, int placed) {}
 
   private final Map<String, Map<String, EntryCount>> entryCountsByJob = new HashMap<>();
 
-  /** Done and running tasks. */
+  /**
+   * The task counts of one job.
+   *
+   * @param completed the number of completed tasks
+   * @param running the number of placed tasks that are not completed
+   */
   public record TaskCounts(int completed, int running) {}
 
-  /** A page or a live job has changed; null: it is gone. */
+  /**
+   * Applies the change of a page or of a live record.
+   *
+   * @param stored the key's new value and version; null if the key was deleted
+   */
   public void onChange(String key, VersionedValue stored) {
     if (key.startsWith(JobRecord.LIVE_PREFIX) && stored == null) {
       entryCountsByJob.remove(key.substring(JobRecord.LIVE_PREFIX.length()));
@@ -56,6 +73,7 @@
             (a, batch) -> a.version > batch.version ? a : batch);
   }
 
+  /** Returns the task counts of a job; both are 0 if nothing is known of it. */
   public TaskCounts taskCounts(String uid) {
     int completed = 0;
     int placed = 0;
--- a/src/main/java/dev/windbend/job/JobRegistry.java
+++ b/src/main/java/dev/windbend/job/JobRegistry.java
@@ -14,7 +14,10 @@
 import java.util.SortedMap;
 import java.util.function.ToIntFunction;
 
-/** The live jobs of one shard, kept in step with their records. */
+/**
+ * The live jobs of one shard. It restores jobs from their records and enqueues the writes of
+ * changed jobs.
+ */
 public final class JobRegistry {
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final ToIntFunction<String> teamIndexInShard;
@@ -22,7 +25,12 @@
   private final PagedStore pages;
 
   /**
-   * @param teamIndexInShard the dense index of a team of this shard, -1 for any other
+   * Creates an empty registry.
+   *
+   * @param teamIndexInShard returns the index of a team within the shard; -1 for a team of another
+   *     shard
+   * @param committer writes the final records of jobs and the pages
+   * @param pages stores the completed tasks and the placement batches of the jobs
    */
   public JobRegistry(
       ToIntFunction<String> teamIndexInShard, GroupCommitter committer, PagedStore pages) {
@@ -31,17 +39,23 @@
     this.pages = pages;
   }
 
+  /** Returns a live view of the jobs, in the order in which they were added. */
   public Collection<Job> all() {
     return jobs.values();
   }
 
+  /** Returns the job with this id; null if there is none. */
   public Job find(String uid) {
     return jobs.get(uid);
   }
 
   /**
-   * Takes a job in, with what a former owner left of its tasks. Null if it is not of this shard;
-   * else its placements are to be confirmed by their machines.
+   * Adds a job from its live record and restores the tasks that previous leaders stored.
+   *
+   * @param record the live record's value and version
+   * @param storedEntries the page entries of the shard, by entry id
+   * @return the job, whose placements the machines must still confirm; null if the record is
+   *     malformed or belongs to another shard
    */
   public Job restore(VersionedValue record, SortedMap<String, JsonNode> storedEntries, long nowMs) {
     JobRecord.Live liveRecord = Json.read(record.value(), JobRecord.Live.class);
@@ -76,7 +90,7 @@
     return job;
   }
 
-  /** Its tasks or its end have changed: the write follows. */
+  /** Enqueues the writes for a job whose tasks have changed or which has finished. */
   public void markChanged(Job job) {
     if (job.finished()) {
       committer.enqueue(job.archiveWrite());
@@ -91,7 +105,7 @@
     committer.enqueue(pages);
   }
 
-  /** Jobs whose end is written are not ours to keep. */
+  /** Returns the jobs whose final record is written; the caller removes them. */
   public List<Job> archivedJobs() {
     List<Job> archived = new ArrayList<>();
     for (Job job : jobs.values()) {
@@ -102,6 +116,7 @@
     return archived;
   }
 
+  /** Removes the job from this registry; its records are not changed. */
   public void remove(Job job) {
     jobs.remove(job.spec().uid());
   }
--- a/src/main/java/dev/windbend/job/JobSpec.java
+++ b/src/main/java/dev/windbend/job/JobSpec.java
@@ -3,7 +3,28 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
-/** What a user asked for; immutable once accepted. VersionedValue as it is. */
+/**
+ * The specification of a job as its user submitted it. It is stored in this form and does not
+ * change after the job was accepted.
+ *
+ * @param uid the id of the job
+ * @param kind the class of the job, which selects its objectives
+ * @param tasks the number of tasks
+ * @param cores the CPU cores of each task
+ * @param gpus the GPUs of each task
+ * @param memoryGb the memory of each task
+ * @param image the name of the image that the tasks run
+ * @param imageGb the size of the image
+ * @param types the names of the machine types that the tasks may run on; null for any type
+ * @param zone the zone that the tasks must run in; null for any zone
+ * @param together whether all tasks must run in the same zone
+ * @param spread whether at most half of the tasks, rounded up, may run in one zone
+ * @param spot whether the tasks may run on spot machines
+ * @param estimatedRunTimeSeconds the user's estimate of the run time of a task
+ * @param checkpointIntervalSeconds the time between two checkpoints of a task; 0 if it saves none
+ * @param checkpointSaveSeconds how long a task takes to save its state when it is stopped
+ * @param dueSeconds the deadline, as time since the submission; null if the user set none
+ */
 public record JobSpec(
     @JsonProperty("uid") String uid,
     @JsonProperty("kind") String kind,
--- a/src/main/java/dev/windbend/job/JobStatus.java
+++ b/src/main/java/dev/windbend/job/JobStatus.java
@@ -1,6 +1,6 @@
 package dev.windbend.job;
 
-/** The states users are told. */
+/** Values of the job status that users receive. */
 final class JobStatus {
   static final String PENDING = "pending";
   static final String RUNNING = "running";
--- a/src/main/java/dev/windbend/job/Placement.java
+++ b/src/main/java/dev/windbend/job/Placement.java
@@ -1,8 +1,8 @@
 package dev.windbend.job;
 
 /**
- * One attempt of a task on a machine. It counts as being there from the moment it is decided until
- * it is proved gone.
+ * An attempt to run a task on a machine. It uses capacity of the machine from the decision to place
+ * it until it is confirmed terminated.
  */
 public final class Placement {
   private final Job job;
@@ -10,7 +10,7 @@
   private final long attempt;
   private final String machineName;
 
-  /** With what it is on record. */
+  /** The batch that stores this placement. */
   final PlacementBatch batch;
 
   private final boolean inherited;
@@ -38,86 +38,110 @@
     this.placedMs = placedMs;
   }
 
-  /** The job whose task it is. */
+  /** Returns the job that the task belongs to. */
   public Job job() {
     return job;
   }
 
-  /** Index of the task in its job. */
+  /** Returns the index of the task in its job. */
   public int task() {
     return task;
   }
 
-  /** Number of the attempt, which only grows for a task. */
+  /** Returns the number of the attempt, which increases with each attempt of the task. */
   public long attempt() {
     return attempt;
   }
 
-  /** Name of the machine it is placed on. */
+  /** Returns the name of the machine that the task is placed on. */
   public String machineName() {
     return machineName;
   }
 
-  /** Taken over from a former owner: never started again, only found or found missing. */
+  /**
+   * Returns whether a previous leader made the placement. This leader never sends a start for it;
+   * it waits until a heartbeat lists the task or lacks it.
+   */
   public boolean inherited() {
     return inherited;
   }
 
-  /** When it was decided, or taken over from a former owner (steady clock, ms). */
+  /**
+   * Returns when this leader made or restored the placement, in milliseconds of the monotonic
+   * clock.
+   */
   public long placedMs() {
     return placedMs;
   }
 
-  /** Incarnation of the agent whose heartbeat the start last answered; -1: not sent. */
+  /**
+   * Returns the incarnation of the worker whose heartbeat was last answered with the start; -1 if
+   * no start was sent.
+   */
   public long startSentIncarnation() {
     return startSentIncarnation;
   }
 
-  /** Sequence number of the heartbeat that the start last answered; -1: not sent. */
+  /**
+   * Returns the sequence number of the heartbeat that was last answered with the start; -1 if no
+   * start was sent.
+   */
   public long startSentSequence() {
     return startSentSequence;
   }
 
-  /** The start goes out in the response to this heartbeat. */
+  /** Records that the start is sent in the response to this heartbeat. */
   public void recordStartSent(long incarnation, long sequence) {
     startSentIncarnation = incarnation;
     startSentSequence = sequence;
   }
 
-  /** Some heartbeat showed it; it is never started again. */
+  /** Returns whether any heartbeat has listed the attempt; no start is sent for it after that. */
   public boolean reported() {
     return reported;
   }
 
-  /** A heartbeat shows it. */
+  /** Records that a heartbeat lists the attempt. */
   public void recordReported() {
     reported = true;
   }
 
-  /** Since when it has its image and runs (steady clock, ms); -1: it does not run yet. */
+  /**
+   * Returns since when the task runs with its image present, in milliseconds of the monotonic
+   * clock; -1 if it does not run yet.
+   */
   public long runningSinceMs() {
     return runningSinceMs;
   }
 
-  /** It has its image and runs since this time (steady clock, ms). */
+  /** Records since when the task runs with its image present (monotonic clock, milliseconds). */
   public void recordRunning(long sinceMs) {
     runningSinceMs = sinceMs;
   }
 
-  /** Seconds it may use to save before it is stopped; -1: it is not to be stopped. */
+  /**
+   * Returns how many seconds the task may use to save its state before it is stopped; -1 if no stop
+   * is requested.
+   */
   public double stopGraceS() {
     return stopGraceS;
   }
 
+  /** Returns the name of the task: the job id, a slash and the index of the task. */
   public String taskName() {
     return job.spec().uid() + "/" + task;
   }
 
+  /** Returns whether a stop of the attempt is requested. */
   public boolean stopRequested() {
     return stopGraceS >= 0;
   }
 
-  /** Asks it to go; a stricter wish replaces a milder one. */
+  /**
+   * Requests a stop of the attempt. A later request can only shorten the grace period.
+   *
+   * @param graceS seconds that the task may use to save its state; 0 to stop it at once
+   */
   public void requestStop(double graceS) {
     if (stopGraceS < 0 || graceS < stopGraceS) {
       stopGraceS = graceS;
--- a/src/main/java/dev/windbend/job/PlacementBatch.java
+++ b/src/main/java/dev/windbend/job/PlacementBatch.java
@@ -9,12 +9,16 @@
 import java.util.List;
 
 /**
- * Tasks of a job that a round has placed, as kept in a page: written once, before they may start,
- * and counted until each of them is proved gone or recorded as done. So what is written does not
- * grow with what was placed before.
+ * The placements of a job that one scheduling cycle made, stored as one page entry. The entry is
+ * written once, before the tasks may start, and is needed until each placement is confirmed
+ * terminated and the completion of its task, if any, is stored. A cycle therefore writes only its
+ * new placements.
  */
 final class PlacementBatch implements PageEntry {
-  /** At so many machines, runs and names of the usual length fill a page. */
+  /**
+   * Maximum number of runs in a batch. This many runs with machine names of the usual length fill a
+   * page.
+   */
   static final int MAX_RUNS = 90;
 
   private final Job job;
@@ -22,7 +26,10 @@
   private final long attempt;
   private final List<Placement> placements = new ArrayList<>();
   private int runCount;
+
+  /** Number of placements whose record is still needed. */
   private int neededPlacements;
+
   private boolean recorded;
   private boolean inFlight;
 
@@ -36,6 +43,7 @@
     return attempt;
   }
 
+  /** Adds a placement. Consecutive tasks on the same machine form one run. */
   void add(Placement placement) {
     Placement last = placements.isEmpty() ? null : placements.get(placements.size() - 1);
     if (last == null
@@ -47,22 +55,25 @@
     neededPlacements++;
   }
 
-  /** No more go into an entry: it must fit a page. */
+  /**
+   * Returns whether no further placement may be added: the entry must fit into a page, and an entry
+   * that was sent must not change.
+   */
   boolean full() {
     return runCount >= MAX_RUNS || inFlight || recorded;
   }
 
-  /** Found in the records. */
+  /** Marks the batch as stored, because it was restored from the records. */
   void markRestored() {
     recorded = true;
   }
 
-  /** The record says so: its tasks may start. */
+  /** Returns whether the batch is stored, so that its tasks may start. */
   boolean recorded() {
     return recorded;
   }
 
-  /** Nobody needs this task's placement on record any more. */
+  /** Records that one placement of the batch no longer needs its record. */
   void releasePlacement() {
     neededPlacements--;
   }
@@ -120,7 +131,8 @@
   public void beginWrite(TransactionBuilder transaction) {
     inFlight = true;
     if (!recorded) {
-      // Cancelled or ended meanwhile: then nothing of it may start.
+      // If the job was cancelled or archived meanwhile, the write fails and none of its tasks
+      // starts.
       transaction.ifVersion(job.recordKey(), job.recordVersion());
     }
   }
--- a/src/main/java/dev/windbend/job/SubmissionValidator.java
+++ b/src/main/java/dev/windbend/job/SubmissionValidator.java
@@ -7,13 +7,14 @@
 import java.util.Locale;
 import java.util.regex.Pattern;
 
-/** Reads a submission; says exactly what is wrong with a malformed one. */
+/** Parses and validates submissions. The error message names the first invalid field. */
 final class SubmissionValidator {
   static final int MAX_TASKS = 100_000;
   private static final int MAX_TEXT_LENGTH = 128;
   private static final int MAX_TYPES = 16;
   private static final Pattern UID = Pattern.compile("wk-[0-9]{1,18}");
 
+  /** A submission is not a JSON object, or one of its fields is missing or invalid. */
   static final class MalformedSubmissionException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -24,10 +25,16 @@
 
   private SubmissionValidator() {}
 
+  /** Returns whether the text has the form of a job id. */
   static boolean isUid(String text) {
     return UID.matcher(text).matches();
   }
 
+  /**
+   * Parses a submission.
+   *
+   * @throws MalformedSubmissionException with a message for the user if the submission is malformed
+   */
   static JobSpec parse(byte[] body) throws MalformedSubmissionException {
     UserMessages.Submission submission = Json.read(body, UserMessages.Submission.class);
     if (submission == null) {
--- a/src/main/java/dev/windbend/job/Urgency.java
+++ b/src/main/java/dev/windbend/job/Urgency.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** Priorities, the highest first. */
+/** Priority classes of jobs, highest priority first. */
 public enum Urgency {
   @JsonProperty("PRODUCTION")
   PRODUCTION(0),
@@ -19,7 +19,7 @@
     this.rank = rank;
   }
 
-  /** 0 is the highest priority. */
+  /** Returns the rank of the priority; 0 is the highest. */
   public int rank() {
     return rank;
   }
--- a/src/main/java/dev/windbend/job/UserMessages.java
+++ b/src/main/java/dev/windbend/job/UserMessages.java
@@ -3,11 +3,14 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** The users' wire format. */
+/** Messages that users send and receive. */
 final class UserMessages {
   private UserMessages() {}
 
-  /** Fields stay trees here: their types are checked one by one. */
+  /**
+   * A submitted job. The fields are JSON trees because {@link SubmissionValidator} checks the type
+   * of each field.
+   */
   record Submission(
       @JsonProperty("uid") JsonNode uid,
       @JsonProperty("fleet") JsonNode kind,
@@ -31,11 +34,16 @@
       @JsonProperty("due_s") JsonNode dueSeconds) {}
 
   /**
-   * How a job stands.
+   * The status of a job.
    *
-   * @param reason why it waits, where that is more than its turn; null: nothing to say
+   * @param status one of the values in {@link JobStatus}
+   * @param done the number of completed tasks; null if not reported
+   * @param running the number of running tasks; null if not reported
+   * @param reason why the job is pending, if it waits for more than its turn; null if there is no
+   *     reason to report
    */
   record Status(
+      /** Returns a status without a reason. */
       @JsonProperty("uid") String uid,
       @JsonProperty("status") String status,
       @JsonProperty("done") Integer done,
@@ -46,5 +54,6 @@
     }
   }
 
+  /** The body of a response to a rejected request. */
   record Problem(@JsonProperty("error") String error) {}
 }
