--- a/src/main/java/dev/windbend/job/Job.java
+++ b/src/main/java/dev/windbend/job/Job.java
@@ -358,8 +358,8 @@
   }
 
   /**
-   * Returns whether the start of the placement may be sent: the placement is stored, was made by
-   * this leader and is not to be stopped.
+   * Returns whether the start of the placement may be sent: the placement was made by this leader
+   * and is stored, no stop of it is requested, and the job is not cancelled.
    */
   public boolean mayStart(Placement placement) {
     return !placement.inherited()
@@ -415,8 +415,8 @@
   }
 
   /**
-   * Applies a newer version of the live record, for example a cancellation or a write of this
-   * leader.
+   * Applies the live record if its version is newer than the known one. A cancellation in the
+   * record cancels the job.
    */
   public void onRecordChange(JobRecord.Live record, long newVersion) {
     if (newVersion > this.recordVersion) {
--- a/src/main/java/dev/windbend/job/JobHandler.java
+++ b/src/main/java/dev/windbend/job/JobHandler.java
@@ -164,8 +164,7 @@
     while (!pendingSubmissions.isEmpty() && submissions.size() < store.maxWritesPerTransaction()) {
       String uid = pendingSubmissions.peek().record().spec().uid();
       if (uidsInTransaction.putIfAbsent(uid, true) != null) {
-        break; // A repeated submission of the same job is left for the next transaction, which
-        // finds it stored.
+        break; // repeated submission: the next transaction finds the job stored
       }
       PendingSubmission submission = pendingSubmissions.poll();
       transaction.ifAbsent(JobRecord.LIVE_PREFIX + uid).ifAbsent(JobRecord.ENDED_PREFIX + uid);
--- a/src/main/java/dev/windbend/job/JobLookup.java
+++ b/src/main/java/dev/windbend/job/JobLookup.java
@@ -48,8 +48,8 @@
    * The result of a lookup. If it is conclusive and both records are null, the job does not exist.
    *
    * @param conclusive false if the state service did not answer
-   * @param liveValue value and version of the live record; null if the job is not live
-   * @param ended the final record; null if the job is live
+   * @param liveValue value and version of the live record; null if none was found
+   * @param ended the final record; null if none was found
    */
   record Result(boolean conclusive, VersionedValue liveValue, JobRecord.Ended ended) {
     /** Returns the parsed live record; null if there is none or if it is malformed. */
--- a/src/main/java/dev/windbend/job/JobSpec.java
+++ b/src/main/java/dev/windbend/job/JobSpec.java
@@ -9,6 +9,8 @@
  *
  * @param uid the id of the job
  * @param kind the class of the job, which selects its objectives
+ * @param team the name of the team that the job belongs to
+ * @param urgency the priority class of the job
  * @param tasks the number of tasks
  * @param cores the CPU cores of each task
  * @param gpus the GPUs of each task
--- a/src/main/java/dev/windbend/runtime/ConnectionPool.java
+++ b/src/main/java/dev/windbend/runtime/ConnectionPool.java
@@ -13,7 +13,7 @@
 import org.xnio.OptionMap;
 import org.xnio.Options;
 
-/** The connections to one address, a bounded number, and the calls that wait for one. */
+/** A bounded number of connections to one address, and the calls that wait for a connection. */
 final class ConnectionPool {
   private static final Logger LOG = LoggerFactory.getLogger(ConnectionPool.class);
   private static final int MAX_CONNECTIONS = 16;
@@ -27,13 +27,13 @@
   private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
   private final ArrayDeque<PendingCall> waiting = new ArrayDeque<>();
 
-  /** Connections that are open or being opened, idle ones included. */
+  /** Number of connections that are open or being opened, including idle ones. */
   private int open;
 
   private boolean usedSinceLastCheck;
 
   /**
-   * A pool without connections.
+   * Creates a pool without connections.
    *
    * @throws IllegalArgumentException if the address is malformed
    */
@@ -49,9 +49,9 @@
   }
 
   /**
-   * Closes the idle connections if no call was made since this was called last.
+   * Closes the idle connections if no call was submitted since the last invocation.
    *
-   * @return whether the pool is empty and can be forgotten
+   * @return whether the pool has neither connections nor waiting calls, so that it can be discarded
    */
   boolean closeIfUnused() {
     if (!usedSinceLastCheck) {
@@ -63,7 +63,10 @@
     return open == 0 && waiting.isEmpty();
   }
 
-  /** Sends the call over an idle or a new connection, or queues it; over the bound it fails. */
+  /**
+   * Sends the call over an idle or a new connection. If all connections are in use, the call waits;
+   * if too many calls are waiting, it fails.
+   */
   void submit(PendingCall call) {
     usedSinceLastCheck = true;
     ClientConnection connection;
@@ -83,7 +86,7 @@
     }
   }
 
-  /** The call waits no longer. */
+  /** Removes the call from the waiting calls. */
   void remove(PendingCall call) {
     waiting.remove(call);
   }
@@ -107,7 +110,7 @@
     UndertowClient.getInstance().connect(callback, uri, loop.thread(), buffers, SOCKET_OPTIONS);
   }
 
-  /** The connection is free for the next call. */
+  /** Makes the connection available to the next call. */
   void release(ClientConnection connection) {
     if (connection != null && connection.isOpen()) {
       idle.addLast(connection);
@@ -117,7 +120,7 @@
     }
   }
 
-  /** A connection has been closed, or could not be opened. */
+  /** Records that a connection was closed or could not be opened. */
   void releaseClosed() {
     open--;
     submitNext();
--- a/src/main/java/dev/windbend/runtime/EventLoop.java
+++ b/src/main/java/dev/windbend/runtime/EventLoop.java
@@ -1,30 +1,33 @@
 package dev.windbend.runtime;
 
 /**
- * The clocks and timers of the one thread that owns all state of a controller. All callbacks run on
- * it, so state needs no locks. Tests run it in virtual time.
+ * The clocks and timers of the single thread that accesses all state of a controller. All callbacks
+ * run on this thread, so that the state needs no locks. Tests replace the clocks by virtual time.
  */
 public interface EventLoop {
   /**
-   * The share by which durations that two machines measure may differ: twice the drift that the
-   * protocol allows, to be safe.
+   * Maximum relative difference between durations that two machines measure. It is twice the clock
+   * drift that the protocol allows, as a safety margin.
    */
   double CLOCK_DRIFT = 0.001;
 
-  /** The monotonic clock, in milliseconds; only differences mean anything. */
+  /** Returns the time of the monotonic clock, in milliseconds; only differences are meaningful. */
   long nowMs();
 
-  /** The wall clock, in milliseconds since 1970; may differ between machines by the set skew. */
+  /**
+   * Returns the time of the wall clock, in milliseconds since 1970. The wall clocks of machines may
+   * differ by the allowed clock skew.
+   */
   long wallMs();
 
   /**
    * Runs the task once, after the delay.
    *
-   * @param delayMs 0 or less: as soon as what runs now is done
+   * @param delayMs if 0 or negative, the task runs as soon as possible after the current event
    */
   Timer after(long delayMs, Runnable task);
 
-  /** Runs the task again and again, the given pause after each run. */
+  /** Runs the task repeatedly, with the given pause before each run. */
   default void every(long pauseMs, Runnable task) {
     after(
         pauseMs,
@@ -34,9 +37,9 @@
         });
   }
 
-  /** A timer that has not fired yet. */
+  /** A scheduled task. */
   interface Timer {
-    /** The task does not run, unless it already has. */
+    /** Cancels the task; has no effect if it has already run. */
     void cancel();
   }
 }
--- a/src/main/java/dev/windbend/runtime/HttpServer.java
+++ b/src/main/java/dev/windbend/runtime/HttpServer.java
@@ -15,7 +15,10 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** Listens on one address and hands each request, read whole, to a {@link RequestHandler}. */
+/**
+ * Listens on one address and passes each request to a {@link RequestHandler} after its body was
+ * read completely.
+ */
 public final class HttpServer {
   private static final long MAX_BODY_BYTES = 64 * 1024;
   private static final int IDLE_TIMEOUT_MS = 120_000;
@@ -24,10 +27,10 @@
   private HttpServer() {}
 
   /**
-   * Starts to listen; requests are handled on the worker's I/O thread.
+   * Starts to listen. Requests are handled on the I/O thread of the worker.
    *
-   * @param address host and port, as {@code host:port}; port 0: any free one
-   * @return the address listened on
+   * @param address host and port, as {@code host:port}; port 0 selects a free port
+   * @return the address that the server listens on
    */
   public static InetSocketAddress listen(
       XnioWorker worker, ByteBufferPool buffers, String address, RequestHandler handler) {
@@ -73,7 +76,10 @@
         exchange.getRequestMethod().toString(), exchange.getRequestPath(), query, body);
   }
 
-  /** The body is too large, or broke off: it is not read further. */
+  /**
+   * Rejects a request whose body is too large or incomplete. The rest of the body is not read, so
+   * the connection is closed after the response.
+   */
   private static void rejectUnreadable(HttpServerExchange exchange, IOException failure) {
     exchange.setPersistent(false);
     boolean tooLarge =
--- a/src/main/java/dev/windbend/runtime/HttpStatus.java
+++ b/src/main/java/dev/windbend/runtime/HttpStatus.java
@@ -1,8 +1,8 @@
 package dev.windbend.runtime;
 
-/** The HTTP status codes that windbend sends or tells apart. */
+/** The HTTP status codes that windbend sends or distinguishes. */
 public final class HttpStatus {
-  /** The request was carried out. */
+  /** The request was executed. */
   public static final int OK = 200;
 
   /** The job was accepted and stored. */
@@ -11,28 +11,28 @@
   /** The message is malformed. */
   public static final int BAD_REQUEST = 400;
 
-  /** No such path, key, job or lease. */
+  /** The path, key, job or lease does not exist. */
   public static final int NOT_FOUND = 404;
 
-  /** The path is served, but not with this method. */
+  /** The path does not support the method. */
   public static final int METHOD_NOT_ALLOWED = 405;
 
-  /** A compare-and-swap failed, or another job has this id. */
+  /** A compare-and-swap failed, or the id belongs to another job. */
   public static final int CONFLICT = 409;
 
-  /** The body is over the limit. */
+  /** The body exceeds the size limit. */
   public static final int PAYLOAD_TOO_LARGE = 413;
 
-  /** Another controller is the leader of this machine's shard. */
+  /** Another controller is the leader of the machine's shard. */
   public static final int MISDIRECTED_REQUEST = 421;
 
   /** The job can never run. */
   public static final int UNPROCESSABLE_CONTENT = 422;
 
-  /** The rate limit of the service called was exceeded. */
+  /** The rate limit of the called service was exceeded. */
   public static final int TOO_MANY_REQUESTS = 429;
 
-  /** Not possible now; the request may be repeated later. */
+  /** The request cannot be executed now; the client may retry it later. */
   public static final int SERVICE_UNAVAILABLE = 503;
 
   private HttpStatus() {}
--- a/src/main/java/dev/windbend/runtime/Json.java
+++ b/src/main/java/dev/windbend/runtime/Json.java
@@ -9,7 +9,9 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import java.io.IOException;
 
-/** The one JSON mapper: unknown fields are ignored, nulls are left out. */
+/**
+ * Converts between JSON and Java objects. Unknown fields are ignored and null fields are omitted.
+ */
 public final class Json {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -23,19 +25,20 @@
   private Json() {}
 
   /**
-   * The message as JSON.
+   * Serializes the message.
    *
-   * @throws IllegalStateException if its type can't be written, which is a fault of the program
+   * @throws IllegalStateException if the type of the message cannot be serialized, which is a
+   *     programming error
    */
   public static byte[] write(Object message) {
     try {
       return MAPPER.writeValueAsBytes(message);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("cannot write " + message.getClass(), e);
+      throw new IllegalStateException("cannot serialize to JSON: " + message.getClass(), e);
     }
   }
 
-  /** Null if the bytes do not hold such a message. */
+  /** Deserializes a message; returns null if the bytes are not valid JSON for the type. */
   public static <T> T read(byte[] bytes, Class<T> type) {
     try {
       return MAPPER.readValue(bytes, type);
@@ -44,7 +47,7 @@
     }
   }
 
-  /** Null if the tree does not hold such a message. */
+  /** Converts a tree to a message; returns null if the tree does not match the type. */
   public static <T> T read(JsonNode tree, Class<T> type) {
     try {
       return MAPPER.treeToValue(tree, type);
@@ -53,12 +56,16 @@
     }
   }
 
-  /** The tree of any format that Jackson has a parser for. */
+  /**
+   * Reads a tree from a parser of any format that Jackson supports.
+   *
+   * @throws IOException if the input is malformed or cannot be read
+   */
   public static JsonNode tree(JsonParser parser) throws IOException {
     return MAPPER.readTree(parser);
   }
 
-  /** The message as a tree. */
+  /** Converts the message to a tree. */
   public static JsonNode tree(Object message) {
     return MAPPER.valueToTree(message);
   }
--- a/src/main/java/dev/windbend/runtime/NameIndex.java
+++ b/src/main/java/dev/windbend/runtime/NameIndex.java
@@ -4,25 +4,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Maps names to dense indices, counted from 0 in the order in which they were first seen. */
+/** Maps names to consecutive indices, starting at 0, in the order in which the names are added. */
 public final class NameIndex {
-  /** The index of a name that is not known. */
+  /** The index of a name that was not added. */
   public static final int UNKNOWN = -1;
 
   private final Object2IntOpenHashMap<String> indices = new Object2IntOpenHashMap<>();
   private final List<String> names = new ArrayList<>();
 
-  /** An index without names. */
+  /** Creates an index without names. */
   public NameIndex() {
     indices.defaultReturnValue(UNKNOWN);
   }
 
-  /** The index of the name, or {@link #UNKNOWN}. */
+  /** Returns the index of the name, or {@link #UNKNOWN}. */
   public int find(String name) {
     return indices.getInt(name);
   }
 
-  /** The index of the name, which is added if it is not known. */
+  /** Returns the index of the name, which is added if it is unknown. */
   public int index(String name) {
     int known = indices.getInt(name);
     if (known != UNKNOWN) {
@@ -34,12 +34,12 @@
     return added;
   }
 
-  /** The name with this index. */
+  /** Returns the name with this index. */
   public String name(int index) {
     return names.get(index);
   }
 
-  /** How many names are known. */
+  /** Returns the number of names. */
   public int size() {
     return names.size();
   }
--- a/src/main/java/dev/windbend/runtime/PendingCall.java
+++ b/src/main/java/dev/windbend/runtime/PendingCall.java
@@ -17,7 +17,7 @@
 import org.xnio.IoUtils;
 import org.xnio.channels.StreamSourceChannel;
 
-/** One HTTP call from its submission to its response or time-out. */
+/** An HTTP call, from its submission until its response or timeout. */
 final class PendingCall {
   private static final Logger LOG = LoggerFactory.getLogger(PendingCall.class);
   private static final int READ_BUFFER_BYTES = 8_192;
@@ -36,6 +36,12 @@
   private boolean connecting;
   private boolean finished;
 
+  /**
+   * Creates a call that is not submitted yet.
+   *
+   * @param body the JSON body; null for none
+   * @param done receives the response exactly once
+   */
   PendingCall(
       XnioEventLoop loop,
       ConnectionPool pool,
@@ -51,18 +57,21 @@
     this.done = done;
   }
 
+  /** Starts the timeout, which must be done before the call is submitted. */
   void startTimeout(long timeoutMs) {
     timeoutAtMs = loop.nowMs() + timeoutMs;
     timeout = loop.after(timeoutMs, this::timedOut);
   }
 
+  /** Called when the pool opens a connection for this call. */
   void connectionRequested() {
     connecting = true;
   }
 
+  /** Called when the connection opened for this call is ready. */
   void connected(ClientConnection opened) {
     if (finished) {
-      // Timed out meanwhile; the pool counts the connection no more.
+      // The call timed out before the connection was open, and the pool no longer counts it.
       IoUtils.safeClose(opened);
       return;
     }
@@ -70,6 +79,7 @@
     send(opened);
   }
 
+  /** Called when the connection for this call could not be opened. */
   void connectionFailed() {
     if (!finished) {
       connecting = false;
@@ -78,6 +88,7 @@
     }
   }
 
+  /** Delivers the response, unless the call has already finished. */
   void finish(ClientResponse response) {
     if (!finished) {
       finished = true;
@@ -121,10 +132,11 @@
     }
   }
 
+  /** Sends the request over the open connection. */
   void send(ClientConnection openConnection) {
     connection = openConnection;
     if (loop.nowMs() >= timeoutAtMs) {
-      // This process stood still: what it meant to say then may be wrong by now.
+      // The process was suspended beyond the timeout; the request may be outdated and is not sent.
       timedOut();
       return;
     }
@@ -166,7 +178,7 @@
     }
   }
 
-  /** Reads what has arrived, and goes on once more arrives, up to the end of the body. */
+  /** Reads the available bytes and continues when more arrive, until the body is complete. */
   private void read(ClientExchange exchange, StreamSourceChannel channel) {
     ByteBuffer chunk = ByteBuffer.allocate(READ_BUFFER_BYTES);
     try {
@@ -191,13 +203,13 @@
       ClientConnection used = connection;
       connection = null;
       int status = exchange.getResponse().getResponseCode();
-      // After this event the connection has taken note that the response is complete.
+      // The connection becomes reusable only after this event, so a later event releases it.
       loop.after(0, () -> pool.release(used));
       finish(new ClientResponse(status, received.toByteArray()));
     }
   }
 
-  /** Fails the call if the exchange does. */
+  /** Fails the call if the exchange fails. */
   private abstract class ResponseCallback implements ClientCallback<ClientExchange> {
     @Override
     public void failed(IOException e) {
--- a/src/main/java/dev/windbend/runtime/RequestHandler.java
+++ b/src/main/java/dev/windbend/runtime/RequestHandler.java
@@ -2,12 +2,12 @@
 
 import java.util.function.Consumer;
 
-/** Handles the requests that this process receives. */
+/** Handles requests that this process receives. */
 public interface RequestHandler {
   /**
    * Handles one request.
    *
-   * @param done takes the response; must be called exactly once, now or later
+   * @param done receives the response; must be called exactly once, during this call or later
    */
   void handle(ServerRequest request, Consumer<ServerResponse> done);
 }
--- a/src/main/java/dev/windbend/runtime/UndertowHttpClient.java
+++ b/src/main/java/dev/windbend/runtime/UndertowHttpClient.java
@@ -7,11 +7,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** An HTTP client over kept-alive connections, one {@link ConnectionPool} for each address. */
+/** An HTTP client over persistent connections, with one {@link ConnectionPool} for each address. */
 public final class UndertowHttpClient implements HttpClient {
   private static final Logger LOG = LoggerFactory.getLogger(UndertowHttpClient.class);
 
-  /** Unused for so long, connections are closed: calls to many machines must not use up sockets. */
+  /**
+   * Interval of the check that closes the idle connections of each pool without calls since the previous check. Calls to many machines could otherwise exhaust the sockets.
+   */
   private static final long IDLE_TIMEOUT_MS = 5_000;
 
   private final XnioEventLoop loop;
@@ -19,7 +21,7 @@
   private final Map<String, ConnectionPool> pools = new HashMap<>();
 
   /**
-   * A client without connections.
+   * Creates a client without connections.
    *
    * @param buffers the buffers that all connections share
    */
@@ -41,7 +43,7 @@
     try {
       pool = pools.computeIfAbsent(address, a -> new ConnectionPool(loop, buffers, a));
     } catch (IllegalArgumentException e) {
-      // A worker may report any text as its address.
+      // Addresses reported by workers are not validated.
       LOG.debug("malformed address: address={} cause={}", address, e.toString());
       loop.after(0, () -> done.accept(ClientResponse.NO_RESPONSE));
       return;
--- a/src/main/java/dev/windbend/runtime/XnioEventLoop.java
+++ b/src/main/java/dev/windbend/runtime/XnioEventLoop.java
@@ -10,7 +10,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The event loop on the one XNIO thread that also reads and writes all sockets. */
+/** The event loop on the single XNIO I/O thread, which also reads and writes all sockets. */
 public final class XnioEventLoop implements EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
 
@@ -18,12 +18,12 @@
   private final NanoClock monotonicClock = SystemNanoClock.INSTANCE;
   private final EpochClock wallClock = SystemEpochClock.INSTANCE;
 
-  /** The event loop of this I/O thread. */
+  /** Creates the event loop of this I/O thread. */
   public XnioEventLoop(XnioIoThread thread) {
     this.thread = thread;
   }
 
-  /** The thread that runs all events. */
+  /** Returns the thread that runs all events. */
   public XnioIoThread thread() {
     return thread;
   }
@@ -49,12 +49,13 @@
     return key::remove;
   }
 
-  /** Runs the task; what it throws is logged. */
+  /** Runs the task and logs an exception that it throws. */
   static void runLoggingErrors(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
-      // One failed event must not stop the loop; reconciliation makes up for what it left undone.
+      // A failed event must not stop the loop; reconciliation repairs the state that it left
+      // behind.
       LOG.error("event failed", e);
     }
   }
--- a/src/main/java/dev/windbend/runtime/package-info.java
+++ b/src/main/java/dev/windbend/runtime/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What every other package stands on: the event loop with its clocks and timers, HTTP client and
- * server, JSON, and the index that maps names to dense integers. Depends on no other package.
+ * Infrastructure that all other packages use: the event loop with its clocks and timers, the HTTP
+ * client and server, JSON, and the index that maps names to dense integers. This package depends on
+ * no other package of windbend.
  */
 package dev.windbend.runtime;
--- a/src/test/java/dev/windbend/job/JobRecordTest.java
+++ b/src/test/java/dev/windbend/job/JobRecordTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What the state service keeps of jobs: these bytes are read by the next version, too. */
+/**
+ * Pins the stored format of job records, because the next version reads records that this version
+ * wrote.
+ */
 class JobRecordTest {
   private static final JobSpec FULL =
       new JobSpec(
@@ -80,13 +83,13 @@
   static Stream<Arguments> records() {
     return Stream.of(
         arguments("spec", FULL, FULL_JSON),
-        arguments("spec without what may be missing", MINIMAL, MINIMAL_JSON),
+        arguments("spec without optional fields", MINIMAL, MINIMAL_JSON),
         arguments(
             "live job",
             new JobRecord.Live(FULL, 1_760_000_000_123L, true),
             "{\"spec\":" + FULL_JSON + ",\"at\":1760000000123,\"cancelled\":true}"),
         arguments(
-            "live job without what may be missing",
+            "live job without optional fields",
             new JobRecord.Live(MINIMAL, 0, false),
             "{\"spec\":" + MINIMAL_JSON + ",\"at\":0,\"cancelled\":false}"),
         arguments("ended job", new JobRecord.Ended("done", 16), "{\"s\":\"done\",\"n\":16}"),
@@ -102,12 +105,12 @@
   static Stream<Arguments> recordsWithArrays() {
     return Stream.of(
         arguments(
-            "piece: tasks 0, 2 and 15 are done",
+            "completed tasks: 0, 2 and 15",
             new JobRecord.CompletedTasks(new byte[] {5, (byte) 128}),
             "{\"d\":\"BYA=\"}"),
         arguments(
-            "piece: no task is done", new JobRecord.CompletedTasks(new byte[0]), "{\"d\":\"\"}"),
-        arguments("piece without tasks", new JobRecord.CompletedTasks(null), "{}"),
+            "completed tasks: none", new JobRecord.CompletedTasks(new byte[0]), "{\"d\":\"\"}"),
+        arguments("completed tasks without bit set", new JobRecord.CompletedTasks(null), "{}"),
         arguments(
             "placement batch",
             new JobRecord.PlacementBatch(
@@ -115,18 +118,18 @@
             """
             {"a":7,"x":"host-0000","m":["12","34"],"p":[0,8,0,8,4,1]}"""),
         arguments(
-            "placement batch, made from machines",
+            "placement batch created from machine names",
             JobRecord.PlacementBatch.of(
                 3, List.of("host-000012", "host-000134"), new long[] {5, 1, 1}),
             """
             {"a":3,"x":"host-000","m":["012","134"],"p":[5,1,1]}"""),
         arguments(
-            "placement batch of which nothing is left",
+            "placement batch without placements",
             JobRecord.PlacementBatch.of(9, List.of(), new long[0]),
             """
             {"a":9,"x":"","m":[],"p":[]}"""),
         arguments(
-            "placement batch without what may be missing",
+            "placement batch with only an attempt",
             new JobRecord.PlacementBatch(1, null, null, null),
             "{\"a\":1}"));
   }
@@ -156,7 +159,7 @@
     return Json.read(json.getBytes(StandardCharsets.UTF_8), type);
   }
 
-  /** Stored in capitals, though users write it in small letters. */
+  /** Records hold priority classes in upper case, whereas submissions hold them in lower case. */
   @ParameterizedTest
   @CsvSource({"PRODUCTION,0", "URGENT,1", "STANDARD,2", "IDLE,3"})
   void storesUrgencyInUpperCase(String stored, int rank) {
@@ -166,12 +169,12 @@
   }
 
   @Test
-  void readsNoUrgencyInLowerCase() {
+  void hasFourUrgenciesAndReadsNoneInLowerCase() {
     assertThat(Urgency.values()).hasSize(4);
     assertThat(read("\"urgent\"", Urgency.class)).isNull();
   }
 
-  /** A field that is missing or null is null, 0 or false. */
+  /** A missing or null field is read as null, 0 or false. */
   @Test
   void readsRecordsWithMissingFields() {
     JobSpec empty =
--- a/src/test/java/dev/windbend/job/SubmissionValidatorTest.java
+++ b/src/test/java/dev/windbend/job/SubmissionValidatorTest.java
@@ -110,6 +110,10 @@
     "stow_s, false",
     "due_s, true"
   })
+  /**
+   * Tests each field when it is missing, null, or of another type. Only optional fields may be
+   * missing or null.
+   */
   void rejectsFieldThatIsMissingOrOfWrongType(String field, boolean optional) throws Exception {
     ObjectNode valid = (ObjectNode) MAPPER.readTree(json(VALID));
     assertThat(valid.has(field)).isTrue();
--- a/src/test/java/dev/windbend/job/TestJobs.java
+++ b/src/test/java/dev/windbend/job/TestJobs.java
@@ -1,10 +1,10 @@
 package dev.windbend.job;
 
-/** Jobs of one small task, for tests that care for little but their number and priority. */
+/** Creates jobs of one small task for tests that depend only on the number and priority of jobs. */
 public final class TestJobs {
   private TestJobs() {}
 
-  /** Submitted at the time that its number says. */
+  /** Creates a job whose submission time in milliseconds is its number. */
   public static Job createJob(int number, Urgency urgency) {
     JobSpec spec =
         new JobSpec(
--- a/src/test/java/dev/windbend/job/UserMessagesTest.java
+++ b/src/test/java/dev/windbend/job/UserMessagesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Messages from and to users. */
+/** Pins the wire format of the messages that users send and receive. */
 class UserMessagesTest {
   private static final String SUBMISSION =
       """
@@ -58,7 +58,7 @@
             {"uid":"wk-000412","status":"pending","done":3,"running":13,
             "reason":"zone a is unreachable"}"""),
         arguments(
-            "status without what may be missing",
+            "status without optional fields",
             UserMessages.Status.of("wk-000412", "aborted", null, null),
             """
             {"uid":"wk-000412","status":"aborted"}"""),
@@ -67,7 +67,7 @@
             new UserMessages.Problem("unknown team"),
             """
             {"error":"unknown team"}"""),
-        arguments("problem without text", new UserMessages.Problem(null), "{}"));
+        arguments("problem without error text", new UserMessages.Problem(null), "{}"));
   }
 
   @ParameterizedTest(name = "{0}")
@@ -76,7 +76,7 @@
     assertPinned(object, json);
   }
 
-  /** A field of a submission that is not there differs from one that is null. */
+  /** A missing field is read as Java null, and a null field as a JSON null node. */
   @Test
   void readsSubmissionsWithMissingFields() {
     assertRead(
@@ -113,7 +113,7 @@
         .isEqualTo(rank);
   }
 
-  /** Each field of a submission goes where it belongs. */
+  /** Each field of the submission is mapped to the right field of the specification. */
   @Test
   void mapsSubmissionToJobSpec() throws SubmissionValidator.MalformedSubmissionException {
     assertThat(spec(SUBMISSION))
--- a/src/test/java/dev/windbend/runtime/ManualEventLoop.java
+++ b/src/test/java/dev/windbend/runtime/ManualEventLoop.java
@@ -3,13 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An event loop whose clock and timers a test moves by hand. */
+/** An event loop for tests, whose clock and timers are controlled by the test. */
 public final class ManualEventLoop implements EventLoop {
+  /** The current time of both clocks, in milliseconds. */
   public long nowMs;
 
-  /** Tasks of timers that have not fired yet, whenever they are due. */
+  /** Scheduled tasks that have not run yet, regardless of their delay. */
   public final List<Runnable> pendingTasks = new ArrayList<>();
 
+  /** Creates an event loop whose clocks show the given time. */
   public ManualEventLoop(long nowMs) {
     this.nowMs = nowMs;
   }
@@ -30,7 +32,7 @@
     return () -> pendingTasks.remove(task);
   }
 
-  /** Runs what waits now; what that asks for waits on. */
+  /** Runs the pending tasks. Tasks that they schedule remain pending. */
   public void runPendingTasks() {
     List<Runnable> due = List.copyOf(pendingTasks);
     pendingTasks.clear();
--- a/src/test/java/dev/windbend/runtime/ManualHttpClient.java
+++ b/src/test/java/dev/windbend/runtime/ManualHttpClient.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Outgoing calls that a test answers by hand, in any order. */
+/** An HTTP client for tests that records calls; the test responds to them in any order. */
 public final class ManualHttpClient implements HttpClient {
-  /** The paths asked, oldest first. */
+  /** The paths of the calls, oldest first. */
   public final List<String> paths = new ArrayList<>();
 
-  /** The addresses asked, oldest first. */
+  /** The addresses of the calls, oldest first. */
   public final List<String> addresses = new ArrayList<>();
 
-  /** Takes the answer to each call, oldest first. */
+  /** The callbacks that receive the responses to the calls, oldest first. */
   public final List<Consumer<ClientResponse>> responseCallbacks = new ArrayList<>();
 
   @Override
