--- a/src/main/java/dev/windbend/runtime/UndertowHttpClient.java
+++ b/src/main/java/dev/windbend/runtime/UndertowHttpClient.java
@@ -12,7 +12,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(UndertowHttpClient.class);
 
   /**
-   * Interval of the check that closes the idle connections of each pool without calls since the previous check. Calls to many machines could otherwise exhaust the sockets.
+   * Interval of the check that closes the idle connections of each pool without calls since the
+   * previous check. Calls to many machines could otherwise exhaust the sockets.
    */
   private static final long IDLE_TIMEOUT_MS = 5_000;
 
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -49,7 +49,7 @@
   }
 
   @Override
-  public long estimateMs(Job job) {
+  public long estimatedRunTimeMs(Job job) {
     return Units.toMs(estimatedRunTimeSeconds(job));
   }
 
@@ -84,7 +84,7 @@
   }
 
   @Override
-  public long bootMs() {
+  public long maxBootMs() {
     return Units.toMs(maxBootSeconds());
   }
 }
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -57,7 +57,7 @@
 
   private static Optional<WaitReason.ZoneUnreachable> unreachableZone(Job job, ShardState state) {
     return Optional.ofNullable(job.spec().zone())
-        .filter(state.zones()::unreachable)
+        .filter(state.zones()::isUnreachable)
         .map(WaitReason.ZoneUnreachable::new);
   }
 
--- a/src/main/java/dev/windbend/shard/PendingJobBuilder.java
+++ b/src/main/java/dev/windbend/shard/PendingJobBuilder.java
@@ -52,7 +52,7 @@
         MachineCapacityBuilder.resources(job),
         state.images().index(job.spec().image()),
         job.spec().imageGb(),
-        deadlines.estimateMs(job));
+        deadlines.estimatedRunTimeMs(job));
   }
 
   private PendingJob.Constraints constraints(
@@ -75,7 +75,7 @@
         ageMs,
         job.started(),
         StarvedJobs.isStarved(job, nowMs),
-        state.zones().displaced(job));
+        state.zones().isDisplaced(job));
   }
 
   private PendingJob.Objectives objectives(Job job, boolean guaranteed, long nowMs, long ageMs) {
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -196,7 +196,7 @@
   /** One that boots in a zone that is opened again counts, so that it is not requested twice. */
   private boolean inUsableZone(Machine machine) {
     return !machine.zoneClosed()
-        || (machine.lastHeartbeatMs() < 0 && !state.zones().evacuates(machine.zone()));
+        || (machine.lastHeartbeatMs() < 0 && !state.zones().isEvacuated(machine.zone()));
   }
 
   private boolean allInheritedMachinesConfirmed() {
--- a/src/test/java/dev/windbend/daemon/StoredDay.java
+++ b/src/test/java/dev/windbend/daemon/StoredDay.java
@@ -146,8 +146,8 @@
   }
 
   private void zone(String key, ZoneRecord record) {
-    require(record.state() != null && record.sinceWallMs() > 0, key);
-    counts.merge(Kind.DISPLACED_JOBS, record.displaced().size(), Integer::sum);
+    require(record.state() != null && record.stateSinceWallMs() > 0, key);
+    counts.merge(Kind.DISPLACED_JOBS, record.displacedUids().size(), Integer::sum);
     addIf(record.state().label().equals("unreachable"), Kind.UNREACHABLE_ZONE);
   }
 
