--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -7,8 +7,9 @@
 import dev.windbend.store.StoreClient;
 
 /**
- * Compares wanted and actual state of a shard at a steady interval and acts on the differences, for
- * as long as the controller is its leader. While the lease is not surely valid nothing is done.
+ * Periodically compares the desired and actual state of a shard and acts on the differences, until
+ * the term of its leader ends. While the leader may not act, for example because its lease may have
+ * expired, the loop only logs that scheduling is suspended.
  */
 final class ReconciliationLoop {
   private static final long INTERVAL_MS = 500;
@@ -22,7 +23,7 @@
   private final Components components;
   private long leaseValidSinceMs = LEASE_NOT_VALID;
 
-  /** What the loop looks after. */
+  /** The components that the loop runs. */
   record Components(
       ShardZones zones,
       MachineHealth health,
@@ -46,7 +47,7 @@
     this.components = components;
   }
 
-  /** Begins when the shard's records are taken over. */
+  /** Starts the loop. Called when the shard's records are restored. */
   void start(long nowMs) {
     components.cloudList.start(nowMs);
     tick();
@@ -56,42 +57,44 @@
     if (leadership.ended()) {
       return;
     }
-    long now = loop.nowMs();
+    long nowMs = loop.nowMs();
     if (leadership.mayAct()) {
-      reconcile(now);
+      reconcile(nowMs);
     } else {
       leaseValidSinceMs = LEASE_NOT_VALID;
-      statusLog.logSuspendedIfDue(now, store.failingForMs());
+      statusLog.logSuspendedIfDue(nowMs, store.failingForMs());
     }
     loop.after(INTERVAL_MS, this::tick);
   }
 
-  /** The order counts: what an earlier step finds out, a later one acts on and writes. */
-  private void reconcile(long now) {
+  /**
+   * The order of the steps matters: later steps act on the results of earlier ones and write them.
+   */
+  private void reconcile(long nowMs) {
     if (leaseValidSinceMs == LEASE_NOT_VALID) {
-      leaseValidSinceMs = now;
+      leaseValidSinceMs = nowMs;
     }
-    yieldIfNoWorkerContact(now);
-    components.zones.check(now, leaseValidSinceMs);
-    checkMachines(now);
+    yieldIfNoWorkerContact(nowMs);
+    components.zones.check(nowMs, leaseValidSinceMs);
+    checkMachines(nowMs);
     components.jobs.finishCancelled();
-    components.transfers.tick(now);
+    components.transfers.tick(nowMs);
     components.fleet.processPending();
     components.scheduling.runIfDue(SCHEDULING_INTERVAL_MS);
     components.committer.commitDue();
-    statusLog.logIfDue(now);
-    components.cloudList.returnUnlistedInherited(now);
-    components.cloudList.reconcileFailedAndOrphaned(now);
+    statusLog.logIfDue(nowMs);
+    components.cloudList.returnUnlistedInherited(nowMs);
+    components.cloudList.reconcileFailedAndOrphaned(nowMs);
   }
 
-  private void yieldIfNoWorkerContact(long now) {
+  private void yieldIfNoWorkerContact(long nowMs) {
     long lastContactMs = Math.max(leaseValidSinceMs, leadership.lastWorkerContactMs());
-    if (components.health.isIsolatedFromWorkers(now, lastContactMs)) {
+    if (components.health.isIsolatedFromWorkers(nowMs, lastContactMs)) {
       leadership.yieldLeadership();
     }
   }
 
-  private void checkMachines(long now) {
-    components.health.check(now, leaseValidSinceMs, components.zones.availability()::isEvacuated);
+  private void checkMachines(long nowMs) {
+    components.health.check(nowMs, leaseValidSinceMs, components.zones.availability()::isEvacuated);
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardFailover.java
+++ b/src/main/java/dev/windbend/shard/ShardFailover.java
@@ -13,8 +13,8 @@
 import java.util.function.LongConsumer;
 
 /**
- * Takes a shard over after an election: rebuilds its machines and jobs from the records that former
- * leaders have left in the state service.
+ * Recovers a shard after an election: rebuilds its machines and jobs from the records that previous
+ * leaders stored in the state service.
  */
 final class ShardFailover {
   private static final long RECHECK_INTERVAL_MS = 20;
@@ -45,9 +45,11 @@
   }
 
   /**
-   * Waits until the replica shows all that former leaders can have written, and rebuilds.
+   * Rebuilds jobs and machines once the replica contains every write that previous leaders can have
+   * made, and the machine types are known. Does nothing if the term has ended.
    *
-   * @param onRecovered called with the time once jobs and machines are complete
+   * @param onRecovered called with the time of recovery (monotonic clock, ms) once jobs and
+   *     machines are complete
    */
   void run(LongConsumer onRecovered) {
     if (leadership.ended()) {
@@ -57,10 +59,10 @@
       loop.after(RECHECK_INTERVAL_MS, () -> run(onRecovered));
       return;
     }
-    long now = loop.nowMs();
+    long nowMs = loop.nowMs();
     restoreMachines();
-    restoreJobs(now);
-    onRecovered.accept(now);
+    restoreJobs(nowMs);
+    onRecovered.accept(nowMs);
   }
 
   private void restoreMachines() {
@@ -70,11 +72,11 @@
     }
   }
 
-  private void restoreJobs(long now) {
+  private void restoreJobs(long nowMs) {
     SortedMap<String, JsonNode> entries =
         pages.restore(replica.withPrefix(JobRecord.pagesPrefix(leadership.shard())));
     for (VersionedValue record : replica.withPrefix(JobRecord.LIVE_PREFIX).values()) {
-      jobs.restore(record, entries, now);
+      jobs.restore(record, entries, nowMs);
     }
     pages.finishRestore();
   }
