--- a/src/main/java/dev/windbend/job/Cancellations.java
+++ b/src/main/java/dev/windbend/job/Cancellations.java
@@ -77,9 +77,9 @@
   }
 
   /**
-   * Returns all cancellations after the revision that this controller may have confirmed, except
-   * those of jobs whose tasks are all confirmed terminated. The replica, once it is listed,
-   * contains the cancellations that this controller confirmed before a restart.
+   * Returns all cancellations that this controller may have confirmed at revisions after the given
+   * one, except those of jobs whose tasks are all confirmed terminated. The replica, once it is
+   * listed, contains the cancellations that this controller confirmed before a restart.
    *
    * @return null if the replica is not listed yet, or if there are more than {@link #MAX_LISTED};
    *     the caller must then assume that it lacks cancellations
--- a/src/main/java/dev/windbend/job/Job.java
+++ b/src/main/java/dev/windbend/job/Job.java
@@ -47,8 +47,8 @@
   private final Int2ObjectOpenHashMap<Placement> placementByTask = new Int2ObjectOpenHashMap<>();
 
   /**
-   * Completed tasks whose completion is not stored yet, each with the change count of its {@link
-   * CompletionEntry} from which on the entry contains the completion.
+   * Completed tasks whose completion is not stored yet, each with a change count of its {@link
+   * CompletionEntry}. The completion is stored once that many changes of the entry are stored.
    */
   private final Int2LongOpenHashMap unrecordedCompletions = new Int2LongOpenHashMap();
 
@@ -79,18 +79,18 @@
   /**
    * Creates a job whose tasks are all waiting.
    *
-   * @param version version of the live record's key in the state service
-   * @param team index of the job's team within the shard
+   * @param recordVersion version of the live record's key in the state service
+   * @param teamIndex index of the job's team within the shard
    * @param nowMs current time by the monotonic clock
    */
-  public Job(JobRecord.Live record, long version, int team, long nowMs) {
+  public Job(JobRecord.Live record, long recordVersion, int teamIndex, long nowMs) {
     this.lastProgressMs = nowMs;
     this.spec = record.spec();
     this.recordKey = JobRecord.LIVE_PREFIX + spec.uid();
     this.submittedWallMs = record.submittedWallMs();
     this.cancelled = record.cancelled();
-    this.recordVersion = version;
-    this.teamIndex = team;
+    this.recordVersion = recordVersion;
+    this.teamIndex = teamIndex;
     this.completionEntries =
         new CompletionEntry
             [(spec.tasks() + TASKS_PER_COMPLETION_ENTRY - 1) / TASKS_PER_COMPLETION_ENTRY];
--- a/src/main/java/dev/windbend/job/JobHandler.java
+++ b/src/main/java/dev/windbend/job/JobHandler.java
@@ -139,13 +139,13 @@
       String uid, Admission.Rejected rejected, Consumer<ServerResponse> done) {
     lookup.find(
         uid,
-        found -> {
-          if (!found.conclusive()) {
+        result -> {
+          if (!result.conclusive()) {
             done.accept(ServerResponse.retryAfter(1));
-          } else if (found.liveValue() == null && found.ended() == null) {
+          } else if (result.liveValue() == null && result.ended() == null) {
             done.accept(problemResponse(HttpStatus.UNPROCESSABLE_CONTENT, rejected.reason()));
           } else {
-            done.accept(statusResponse(uid, found));
+            done.accept(statusResponse(uid, result));
           }
         });
   }
@@ -216,7 +216,7 @@
       done.accept(ServerResponse.ofStatus(HttpStatus.NOT_FOUND));
       return;
     }
-    lookup.find(uid, found -> done.accept(statusResponse(uid, found)));
+    lookup.find(uid, result -> done.accept(statusResponse(uid, result)));
   }
 
   private void cancel(String uid, int attemptsLeft, Consumer<ServerResponse> done) {
@@ -226,15 +226,15 @@
     }
     lookup.find(
         uid,
-        found -> {
-          JobRecord.Live live = found.liveRecord();
+        result -> {
+          JobRecord.Live live = result.liveRecord();
           if (live == null || live.cancelled()) {
-            done.accept(statusResponse(uid, found));
+            done.accept(statusResponse(uid, result));
             return;
           }
           String key = JobRecord.LIVE_PREFIX + uid;
           TransactionBuilder transaction =
-              new TransactionBuilder().ifVersion(key, found.liveValue().version());
+              new TransactionBuilder().ifVersion(key, result.liveValue().version());
           transaction.put(key, new JobRecord.Live(live.spec(), live.submittedWallMs(), true));
           store.commitForUser(
               transaction,
@@ -256,24 +256,24 @@
         });
   }
 
-  private ServerResponse statusResponse(String uid, JobLookup.Result found) {
-    if (!found.conclusive()) {
+  private ServerResponse statusResponse(String uid, JobLookup.Result result) {
+    if (!result.conclusive()) {
       return ServerResponse.retryAfter(1);
     }
-    if (found.ended() != null) {
+    if (result.ended() != null) {
       return ServerResponse.of(
           HttpStatus.OK,
-          UserMessages.Status.of(uid, found.ended().status(), found.ended().completedTasks(), 0));
+          UserMessages.Status.of(uid, result.ended().status(), result.ended().completedTasks(), 0));
     }
-    if (found.liveValue() == null) {
+    if (result.liveValue() == null) {
       return ServerResponse.ofStatus(HttpStatus.NOT_FOUND);
     }
-    JobRecord.Live live = found.liveRecord();
+    JobRecord.Live live = result.liveRecord();
     if (live == null) {
       return ServerResponse.retryAfter(1);
     }
     if (live.cancelled()) {
-      confirmCancellation(uid, found.liveValue().version());
+      confirmCancellation(uid, result.liveValue().version());
     }
     JobProgress.TaskCounts tasks = progress.taskCounts(uid);
     String status =
--- a/src/main/java/dev/windbend/job/JobProgress.java
+++ b/src/main/java/dev/windbend/job/JobProgress.java
@@ -70,7 +70,7 @@
         .merge(
             id,
             new EntryCount(version, completed, placed),
-            (a, batch) -> a.version > batch.version ? a : batch);
+            (known, read) -> known.version > read.version ? known : read);
   }
 
   /** Returns the task counts of a job; both are 0 if nothing is known of it. */
