--- a/src/main/java/dev/windbend/machine/CloudClient.java
+++ b/src/main/java/dev/windbend/machine/CloudClient.java
@@ -14,15 +14,18 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Calls the cloud, each time with a time-out, under this controller's part of its rate limit. */
+/**
+ * Client of the cloud API. Every call has a timeout, and all calls together stay within this
+ * controller's share of the API's rate limit.
+ */
 public final class CloudClient {
   private static final long CALL_TIMEOUT_MS = 4_000;
   private static final int MAX_PAGE_ENTRIES = 500;
 
-  /** What the parts of all controllers add up to, as a multiple of the rate limit. */
+  /** Sum of the shares of all controllers, as a multiple of the rate limit. */
   private static final double RATE_OVERCOMMIT = 1.6;
 
-  /** Part of the text by which the cloud says that it lacks machines. */
+  /** Substring of the error text that the cloud sends when it has no instances of a kind. */
   private static final String NO_CAPACITY_MARKER = "no capacity";
 
   private final EventLoop loop;
@@ -31,36 +34,42 @@
   private final TokenBucket rateLimiter;
   private final ArrayDeque<Runnable> queuedCalls = new ArrayDeque<>();
 
-  /** How a request for instances ended. */
+  /** Result of a call that creates instances. */
   enum CreateResult {
-    /** Instances were created, perhaps fewer than requested. */
+    /** Instances were created, possibly fewer than requested. */
     GRANTED,
-    /** The cloud lacks them; nothing was created. */
+    /** The cloud has no capacity of this kind; nothing was created. */
     REFUSED,
-    /** The cloud does not take the request as it is; nothing was created. */
+    /** The cloud rejected the request as invalid; nothing was created. */
     MALFORMED,
-    /** No clear answer: it may have been carried out, and is to be sent again under its name. */
+    /** No definite response: the request may have been executed; retry it under its name. */
     UNKNOWN
   }
 
-  /** How a return of instances ended. */
+  /** Result of a call that terminates instances. */
   enum ReturnResult {
-    /** They and all that was on them are gone. */
+    /** The instances and all processes on them are confirmed terminated. */
     CONFIRMED,
-    /** No clear answer, or not sent: it may have been carried out, and is to be sent again. */
+    /** Not sent, or no definite response: the call may have been executed; retry it. */
     UNKNOWN
   }
 
-  /** Takes the result of a request for instances. */
+  /** Receives the result of a call that creates instances. */
   interface CreateCallback {
-    /** {@code machines}: names of the instances granted. */
+    /**
+     * Called once, when the call has ended.
+     *
+     * @param machines names of the instances created; empty unless granted
+     */
     void onResult(CreateResult result, List<String> machines);
   }
 
   /**
-   * A client without calls.
+   * Creates a client that has made no calls.
    *
-   * @param callsPerSecond rate limit of the cloud, which all controllers share
+   * @param address host and port of the cloud API
+   * @param callsPerSecond rate limit of the cloud API, shared by all controllers
+   * @param controllerCount number of controllers that share the rate limit
    */
   public CloudClient(
       EventLoop loop,
@@ -75,51 +84,51 @@
         new TokenBucket(loop, callsPerSecond * Math.min(1.0, RATE_OVERCOMMIT / controllerCount));
   }
 
-  /** The machine types on offer, at least one; empty: they could not be had. */
+  /** Lists the machine types on offer, at least one; empty if the call failed. */
   void listTypes(Consumer<Optional<List<CloudMessages.Type>>> done) {
     call(
         "GET",
         "/machine_types",
         null,
-        reply ->
+        response ->
             done.accept(
-                read(reply, CloudMessages.Types.class)
+                read(response, CloudMessages.Types.class)
                     .map(CloudMessages.Types::types)
                     .filter(types -> !types.isEmpty())));
   }
 
-  /** Requests instances; repeated under the same name, the request is idempotent. */
+  /** Creates instances. The request is idempotent when repeated under the same name. */
   void createInstances(CloudMessages.CreateInstances request, CreateCallback done) {
     call(
         "POST",
         "/hosts",
         Json.write(request),
-        reply -> {
+        response -> {
           Optional<List<String>> names =
-              read(reply, CloudMessages.InstanceNames.class)
+              read(response, CloudMessages.InstanceNames.class)
                   .map(CloudMessages.InstanceNames::names);
           if (names.isPresent()) {
             done.onResult(CreateResult.GRANTED, names.get());
           } else {
-            done.onResult(createFailure(reply), List.of());
+            done.onResult(createFailure(response), List.of());
           }
         });
   }
 
-  private static CreateResult createFailure(ClientResponse reply) {
-    if (reply.status() == HttpStatus.BAD_REQUEST) {
+  private static CreateResult createFailure(ClientResponse response) {
+    if (response.status() == HttpStatus.BAD_REQUEST) {
       return CreateResult.MALFORMED;
     }
     boolean noCapacity =
-        reply.status() == HttpStatus.SERVICE_UNAVAILABLE
-            && new String(reply.body(), StandardCharsets.UTF_8).contains(NO_CAPACITY_MARKER);
+        response.status() == HttpStatus.SERVICE_UNAVAILABLE
+            && new String(response.body(), StandardCharsets.UTF_8).contains(NO_CAPACITY_MARKER);
     return noCapacity ? CreateResult.REFUSED : CreateResult.UNKNOWN;
   }
 
   /**
-   * Returns instances, at most 100. The cloud knows no fencing token, so whether they may still be
-   * returned is asked again at the moment of sending: this process may have stood still meanwhile,
-   * and another may use them.
+   * Terminates instances, at most 100. The cloud API has no fencing tokens, so {@code stillAllowed}
+   * is evaluated again immediately before the call is sent: this process may have been suspended
+   * while the call was queued, and another leader may use the instances by then.
    */
   void terminateInstances(
       List<String> machines, BooleanSupplier stillAllowed, Consumer<ReturnResult> done) {
@@ -128,10 +137,10 @@
         "/hosts/return",
         Json.write(new CloudMessages.InstanceNames(machines)),
         stillAllowed,
-        reply -> done.accept(reply.ok() ? ReturnResult.CONFIRMED : ReturnResult.UNKNOWN));
+        response -> done.accept(response.ok() ? ReturnResult.CONFIRMED : ReturnResult.UNKNOWN));
   }
 
-  /** All instances, by pages; empty: some page could not be had. */
+  /** Lists all instances page by page; empty if the call for any page failed. */
   void listInstances(Consumer<Optional<List<CloudMessages.Instance>>> done) {
     listPage(null, new ArrayList<>(), done);
   }
@@ -144,9 +153,9 @@
         "GET",
         "/hosts?limit=" + MAX_PAGE_ENTRIES + (afterName == null ? "" : "&from=" + afterName),
         null,
-        reply -> {
+        response -> {
           Optional<CloudMessages.InstancePage> listing =
-              read(reply, CloudMessages.InstancePage.class)
+              read(response, CloudMessages.InstancePage.class)
                   .filter(page -> page.instances() != null);
           if (listing.isEmpty()) {
             done.accept(Optional.empty());
@@ -162,8 +171,8 @@
         });
   }
 
-  private static <T> Optional<T> read(ClientResponse reply, Class<T> type) {
-    return reply.ok() ? Optional.ofNullable(Json.read(reply.body(), type)) : Optional.empty();
+  private static <T> Optional<T> read(ClientResponse response, Class<T> type) {
+    return response.ok() ? Optional.ofNullable(Json.read(response.body(), type)) : Optional.empty();
   }
 
   private void call(String method, String path, byte[] body, Consumer<ClientResponse> done) {
@@ -194,11 +203,11 @@
         path,
         body,
         CALL_TIMEOUT_MS,
-        reply -> {
-          if (reply.status() == HttpStatus.TOO_MANY_REQUESTS) {
+        response -> {
+          if (response.status() == HttpStatus.TOO_MANY_REQUESTS) {
             rateLimiter.slowDown();
           }
-          done.accept(reply);
+          done.accept(response);
         });
   }
 
--- a/src/main/java/dev/windbend/machine/CloudReconciliation.java
+++ b/src/main/java/dev/windbend/machine/CloudReconciliation.java
@@ -9,7 +9,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
 
-/** Reconciles the machines of a shard with those that the cloud lists. */
+/** Reconciles the machines of a shard with the instances that the cloud lists. */
 final class CloudReconciliation {
   private final EventLoop loop;
   private final CloudClient cloud;
@@ -46,7 +46,7 @@
       if (machine.inherited()
           && machine.lastHeartbeatMs() < 0
           && !listedNames.contains(machine.name())) {
-        scaleIn.request(List.of(machine), "gone since before the failover");
+        scaleIn.request(List.of(machine), "not listed by the cloud after failover");
       }
     }
   }
--- a/src/main/java/dev/windbend/machine/Fleet.java
+++ b/src/main/java/dev/windbend/machine/Fleet.java
@@ -8,8 +8,9 @@
 import java.util.function.Predicate;
 
 /**
- * The machines of one shard. Wanted and actual differ by scale-out requests under way and machines
- * being returned; both are pursued until the cloud has surely answered.
+ * The machines of one shard. The desired and the actual set of machines differ by pending scale-out
+ * requests and by machines being terminated; the calls for both are retried until the cloud has
+ * given a definite response.
  */
 public final class Fleet {
   private final Listener listener;
@@ -20,32 +21,32 @@
   private final CloudReconciliation reconciliation;
   private boolean closed;
 
-  /** Hears of changes of the fleet, and says whether it may act. */
+  /** Is notified of changes of the fleet, and decides whether the fleet may call the cloud. */
   public interface Listener {
-    /** A record of machines differs from what is stored, and is to be written. */
+    /** A record of machines differs from its stored version and has to be written. */
     void recordChanged(PendingWrite record);
 
-    /** The cloud has confirmed: the machine and all that was on it are gone. */
+    /** The cloud has confirmed that the machine and all processes on it are terminated. */
     void machineTerminated(Machine machine);
 
-    /** New machines are on their way, or a scale-out request was refused. */
+    /** New machines have been granted, or a scale-out request was refused. */
     void fleetChanged();
 
-    /** Whether this controller certainly leads the shard. */
+    /** Whether this controller is certain to lead the shard now. */
     boolean mayAct();
   }
 
   /**
-   * Machines requested of the cloud, which has not answered yet.
+   * Machines of a scale-out request that the cloud has not answered yet.
    *
    * @param zone dense index of the zone
-   * @param sinceMs when they were requested (steady clock)
+   * @param sinceMs when they were requested (monotonic clock)
    */
   public record PendingScaleOut(
       MachineType type, int zone, boolean spot, int count, long sinceMs) {}
 
   /**
-   * A fleet without machines.
+   * Creates a fleet without machines.
    *
    * @param token fencing token under which this controller leads the shard
    */
@@ -66,7 +67,7 @@
     this.reconciliation = new CloudReconciliation(loop, cloud, records, scaleIn);
   }
 
-  /** The shard is not led here any more: answers that come later change nothing. */
+  /** This controller no longer leads the shard: ignores all later responses. */
   public void close() {
     closed = true;
     scaleOut.close();
@@ -74,80 +75,84 @@
     reconciliation.close();
   }
 
-  /** All machines, in the order in which they came. A view. */
+  /** All machines, in the order in which they were added. A live view. */
   public Collection<Machine> machines() {
     return records.machines();
   }
 
-  /** Null if it is not of this shard. */
+  /** The machine with this name; null if the shard has no such machine. */
   public Machine find(String name) {
     return records.find(name);
   }
 
   /**
-   * A record found in the state service, or just transferred to this shard. A scale-out request
-   * without an answer is sent again under its name; of the others the machines are this shard's
-   * unless a later record names them.
+   * Restores a record that was found in the state service, or has just been transferred to this
+   * shard. An unanswered scale-out request is sent again under its name. The machines of an
+   * answered one are added to the shard unless a later record names them.
    *
-   * @param version of the record
-   * @param inherited whether it is a former leader's
+   * @param version version of the record in the state service
+   * @param inherited whether a previous leader wrote the record
    */
   public void restore(
       String name, ScaleOutRecord record, long version, MachineIndex index, boolean inherited) {
     records.restore(name, record, version, index, inherited);
   }
 
-  /** Not to be requested now: the cloud had not enough of them a moment ago. */
+  /** Whether requests of this kind are backed off because the cloud recently lacked capacity. */
   public boolean recentlyRefused(int type, int zone, boolean spot) {
     return scaleOut.recentlyRefused(new InstanceKind(type, zone, spot));
   }
 
-  /** At least one kind of machine is not to be requested now. */
+  /** Whether requests of at least one kind of machine are backed off. */
   public boolean anyRecentlyRefused() {
     return scaleOut.anyRecentlyRefused();
   }
 
-  /** Machines requested and not granted yet. */
+  /** Machines that have been requested, without a response from the cloud yet. */
   public Collection<PendingScaleOut> pendingScaleOuts() {
     return scaleOut.pending();
   }
 
-  /** Requests machines of the cloud; of a kind that it lacked last, one batch only. */
+  /** Requests machines from the cloud; only one batch if the cloud last lacked this kind. */
   public void scaleOut(MachineType type, int zone, boolean spot, int count) {
     scaleOut.request(type, zone, spot, count);
   }
 
-  /** Gives orphaned machines to a shard, which may be this one. */
+  /** Assigns orphaned machines to a shard, which may be this one. */
   void adopt(OrphanedMachine kind, List<String> machineNames, int toShard) {
     transfers.adopt(kind, machineNames, toShard);
   }
 
-  /** Gives empty machines to another shard; they are used no more from now on. */
+  /** Transfers empty machines to another shard; this shard stops using them immediately. */
   public void transfer(Collection<Machine> machines, int toShard) {
     transfers.transfer(machines, toShard);
   }
 
-  /** Takes note of what has been written: machines transferred, requests that are complete. */
+  /** Removes requests that have no machines left. To be called after records were written. */
   public void afterWrite() {
     records.finishEmptied();
   }
 
-  /** Returns a machine to the cloud. */
+  /**
+   * Returns a machine to the cloud.
+   *
+   * @param cause reason, for the log
+   */
   public void scaleIn(Machine machine, String cause) {
     scaleIn(List.of(machine), cause);
   }
 
-  /** Returns machines to the cloud in this order, in as few calls as there can be. */
+  /** Returns machines to the cloud in this order, in as few calls as possible. */
   public void scaleIn(List<Machine> machines, String cause) {
     scaleIn.request(machines, cause);
   }
 
-  /** How many machines are being returned. */
+  /** Number of machines whose termination is not confirmed yet. */
   public int terminatingCount() {
     return scaleIn.terminatingCount();
   }
 
-  /** Pursues what is under way: requests to send, machines to return. */
+  /** Sends pending scale-out requests, and the next batch of machines to terminate. */
   public void processPending() {
     if (closed || !listener.mayAct()) {
       return;
@@ -157,21 +162,23 @@
   }
 
   /**
-   * Returns inherited machines that have sent no heartbeat and are not listed by the cloud: some
-   * may have been taken away while the shard had no leader, and silence alone would tell late. To
-   * be called once all that was requested before must be listed.
+   * Scales in inherited machines that have sent no heartbeat and are not listed by the cloud. The
+   * cloud may have reclaimed some of them while the shard had no leader; waiting for the heartbeat
+   * timeout alone would detect that late. To be called once the list must contain all machines that
+   * were requested before the failover.
    */
   public void returnUnlistedInherited() {
     reconciliation.returnUnlistedInherited();
   }
 
   /**
-   * Looks through the cloud's list for failed machines of ours, and for machines that no shard
-   * knows. The list lags, so those must stay unknown for long.
+   * Searches the cloud's list of instances for failed machines of this shard, which are scaled in,
+   * and for machines that no shard has on record. The list lags behind, so a machine counts as
+   * orphaned only after it has been unknown for {@code orphanedAfterMs}.
    *
    * @param orphanedAfterMs how long a machine must have been unknown
-   * @param isKnown whether some shard knows a machine
-   * @param onOrphaned takes the orphaned machines
+   * @param isKnown whether any shard has the named machine on record
+   * @param onOrphaned receives the name and kind of each orphaned machine
    */
   public void reconcileWithCloud(
       long orphanedAfterMs,
--- a/src/main/java/dev/windbend/machine/FleetRecords.java
+++ b/src/main/java/dev/windbend/machine/FleetRecords.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The machines of one shard and the records that name them, in the order in which they came. */
+/** The machines of one shard and the records that name them, in the order they were added. */
 final class FleetRecords {
   private static final Logger LOG = LoggerFactory.getLogger(FleetRecords.class);
 
@@ -20,7 +20,7 @@
   private final Map<String, ScaleOutRequest> requests = new LinkedHashMap<>();
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** Fences of machines that left, so that an outdated record does not bring them back. */
+  /** Fences of removed machines, so that an outdated record does not restore them. */
   private final Object2LongOpenHashMap<String> formerMachineFences = new Object2LongOpenHashMap<>();
 
   FleetRecords(EventLoop loop, MachineTypeCatalog catalog, int shard, Fleet.Listener listener) {
@@ -34,7 +34,7 @@
     return machines.values();
   }
 
-  /** Null if it is not of this shard. */
+  /** The machine with this name; null if the shard has no such machine. */
   Machine find(String name) {
     return machines.get(name);
   }
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Whether it left this shard under this fence or a later one. */
+  /** Whether the machine was removed from this shard under this fence or a later one. */
   private boolean leftSince(String machineName, long fence) {
     return formerMachineFences.containsKey(machineName)
         && formerMachineFences.getLong(machineName) >= fence;
@@ -82,7 +82,11 @@
     machine.setInherited(inherited);
   }
 
-  /** A request as it is on record, or is to be (version 0); null: its type is not known. */
+  /**
+   * Adds a request that is on record, or has yet to be written (version 0).
+   *
+   * @return the request; null if its machine type is unknown
+   */
   ScaleOutRequest add(String name, ScaleOutRecord record, long version) {
     MachineType type = catalog.find(record.type());
     if (type == null) {
@@ -96,7 +100,7 @@
     return request;
   }
 
-  /** Takes in the machines that the cloud granted, without those that are or were known. */
+  /** Adds the machines that the cloud granted, except those this shard has or had before. */
   void addGranted(ScaleOutRequest request, List<String> names) {
     for (String name : names) {
       if (!machines.containsKey(name) && !formerMachineFences.containsKey(name)) {
@@ -112,7 +116,7 @@
     return machine;
   }
 
-  /** The machine is no longer this shard's. */
+  /** Removes a machine that was terminated or transferred to another shard. */
   void remove(Machine machine) {
     if (machines.remove(machine.name(), machine)) {
       formerMachineFences.put(machine.name(), machine.request.fence);
@@ -121,7 +125,7 @@
     listener.recordChanged(machine.request);
   }
 
-  /** Finishes requests that were answered and have no machines left. */
+  /** Finishes answered requests that have no machines left. */
   void finishEmptied() {
     for (ScaleOutRequest request : List.copyOf(requests.values())) {
       if (request.answered && request.machines.isEmpty()) {
@@ -130,7 +134,7 @@
     }
   }
 
-  /** Nothing depends on the request any more: its record goes. */
+  /** Removes a request that is no longer needed, and deletes its record. */
   void finish(ScaleOutRequest request) {
     requests.remove(request.name);
     request.finish(loop.nowMs());
--- a/src/main/java/dev/windbend/machine/FreeCapacityWindow.java
+++ b/src/main/java/dev/windbend/machine/FreeCapacityWindow.java
@@ -1,6 +1,6 @@
 package dev.windbend.machine;
 
-/** The least free cores of a machine in this window of time, and in the one before. */
+/** Minimum of a machine's free cores within the current time window and the previous one. */
 final class FreeCapacityWindow {
   private double minFreeCores;
   private double previousMinFreeCores;
@@ -10,18 +10,22 @@
     this.previousMinFreeCores = freeCores;
   }
 
-  /** Begins a new window. */
+  /**
+   * Starts a new window.
+   *
+   * @param freeCores cores that are free at its start
+   */
   void beginWindow(double freeCores) {
     previousMinFreeCores = minFreeCores;
     minFreeCores = freeCores;
   }
 
-  /** So many cores are free from now on. */
+  /** Records the number of free cores after a change. */
   void record(double freeCores) {
     minFreeCores = Math.min(minFreeCores, freeCores);
   }
 
-  /** Cores that were free for a whole window at least. */
+  /** Cores that have been free throughout the current and the previous window. */
   double sustainedFreeCores() {
     return Math.min(previousMinFreeCores, minFreeCores);
   }
--- a/src/main/java/dev/windbend/machine/HealthFindings.java
+++ b/src/main/java/dev/windbend/machine/HealthFindings.java
@@ -5,34 +5,44 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What one look at all machines of a shard has found. */
+/** Result of one health scan over all machines of a shard. */
 final class HealthFindings {
-  /** One late heartbeat in a zone alone is no partition. */
+  /** A single missed heartbeat in a zone does not indicate a network partition. */
   private static final int MIN_MISSED_FOR_PARTITION = 2;
 
-  /** So many machines of a partitioned zone are missed for each that is heard, at least. */
+  /**
+   * In a partitioned zone more than this number of heartbeats are missed for each one that is
+   * received.
+   */
   private static final int MIN_MISSED_PER_RECEIVED = 2;
 
-  /** If a larger part of the heard machines seems unresponsive, the fault is ours. */
+  /**
+   * If at least one in this number of machines that send heartbeats seems unresponsive, the cause
+   * is this controller.
+   */
   private static final int MIN_RECEIVED_PER_UNRESPONSIVE = 3;
 
-  /** Machines that are to be returned whatever becomes of the others, in the fleet's order. */
+  /** Machines to scale in regardless of the state of other machines, in the fleet's order. */
   final List<ScaleInCandidate> scaleInCandidates = new ArrayList<>();
 
-  /** Empty machines that are promised to other shards, by shard. */
+  /** Empty machines that are reserved for transfer, by receiving shard. */
   final Map<Integer, List<Machine>> transfers = new TreeMap<>();
 
-  /** Machines silent for longer than a living one would be. */
+  /** Machines that have sent no heartbeat for longer than a running worker would. */
   final List<Machine> silent = new ArrayList<>();
 
-  /** Machines that show no effect of our responses. */
+  /** Machines whose heartbeats show no effect of the controller's responses. */
   final List<Machine> unresponsive = new ArrayList<>();
 
   private final int[] receivedByZone;
   private final int[] missedByZone;
-  private int received;
+  private int receivedHeartbeats;
 
-  /** A machine that is to be returned. */
+  /**
+   * A machine to scale in.
+   *
+   * @param cause reason, for the log
+   */
   record ScaleInCandidate(Machine machine, String cause) {}
 
   HealthFindings(int zoneCount) {
@@ -40,24 +50,31 @@
     this.missedByZone = new int[zoneCount];
   }
 
+  /** Counts a machine whose heartbeats arrive on time, or one whose heartbeat is overdue. */
   void recordHeartbeat(int zone, boolean missed) {
     if (missed) {
       missedByZone[zone]++;
     } else {
       receivedByZone[zone]++;
-      received++;
+      receivedHeartbeats++;
     }
   }
 
-  /** Nearly all of a zone at once is a partition; a wave of machines taken back is less. */
+  /**
+   * Whether the zone seems cut off by a network partition: heartbeats of nearly all its machines
+   * are overdue at once. A wave of spot reclaims affects fewer machines.
+   */
   boolean isPartitioned(int zone) {
     return missedByZone[zone] >= MIN_MISSED_FOR_PARTITION
         && missedByZone[zone] > MIN_MISSED_PER_RECEIVED * receivedByZone[zone];
   }
 
-  /** Many at once: the fault is ours, as when this process is slow. */
+  /**
+   * Whether so large a share of machines seems unresponsive that the cause is this controller, for
+   * instance a slow process.
+   */
   boolean unresponsiveDueToController() {
     return unresponsive.size() != 1
-        && MIN_RECEIVED_PER_UNRESPONSIVE * unresponsive.size() >= received;
+        && MIN_RECEIVED_PER_UNRESPONSIVE * unresponsive.size() >= receivedHeartbeats;
   }
 }
--- a/src/main/java/dev/windbend/machine/HealthScan.java
+++ b/src/main/java/dev/windbend/machine/HealthScan.java
@@ -4,18 +4,20 @@
 import java.util.Collection;
 import java.util.function.IntPredicate;
 
-/** Finds how the machines of a shard stand; changes nothing. */
+/** Determines the health of the machines of a shard, without changing any of them. */
 final class HealthScan {
-  /** The cloud may take a machine away so much later than it said. */
+  /** Maximum delay between the announced and the actual recall of a machine. */
   private static final long RECALL_GRACE_MS = 1_000;
 
-  /** A machine may boot for so many times what its type takes. */
+  /** Maximum boot time of a machine, as a multiple of the boot time of its type. */
   private static final double MAX_BOOT_TIME_FACTOR = 2.5;
 
-  /** For less the cloud charges all the same, so a machine that boots has so long at least. */
+  /**
+   * Minimum time that the cloud charges for, so scaling in a booting machine earlier saves nothing.
+   */
   private static final long MIN_CHARGED_TIME_MS = 60_000;
 
-  /** One lost response alone says nothing. */
+  /** A single missed response may be due to a lost message. */
   private static final int MIN_MISSED_RESPONSES = 2;
 
   private final HealthThresholds thresholds;
@@ -29,7 +31,7 @@
   /** See {@link MachineHealth#condition}. */
   MachineHealth.Condition condition(Machine machine, long nowMs, long reachableSinceMs) {
     if (machine.lastHeartbeatMs() < 0) {
-      // An inherited one has had its time to find us; another may still boot.
+      // An inherited machine has had time to reach this controller; others may still be booting.
       boolean overdue =
           machine.inherited()
               && silenceSinceRequestMs(machine, nowMs, reachableSinceMs)
@@ -44,7 +46,7 @@
         : MachineHealth.Condition.RESPONSIVE;
   }
 
-  /** How long a machine that has sent a heartbeat is silent. */
+  /** Time since the last heartbeat of a machine that has sent at least one. */
   static long silenceMs(Machine machine, long nowMs, long reachableSinceMs) {
     return nowMs - Math.max(machine.lastHeartbeatMs(), reachableSinceMs);
   }
@@ -82,19 +84,21 @@
       long reachableSinceMs,
       boolean handledByEvacuation,
       HealthFindings findings) {
-    // Inherited ones count from the failover, so they get their time to find us.
+    // Inherited machines count from the failover, so they have time to reach this controller.
     long maxBootMs =
         (long)
             Math.max(
                 MIN_CHARGED_TIME_MS, 1000 * MAX_BOOT_TIME_FACTOR * machine.type().bootSeconds());
     if (nowMs - machine.requestedMs() > maxBootMs) {
-      findings.scaleInCandidates.add(new HealthFindings.ScaleInCandidate(machine, "never came up"));
+      findings.scaleInCandidates.add(
+          new HealthFindings.ScaleInCandidate(
+              machine, "no heartbeat within the maximum boot time"));
     } else if (!handledByEvacuation
         && !machine.tasks().isEmpty()
         && silenceSinceRequestMs(machine, nowMs, reachableSinceMs)
             > 2 * thresholds.maxSilenceMs()) {
       findings.scaleInCandidates.add(
-          new HealthFindings.ScaleInCandidate(machine, "silent since the failover"));
+          new HealthFindings.ScaleInCandidate(machine, "no heartbeat since the failover"));
     }
   }
 
--- a/src/main/java/dev/windbend/machine/HealthThresholds.java
+++ b/src/main/java/dev/windbend/machine/HealthThresholds.java
@@ -1,26 +1,27 @@
 package dev.windbend.machine;
 
 /**
- * Times after which a machine counts as silent.
+ * Time limits of the heartbeats, after which a machine counts as silent or lost.
  *
  * @param heartbeatIntervalMs interval of the workers' heartbeats
- * @param leaseMs how long after its last renewal a worker's lease expires
- * @param maxSilenceMs how long a living machine sends no heartbeat at most
+ * @param leaseMs duration of a worker's lease, counted from its last renewal
+ * @param maxSilenceMs maximum time between two heartbeats of a running worker
  */
 record HealthThresholds(long heartbeatIntervalMs, long leaseMs, long maxSilenceMs) {
   /**
-   * A worker that has lost a response waits 4 s for it and 1 s more, then asks a controller that
-   * sends it on after up to half a second. One that is silent for longer than that and its interval
-   * is gone or hangs.
+   * Time a worker needs to recover from a lost response: it waits 4 s for the response and another
+   * 1 s, then contacts a controller that forwards its heartbeat after up to 0.5 s. A worker that is
+   * silent for longer than this and its heartbeat interval has terminated or hangs.
    */
   static final long LOST_RESPONSE_RECOVERY_MS = 6_500;
 
-  /** A heartbeat may come so much later than its interval, as a multiple. */
+  /** Maximum time between two heartbeats if no response is lost, in heartbeat intervals. */
   private static final double MAX_INTERVAL_FACTOR = 1.25;
 
-  /** A living machine that gets our responses sends heartbeats at least so often, in intervals. */
+  /** Time after which the heartbeat of a running, reachable worker is overdue, in intervals. */
   private static final double OVERDUE_INTERVAL_FACTOR = 1.3;
 
+  /** Creates thresholds from the heartbeat interval and the lease duration. */
   static HealthThresholds fromSeconds(double heartbeatIntervalSeconds, double leaseSeconds) {
     return new HealthThresholds(
         (long) (1000 * heartbeatIntervalSeconds),
@@ -28,12 +29,15 @@
         (long) (1000 * MAX_INTERVAL_FACTOR * heartbeatIntervalSeconds) + LOST_RESPONSE_RECOVERY_MS);
   }
 
-  /** Whether a heartbeat is overdue after such a silence. */
+  /** Whether a heartbeat is overdue this long after the previous one. */
   boolean isHeartbeatOverdue(long silenceMs) {
     return silenceMs > OVERDUE_INTERVAL_FACTOR * heartbeatIntervalMs;
   }
 
-  /** Behind a network partition the tasks go on, so they get their whole lease. */
+  /**
+   * Whether a machine behind a network partition counts as lost. Its tasks keep running, so it is
+   * kept for its whole lease.
+   */
   boolean isLostBehindPartition(long silenceMs) {
     return silenceMs > leaseMs + 2 * heartbeatIntervalMs;
   }
--- a/src/main/java/dev/windbend/machine/InstanceKind.java
+++ b/src/main/java/dev/windbend/machine/InstanceKind.java
@@ -1,6 +1,6 @@
 package dev.windbend.machine;
 
-/** What the cloud tells apart when it grants instances; type and zone by dense index. */
+/** The attributes by which the cloud allocates instances; type and zone as dense indexes. */
 record InstanceKind(int type, int zone, boolean spot) {
   static InstanceKind of(Machine machine) {
     return new InstanceKind(machine.type().index(), machine.zone(), machine.spot());
--- a/src/main/java/dev/windbend/machine/Machine.java
+++ b/src/main/java/dev/windbend/machine/Machine.java
@@ -9,33 +9,34 @@
 import java.util.function.Predicate;
 
 /**
- * A machine of the shard, as its leader knows it. It is requested as a {@link ScaleOutRequest},
- * which it joins once granted. Its state is told by these, which do not exclude each other, except
- * that in service, returning and gone follow one another:
+ * A machine of the shard, in the view of its leader. It is requested by a {@link ScaleOutRequest}
+ * and added to that request once granted. It may be in several of the following states at once,
+ * except that it is first in service, then terminating, then terminated:
  *
  * <table>
  *   <caption>States of a machine</caption>
- *   <tr><th>State</th><th>Told by</th><th>Ends with</th></tr>
+ *   <tr><th>State</th><th>Condition</th><th>Ends with</th></tr>
  *   <tr><td>booting</td><td>{@link #lastHeartbeatMs} is -1</td><td>its first heartbeat</td></tr>
  *   <tr><td>not recorded</td><td>not {@link #recorded}</td>
- *     <td>the write of its record; never, once another shard gets it</td></tr>
+ *     <td>the write of its record; never, once it is being transferred</td></tr>
  *   <tr><td>unconfirmed</td><td>not {@link #confirmedUnderToken}</td>
- *     <td>a heartbeat under our token</td></tr>
+ *     <td>a heartbeat under the leader's token</td></tr>
  *   <tr><td>missing responses</td><td>{@link WorkerLiveness#missedResponses} above 0</td>
  *     <td>a heartbeat without a missed response</td></tr>
- *   <tr><td>refusing starts</td><td>{@link #startsRefusedUntilMs} lies ahead</td>
+ *   <tr><td>refusing starts</td><td>{@link #startsRefusedUntilMs} is in the future</td>
  *     <td>that time</td></tr>
- *   <tr><td>zone closed</td><td>{@link #zoneClosed}</td><td>its zone being open for it</td></tr>
+ *   <tr><td>zone closed</td><td>{@link #zoneClosed}</td>
+ *     <td>its zone is open for new tasks on it</td></tr>
  *   <tr><td>cordoned</td><td>{@link #cordoned}</td><td>never</td></tr>
  *   <tr><td>recalled</td><td>{@link #recallAtMs} not -1; also cordoned</td><td>never</td></tr>
- *   <tr><td>promised</td><td>{@link #reservedForShard} not -1; also cordoned</td><td>never</td></tr>
- *   <tr><td>evicting</td><td>{@link #evictAtMs} not -1; also promised</td><td>never</td></tr>
- *   <tr><td>returning</td><td>{@link #terminating}</td><td>never</td></tr>
- *   <tr><td>gone</td><td>{@link #terminated}; also returning</td><td>never</td></tr>
+ *   <tr><td>reserved</td><td>{@link #reservedForShard} not -1; also cordoned</td><td>never</td></tr>
+ *   <tr><td>evicting</td><td>{@link #evictAtMs} not -1; also reserved</td><td>never</td></tr>
+ *   <tr><td>terminating</td><td>{@link #terminating}</td><td>never</td></tr>
+ *   <tr><td>terminated</td><td>{@link #terminated}; also terminating</td><td>never</td></tr>
  * </table>
  *
- * <p>It gets new tasks in none of them. {@link #usable} covers all but missed responses, which the
- * scheduling loop checks itself.
+ * <p>A machine in any of these states gets no new tasks. {@link #usable} checks all of them except
+ * missed responses, which the scheduling loop checks itself.
  */
 public final class Machine {
   private static final double ROUNDING_TOLERANCE = 1e-6;
@@ -59,21 +60,22 @@
   private int reservedForShard = -1;
   private long evictAtMs = -1;
 
-  /** The record that names it. */
+  /** The request whose record names this machine. */
   final ScaleOutRequest request;
 
   private boolean recordWriteInProgress;
 
   private boolean recordWritten;
 
-  /** On its way to another shard. */
+  /** Whether a transfer to another shard has started. */
   private boolean transferStarted;
 
+  /** Whether a task has been placed on it since it was added to this shard. */
   private boolean everUsed;
 
   private final FreeCapacityWindow freeCapacity;
 
-  /** Whether it is used, or on its way back to the cloud; only moves on. */
+  /** Stages of a machine's life, passed in this order. */
   private enum Service {
     IN_SERVICE,
     TERMINATING,
@@ -91,12 +93,12 @@
     this.freeCapacity = new FreeCapacityWindow(type.cores());
   }
 
-  /** Name that the cloud gave it. */
+  /** Name assigned by the cloud. */
   public String name() {
     return name;
   }
 
-  /** Its machine type, at the prices of when it was asked for or taken over. */
+  /** Its machine type, with the prices at the time when this leader added its request. */
   public MachineType type() {
     return type;
   }
@@ -111,157 +113,161 @@
     return spot;
   }
 
-  /** When it was asked for; for inherited ones, when it was taken over (steady clock, ms). */
+  /** When it was requested, or added from an existing record (monotonic clock, ms). */
   public long requestedMs() {
     return requestedMs;
   }
 
-  /** What its worker's heartbeats tell. */
+  /** State of its worker according to the worker's heartbeats. */
   public WorkerLiveness liveness() {
     return liveness;
   }
 
-  /** When the newest heartbeat came (steady clock, ms); -1: none yet. */
+  /** When the newest heartbeat arrived (monotonic clock, ms); -1: none yet. */
   public long lastHeartbeatMs() {
     return liveness.lastHeartbeatMs();
   }
 
-  /** Its newest heartbeat carried our token: what it lists is all there is. */
+  /** Whether its newest heartbeat carried the leader's token, so that its task list is complete. */
   public boolean confirmedUnderToken() {
     return liveness.confirmedUnderToken();
   }
 
-  /** When the cloud takes it away (steady clock, ms); -1: no notice. */
+  /** When the cloud recalls it (monotonic clock, ms); -1: not announced. */
   public long recallAtMs() {
     return recallAtMs;
   }
 
-  /** The cloud gives notice that it takes it away at this time (steady clock, ms). */
+  /** Records that the cloud announced a recall for this time (monotonic clock, ms). */
   public void recordRecall(long atMs) {
     recallAtMs = atMs;
     cordoned = true;
   }
 
-  /** Gets no new tasks, and goes once it is empty. */
+  /** Whether it gets no new tasks and leaves the shard once it is empty. */
   public boolean cordoned() {
     return cordoned;
   }
 
-  /** From now on it gets no new tasks, and goes once it is empty. */
+  /** Stops the placement of new tasks on it; it leaves the shard once it is empty. */
   public void cordon() {
     cordoned = true;
   }
 
-  /** Its zone is unreachable, or returning and not yet open for it: no new tasks. */
+  /**
+   * Whether it gets no new tasks because its zone is unreachable, or recovering and still closed.
+   */
   public boolean zoneClosed() {
     return zoneClosed;
   }
 
-  /** Whether its zone is open for new tasks on it. */
+  /** Sets whether its zone is open for new tasks on it. */
   public void setZoneOpen(boolean open) {
     zoneClosed = !open;
   }
 
-  /** Being given back until the cloud confirms. */
+  /** Whether it is being returned to the cloud, or its termination is already confirmed. */
   public boolean terminating() {
     return service != Service.IN_SERVICE;
   }
 
-  /** From now on it is being given back to the cloud. */
+  /** Marks it as being returned to the cloud. */
   void beginTermination() {
     service = Service.TERMINATING;
   }
 
-  /** The cloud has confirmed that it is given back. */
+  /** Whether the cloud has confirmed its termination. */
   public boolean terminated() {
     return service == Service.TERMINATED;
   }
 
-  /** The cloud confirms that it is given back. */
+  /** Records that the cloud has confirmed its termination. */
   void recordTermination() {
     service = Service.TERMINATED;
   }
 
-  /** Images seen in use on it, by dense index. A view: only {@link #recordImage} changes it. */
+  /** Images used on it so far, by dense index. A view: only {@link #recordImage} changes it. */
   public IntOpenHashSet images() {
     return images;
   }
 
-  /** An image, by dense index, is seen in use on it. */
+  /** Records that an image, given by dense index, is in use on it. */
   public void recordImage(int index) {
     images.add(index);
   }
 
   /**
-   * Tasks counted as on it, by name, in the order they were placed. A view: only {@link #add} and
-   * {@link #remove} change it.
+   * Tasks that occupy resources of this machine, by name, in the order they were placed. A view:
+   * only {@link #add} and {@link #remove} change it.
    */
   public Map<String, Placement> tasks() {
     return tasks;
   }
 
-  /** How many of the jobs that failed on it, with no success since, are such. */
+  /** Counts the jobs with failures on it since its last successful task that match the filter. */
   public long countFailedJobs(Predicate<String> uidFilter) {
     return failedJobs.stream().filter(uidFilter).count();
   }
 
-  /** A task of this job failed on it. */
+  /** Records that a task of this job failed on it. */
   public void recordFailedJob(String uid) {
     failedJobs.add(uid);
   }
 
-  /** The failures of this job on it count no more. */
+  /** Discards the recorded failure of this job. */
   public void forgetFailedJob(String uid) {
     failedJobs.remove(uid);
   }
 
-  /** A task succeeded on it: the failures before count no more. */
+  /** Discards all recorded failures, after a task has succeeded on it. */
   public void clearFailedJobs() {
     failedJobs.clear();
   }
 
-  /** Since when it has no task (steady clock, ms); -1: it has some. */
+  /** Since when it has had no tasks (monotonic clock, ms); -1: it has tasks. */
   public long idleSinceMs() {
     return idleSinceMs;
   }
 
-  /** It refused a start for lack of room: nothing new before this time (steady clock, ms). */
+  /** Time before which it gets no new tasks, because it refused a start (monotonic clock, ms). */
   public long startsRefusedUntilMs() {
     return startsRefusedUntilMs;
   }
 
-  /** It refused a start for lack of room, and gets none before this time (steady clock, ms). */
+  /**
+   * Records a start refused for lack of capacity: no new tasks until then (monotonic clock, ms).
+   */
   public void refuseStartsUntil(long untilMs) {
     startsRefusedUntilMs = untilMs;
   }
 
-  /** The shard that it goes to once it is empty; -1: it stays. */
+  /** The shard to which it is transferred once it is empty; -1: none. */
   public int reservedForShard() {
     return reservedForShard;
   }
 
-  /** It gets no new tasks, and goes to this shard once it is empty. */
+  /** Cordons it and reserves it for transfer to this shard once it is empty. */
   public void reserveForShard(int shard) {
     reservedForShard = shard;
     cordoned = true;
   }
 
-  /** From when on its tasks are stopped (steady clock, ms); -1: they may end first. */
+  /** Time from which its tasks are evicted (monotonic clock, ms); -1: they run to completion. */
   public long evictAtMs() {
     return evictAtMs;
   }
 
-  /** Tasks that are still on it from this time on are stopped (steady clock, ms). */
+  /** Schedules the eviction of tasks that are still on it at this time (monotonic clock, ms). */
   public void evictAt(long atMs) {
     evictAtMs = atMs;
   }
 
-  /** Whether it was taken over from a former owner of the shard. */
+  /** Whether it was inherited from a previous leader of the shard. */
   public boolean inherited() {
     return inherited;
   }
 
-  /** Whether it comes with a record of a former owner of the shard. */
+  /** Sets whether its record was written by a previous leader of the shard. */
   void setInherited(boolean fromPreviousLeader) {
     inherited = fromPreviousLeader;
   }
@@ -271,12 +277,12 @@
     return request.record.zone();
   }
 
-  /** Came from another shard. */
+  /** Whether it came to this shard by a transfer or as an orphaned machine. */
   public boolean receivedByTransfer() {
     return request.fence > 0;
   }
 
-  /** Cores that no task on it needs. */
+  /** Cores that are not requested by any task on it. */
   public double freeCores() {
     double free = type.cores();
     for (Placement p : tasks.values()) {
@@ -285,6 +291,7 @@
     return free;
   }
 
+  /** Whether these resources are free in addition to those of the tasks on it. */
   boolean hasCapacityFor(double cores, double gpus, double memoryGb) {
     double freeCores = type.cores() + ROUNDING_TOLERANCE;
     double freeGpus = type.gpus() + ROUNDING_TOLERANCE;
@@ -297,62 +304,63 @@
     return freeCores >= cores && freeGpus >= gpus && freeMemoryGb >= memoryGb;
   }
 
-  /** Begins a new window in which the least free room is noted. */
+  /** Starts a new time window for the minimum of free cores. */
   public void beginFreeCapacityWindow() {
     freeCapacity.beginWindow(freeCores());
   }
 
-  /** Cores that no task has used for a whole window at least. */
+  /** Cores that have been free throughout the current and the previous time window. */
   public double sustainedFreeCores() {
     return freeCapacity.sustainedFreeCores();
   }
 
   /**
-   * The fencing token for this machine: above the giver's, if it was given to this shard, and never
-   * below the leader's.
+   * The fencing token for commands to this machine. It is never lower than the leader's token and,
+   * if the machine was transferred to this shard, higher than the token of the sending shard.
    */
   public long token(long leaderToken) {
     return Math.max(leaderToken, request.fence);
   }
 
-  /** A write of the record that names it is under way. */
+  /** Whether a write of the record that names it is in flight. */
   boolean recordWriteInProgress() {
     return recordWriteInProgress;
   }
 
-  /** A write of the record that names it begins. */
+  /** Marks a write of the record that names it as in flight. */
   void beginRecordWrite() {
     recordWriteInProgress = true;
   }
 
-  /** The write of the record that names it failed. */
+  /** Records that the write of the record that names it failed. */
   void recordWriteFailed() {
     recordWriteInProgress = false;
   }
 
-  /** The record that names it is stored. */
+  /** Marks the record that names it as stored. */
   void completeRecordWrite() {
     recordWriteInProgress = false;
     recordWritten = true;
   }
 
-  /** It goes to another shard, and is used no more from now on. */
+  /** Starts the transfer to another shard; this shard stops using it immediately. */
   void beginTransfer() {
     transferStarted = true;
   }
 
   /**
-   * The machine may be used: the record says it is ours. Without that a successor would not find
-   * it, take its tasks for gone and start them twice.
+   * Whether a stored record assigns the machine to this shard, so that it may be used. Without the
+   * record, the next leader would not find the machine, would consider its tasks terminated and
+   * would start them a second time.
    */
   public boolean recorded() {
     return recordWritten && !transferStarted;
   }
 
   /**
-   * It gets new tasks.
+   * Whether new tasks may be placed on it, apart from missed responses.
    *
-   * @param nowMs steady clock
+   * @param nowMs monotonic clock
    */
   public boolean usable(long nowMs) {
     return recorded()
@@ -364,15 +372,15 @@
   }
 
   /**
-   * Whether it may be transferred while idle. Not if it was transferred to this shard, which had no
-   * use for it: shards that all lack machines of another kind would pass it round for ever, and the
-   * cloud could not grant it to them as what they need.
+   * Whether it may be transferred while idle. A machine that was transferred to this shard and has
+   * run no task here may not: shards that all lack machines of another kind would transfer it among
+   * themselves endlessly, and the cloud could not reallocate its capacity to the kind they need.
    */
   public boolean mayBeTransferred() {
     return everUsed || request.fence == 0;
   }
 
-  /** A task is placed on it. */
+  /** Adds a task that has been placed on it. */
   public void add(Placement placement) {
     everUsed = true;
     tasks.put(placement.taskName(), placement);
@@ -380,7 +388,7 @@
     idleSinceMs = -1;
   }
 
-  /** The task is proved gone from it. */
+  /** Removes a task that is confirmed terminated. */
   public void remove(Placement placement, long nowMs) {
     tasks.remove(placement.taskName(), placement);
     if (tasks.isEmpty() && idleSinceMs < 0) {
--- a/src/main/java/dev/windbend/machine/MachineHealth.java
+++ b/src/main/java/dev/windbend/machine/MachineHealth.java
@@ -4,27 +4,27 @@
 import java.util.function.IntPredicate;
 
 /**
- * Finds machines of a shard that are silent, unresponsive, never came up, or are due to leave, and
- * returns or transfers them.
+ * Detects machines of a shard that are silent, are unresponsive, failed to boot or are drained, and
+ * scales them in or transfers them.
  */
 public final class MachineHealth {
-  /** Promised machines go together: each transfer is a change in the state service. */
+  /** Collects drained machines into fewer transfers: each is a write to the state service. */
   private static final long MIN_TRANSFER_INTERVAL_MS = 2_000;
 
-  /** Fewer machines than this may fall silent at once by chance. */
+  /** Fewer machines than this may fall silent at the same time by coincidence. */
   private static final int MIN_MACHINES_FOR_ISOLATION = 3;
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
-  /** How a machine stands, as its heartbeats tell. */
+  /** Condition of a machine according to its heartbeats. */
   public enum Condition {
-    /** It has sent no heartbeat yet, and need not have. */
+    /** It has sent no heartbeat yet, and none is overdue. */
     BOOTING,
-    /** It sends heartbeats, and shows the effect of our responses. */
+    /** It sends heartbeats that show the effect of the controller's responses. */
     RESPONSIVE,
     /** A heartbeat is overdue. */
     SILENT,
-    /** It sends heartbeats, but shows no effect of our responses. */
+    /** It sends heartbeats that show no effect of the controller's responses. */
     UNRESPONSIVE
   }
 
@@ -35,14 +35,14 @@
 
   private long lastTransferMs = NEVER_MS;
 
-  /** When each zone last looked partitioned. */
+  /** When each zone last seemed partitioned (monotonic clock, ms). */
   private final long[] lastPartitionedMs;
 
   /**
-   * Health of this fleet's machines, in zones with indexes below {@code zones}.
+   * Creates the health check of a fleet, whose zones have dense indexes below {@code zoneCount}.
    *
    * @param heartbeatIntervalSeconds interval of the workers' heartbeats
-   * @param leaseSeconds how long after its last renewal a worker's lease expires
+   * @param leaseSeconds duration of a worker's lease, counted from its last renewal
    */
   public MachineHealth(
       Fleet fleet, int zoneCount, double heartbeatIntervalSeconds, double leaseSeconds) {
@@ -55,26 +55,27 @@
   }
 
   /**
-   * How a machine stands now.
+   * Determines the current condition of a machine.
    *
-   * @param reachableSinceMs since when this leader has been able to hear and answer
+   * @param nowMs monotonic clock
+   * @param reachableSinceMs since when this leader has been able to receive and answer heartbeats
    */
   public Condition condition(Machine machine, long nowMs, long reachableSinceMs) {
     return scan.condition(machine, nowMs, reachableSinceMs);
   }
 
   /**
-   * Looks at all machines once, and returns or transfers those that are to go.
+   * Checks all machines once, and scales in or transfers those that have to leave the shard.
    *
-   * @param nowMs steady clock
-   * @param reachableSinceMs since when this leader has been able to hear and answer; the machines'
-   *     silence counts from then
-   * @param isEvacuated zones whose lost machines are returned in the order of their evacuation
+   * @param nowMs monotonic clock
+   * @param reachableSinceMs since when this leader has been able to receive and answer heartbeats;
+   *     silence before that time does not count
+   * @param isEvacuated zones whose lost machines are scaled in by the zone evacuation instead
    */
   public void check(long nowMs, long reachableSinceMs, IntPredicate isEvacuated) {
     HealthFindings findings = scan.scan(fleet.machines(), nowMs, reachableSinceMs, isEvacuated);
-    for (HealthFindings.ScaleInCandidate departure : findings.scaleInCandidates) {
-      fleet.scaleIn(departure.machine(), departure.cause());
+    for (HealthFindings.ScaleInCandidate candidate : findings.scaleInCandidates) {
+      fleet.scaleIn(candidate.machine(), candidate.cause());
     }
     transferDrained(findings, nowMs);
     scaleInSilent(findings, nowMs, reachableSinceMs);
@@ -103,7 +104,7 @@
     }
   }
 
-  /** Whether a silent machine is lost; after a partition it gets time to find us. */
+  /** Whether a silent machine is lost. After a partition it has time to reach this controller. */
   private boolean isLost(Machine machine, long nowMs, long reachableSinceMs) {
     long sincePartitionMs = nowMs - lastPartitionedMs[machine.zone()];
     return sincePartitionMs == 0
@@ -112,11 +113,14 @@
   }
 
   /**
-   * Machines were heard before, and for longer than a lost response and an interval explain this
-   * controller has heard none at all: what is cut off is the controller. A few may go at once by
-   * chance.
+   * Whether this controller itself is cut off from the workers: machines have sent heartbeats
+   * before, but the controller has received none from any worker for longer than a lost response or
+   * two heartbeat intervals can explain. Requires several machines, since a few may fall silent at
+   * the same time by coincidence.
    *
-   * @param lastHeartbeatMs when any worker was heard last, of this shard or another (steady clock)
+   * @param nowMs monotonic clock
+   * @param lastHeartbeatMs when a heartbeat of any worker, of this shard or another, last arrived
+   *     (monotonic clock)
    */
   public boolean isIsolatedFromWorkers(long nowMs, long lastHeartbeatMs) {
     long machinesWithHeartbeat =
--- a/src/main/java/dev/windbend/machine/MachineIndex.java
+++ b/src/main/java/dev/windbend/machine/MachineIndex.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which shard each machine belongs to, as the replica of the records tells. */
+/** Index of the shard that each machine belongs to, built from the replica of the records. */
 public final class MachineIndex {
   /**
-   * Several fleets of 4,000 machines. A late copy of a heartbeat of a machine that was forgotten
-   * even so has it taken in as an orphaned machine, which is silent and is returned: some calls, no
-   * harm.
+   * Large enough for several fleets of 4,000 machines. If a delayed heartbeat arrives from a
+   * machine that has been dropped from this list, the machine is adopted as orphaned, stays silent
+   * and is scaled in, which costs a few calls and does no harm.
    */
   private static final int MAX_FORMER_MACHINES = 20_000;
 
@@ -21,7 +21,7 @@
   private final Map<String, Assignment> assignments = new HashMap<>();
   private final Map<String, List<String>> machinesByKey = new HashMap<>();
 
-  /** Machines that were on record: late copies of their heartbeats do not bring them back. */
+  /** Machines that were on record: delayed heartbeats must not add them again. */
   private final Map<String, Boolean> formerMachines =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -32,7 +32,11 @@
         }
       };
 
-  /** A record has changed; null: it is gone. */
+  /**
+   * Updates the index after a change of a record.
+   *
+   * @param stored new value of the record; null: it was deleted
+   */
   public void recordChanged(String key, VersionedValue stored) {
     if (!key.startsWith(ScaleOutRecord.KEY_PREFIX)) {
       return;
@@ -40,16 +44,16 @@
     ScaleOutRecord record = stored == null ? null : Json.read(stored.value(), ScaleOutRecord.class);
     List<String> namesAfter = record == null || record.unanswered() ? List.of() : record.machines();
     for (String name : machinesByKey.getOrDefault(key, List.of())) {
-      Assignment h = assignments.get(name);
-      if (h != null && h.key.equals(key) && !namesAfter.contains(name)) {
+      Assignment assignment = assignments.get(name);
+      if (assignment != null && assignment.key.equals(key) && !namesAfter.contains(name)) {
         assignments.remove(name);
         formerMachines.put(name, true);
       }
     }
     for (String name : namesAfter) {
-      Assignment h =
+      Assignment assignment =
           new Assignment(key, ScaleOutRecord.shardOf(key), record.effectiveFence(stored.version()));
-      assignments.merge(name, h, (a, b) -> a.fence > b.fence ? a : b);
+      assignments.merge(name, assignment, (a, b) -> a.fence > b.fence ? a : b);
     }
     if (namesAfter.isEmpty()) {
       machinesByKey.remove(key);
@@ -64,18 +68,18 @@
     return assignment == null ? -1 : assignment.shard;
   }
 
-  /** Whether the machine belongs to some shard. */
+  /** Whether the machine belongs to any shard. */
   public boolean contains(String machine) {
     return assignments.containsKey(machine);
   }
 
-  /** Of all records that name the machine, this one counts. */
+  /** Whether this record is the authoritative one of all records that name the machine. */
   boolean isCurrentRecord(String key, String machine) {
     Assignment assignment = assignments.get(machine);
     return assignment != null && assignment.key.equals(key);
   }
 
-  /** Whether the machine belonged to some shard, and to none now. */
+  /** Whether the machine used to belong to a shard and was removed from that shard's record. */
   public boolean isFormer(String machine) {
     return formerMachines.containsKey(machine);
   }
--- a/src/main/java/dev/windbend/machine/MachineMessages.java
+++ b/src/main/java/dev/windbend/machine/MachineMessages.java
@@ -3,12 +3,13 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
-/** Parts of messages between controllers that say what is needed of machines. */
+/** Parts of messages between controllers that describe requirements on machines. */
 public final class MachineMessages {
   private MachineMessages() {}
 
   /**
-   * What a task needs of a machine, by names, as controllers tell one another.
+   * Requirements of a task on a machine. Types and zones are given by name, since dense indexes
+   * differ between controllers.
    *
    * @param types allowed machine types; null: any
    * @param zones allowed zones; null: any
@@ -22,7 +23,7 @@
       @JsonProperty("zones") List<String> zones,
       @JsonProperty("spot") boolean spot) {
 
-    /** Whether the task may run on the machine, however full that is now. */
+    /** Whether the task may run on the machine, regardless of the tasks on it. */
     public boolean allows(Machine machine) {
       return (types == null || types.contains(machine.type().name()))
           && (zones == null || zones.contains(machine.zoneName()))
@@ -30,7 +31,7 @@
           && machine.type().fits(cores, gpus, memoryGb);
     }
 
-    /** Whether the task may run on the machine beside the tasks that are there now. */
+    /** Whether the task may run on the machine in addition to the tasks on it. */
     public boolean hasCapacityOn(Machine machine) {
       return allows(machine) && machine.hasCapacityFor(cores, gpus, memoryGb);
     }
--- a/src/main/java/dev/windbend/machine/MachineType.java
+++ b/src/main/java/dev/windbend/machine/MachineType.java
@@ -1,11 +1,11 @@
 package dev.windbend.machine;
 
 /**
- * A type of machine on offer.
+ * A machine type that the cloud offers.
  *
  * @param index dense index
- * @param zones dense indexes of the zones that have it
- * @param bootSeconds how long a machine of it takes to boot (seconds)
+ * @param zones dense indexes of the zones that offer it
+ * @param bootSeconds how long a machine of this type takes to boot
  */
 public record MachineType(
     int index,
@@ -17,13 +17,13 @@
     int[] zones) {
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
-  /** What a machine has for tasks. */
+  /** Resources of a machine that are available to tasks. */
   record Resources(double cores, double gpus, double memoryGb) {}
 
-  /** What a machine keeps of images, and how fast it fetches them. */
+  /** Size of a machine's image cache, and the rate at which it fetches images. */
   record ImageCache(double sizeGb, double fetchGbPerSecond) {}
 
-  /** Prices of an hour; they change with time. */
+  /** Prices per hour; they change over time. */
   record Prices(double onDemand, double spot) {}
 
   /** Cores of a machine. */
@@ -41,27 +41,27 @@
     return resources.memoryGb();
   }
 
-  /** Space for images on a machine (GB). */
+  /** Size of a machine's image cache (GB). */
   public double cacheGb() {
     return cache.sizeGb();
   }
 
-  /** How fast a machine fetches images (GB a second). */
+  /** Rate at which a machine fetches images (GB/s). */
   public double fetchGbPerSecond() {
     return cache.fetchGbPerSecond();
   }
 
-  /** Price of an hour of a machine that is no spot instance. */
+  /** Price per hour of an on-demand instance. */
   public double onDemandPrice() {
     return prices.onDemand();
   }
 
-  /** Price of an hour of a spot instance. */
+  /** Price per hour of a spot instance. */
   public double spotPrice() {
     return prices.spot();
   }
 
-  /** Whether the zone with this index has it. */
+  /** Whether the zone with this index offers it. */
   public boolean isOfferedIn(int zone) {
     for (int offeringZone : zones) {
       if (offeringZone == zone) {
@@ -71,7 +71,7 @@
     return false;
   }
 
-  /** Whether an empty machine has room for so much. */
+  /** Whether an empty machine has these resources. */
   public boolean fits(double cores, double gpus, double memoryGb) {
     return cores <= resources.cores() + ROUNDING_TOLERANCE
         && gpus <= resources.gpus() + ROUNDING_TOLERANCE
--- a/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
+++ b/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The machine types on offer at present prices, by dense index. */
+/** The machine types on offer with their current prices, by dense index. */
 public final class MachineTypeCatalog {
   private static final long REFRESH_INTERVAL_MS = 30_000;
   private static final long RETRY_DELAY_MS = 1_000;
@@ -16,7 +16,7 @@
   private final EventLoop loop;
   private final CloudClient cloud;
 
-  /** An empty catalog, in which the zones have their indexes in this order. */
+  /** Creates an empty catalog; the zones get dense indexes in the given order. */
   public MachineTypeCatalog(EventLoop loop, CloudClient cloud, List<String> zoneNames) {
     this.loop = loop;
     this.cloud = cloud;
@@ -28,7 +28,7 @@
     return zones;
   }
 
-  /** Reads the types from the cloud now, and from time to time. */
+  /** Loads the types from the cloud now, and reloads them periodically. */
   public void start() {
     cloud.listTypes(
         types -> {
@@ -37,6 +37,7 @@
         });
   }
 
+  /** Adds a type, or replaces its previous version. */
   void update(CloudMessages.Type listed) {
     int index = typeNames.index(listed.name());
     int[] zoneIndexes =
@@ -59,12 +60,12 @@
     }
   }
 
-  /** Whether the types have been read. */
+  /** Whether the types have been loaded. */
   public boolean isLoaded() {
     return !types.isEmpty();
   }
 
-  /** All types, by index. A view. */
+  /** All types, by index. A live view. */
   public List<MachineType> all() {
     return types;
   }
@@ -74,13 +75,13 @@
     return types.get(index);
   }
 
-  /** Null if there is no such type. */
+  /** The type with this name; null if there is none. */
   public MachineType find(String name) {
     int index = typeNames.find(name);
     return index < 0 ? null : types.get(index);
   }
 
-  /** The cores of the largest type; 1 before the types are known. */
+  /** The largest number of cores of any type; 1 before the types are loaded. */
   public double maxCores() {
     return all().stream().mapToDouble(MachineType::cores).max().orElse(1);
   }
--- a/src/main/java/dev/windbend/machine/OrphanedMachine.java
+++ b/src/main/java/dev/windbend/machine/OrphanedMachine.java
@@ -1,8 +1,8 @@
 package dev.windbend.machine;
 
-/** What is known of a machine that no shard has on record, by names. */
+/** Kind of a machine that no shard has on record; type and zone by name. */
 public record OrphanedMachine(String type, String zone, boolean spot) {
-  /** Whether the request, which has no answer yet, may have brought it. */
+  /** Whether this is an unanswered request that may have created the machine. */
   boolean mayBelongTo(ScaleOutRecord request) {
     return request.unanswered()
         && request.spot() == spot
--- a/src/main/java/dev/windbend/machine/OrphanedMachines.java
+++ b/src/main/java/dev/windbend/machine/OrphanedMachines.java
@@ -12,10 +12,11 @@
 import java.util.Set;
 
 /**
- * Machines that send heartbeats or are listed by the cloud, but are on no shard's record: adopted
- * and distributed among the shards. The replica may lag, so the records are read from the state
- * service itself first: a machine that exists was preceded by its request's record, so one that no
- * record names, while no request of its kind is without an answer, is orphaned.
+ * Adopts machines that send heartbeats or are listed by the cloud although no shard has them on
+ * record, and distributes them among the shards. The replica may lag behind, so the records are
+ * first read from the state service itself. The record of a request is written before its machines
+ * are created; so a machine is orphaned if no record names it and no request of its kind is
+ * unanswered.
  */
 public final class OrphanedMachines {
   private static final long SEARCH_DELAY_MS = 1_000;
@@ -28,8 +29,8 @@
   private final Map<String, OrphanedMachine> candidates = new LinkedHashMap<>();
 
   /**
-   * Names of those adopted; the record that says so may take a while under load, and must stay the
-   * only one.
+   * Names of adopted machines. Under load the record of an adoption may be written late, and a
+   * second record for the same machine must not be created meanwhile.
    */
   private final Set<String> adopted = new HashSet<>();
 
@@ -37,7 +38,7 @@
   private boolean closed;
   private int nextShard;
 
-  /** Adopts through this fleet, for all shards in turn. */
+  /** Creates an instance that adopts through this fleet, and assigns to all shards in turn. */
   public OrphanedMachines(EventLoop loop, StoreClient store, Fleet fleet, int shardCount) {
     this.loop = loop;
     this.store = store;
@@ -45,12 +46,12 @@
     this.shardCount = shardCount;
   }
 
-  /** Adopts no more. */
+  /** Stops adopting machines. */
   public void close() {
     closed = true;
   }
 
-  /** A machine that seems to be on no record; a search of the records follows. */
+  /** Adds a machine that seems to be on no record, and schedules a search of the records. */
   public void addCandidate(String machine, OrphanedMachine orphaned) {
     if (candidates.size() < MAX_CANDIDATES_PER_SEARCH && !adopted.contains(machine)) {
       candidates.put(machine, orphaned);
@@ -68,10 +69,11 @@
   }
 
   /**
-   * Reads the records from this key on.
+   * Reads a page of records, and then the following pages.
    *
-   * @param remaining candidates that no request without an answer may have brought
-   * @param recorded names on the records read so far
+   * @param startAfter key after which the page begins; null: at the first record
+   * @param remaining candidates that no unanswered request read so far may have created
+   * @param recorded names of machines on the records read so far
    */
   private void searchPage(
       String startAfter, Map<String, OrphanedMachine> remaining, Set<String> recorded) {
--- a/src/main/java/dev/windbend/machine/RecordNames.java
+++ b/src/main/java/dev/windbend/machine/RecordNames.java
@@ -1,8 +1,8 @@
 package dev.windbend.machine;
 
 /**
- * Names of the records that a leader of a shard makes. They hold its fencing token, which is never
- * used again, so neither is a name.
+ * Generates names of the records that a leader of a shard creates. The names are unique because
+ * they contain the leader's fencing token, which is never reused.
  */
 final class RecordNames {
   private final int shard;
@@ -14,12 +14,12 @@
     this.token = token;
   }
 
-  /** Name of the next scale-out request. */
+  /** Returns a new name for a scale-out request. */
   String nextScaleOut() {
     return "p" + nextSuffix();
   }
 
-  /** Key of the next transfer to a shard. */
+  /** Returns a new key for a transfer to a shard. */
   String nextTransferKey(int toShard) {
     return ScaleOutRecord.shardPrefix(toShard) + "g" + nextSuffix();
   }
--- a/src/main/java/dev/windbend/machine/ScaleIn.java
+++ b/src/main/java/dev/windbend/machine/ScaleIn.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Returns machines to the cloud, in batches one after the other, until it has confirmed. */
+/** Returns machines to the cloud, one batch at a time, and retries until it has confirmed. */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
   private static final int MAX_BATCH_SIZE = 100;
@@ -22,7 +22,11 @@
   private boolean callInProgress;
   private boolean closed;
 
-  /** {@code pursue} goes on with all that the fleet has under way. */
+  /**
+   * Creates an instance without machines to return.
+   *
+   * @param processPending sends the pending calls of the whole fleet
+   */
   ScaleIn(
       EventLoop loop,
       CloudClient cloud,
@@ -44,7 +48,7 @@
     return terminating.size();
   }
 
-  /** Returns machines in this order, in as few calls as there can be. */
+  /** Returns machines in this order, in as few calls as possible. */
   void request(List<Machine> machines, String cause) {
     boolean anyAdded = false;
     for (Machine machine : machines) {
@@ -60,7 +64,7 @@
     }
   }
 
-  /** Calls the cloud for the next batch, unless a call is in progress. */
+  /** Sends the next batch to the cloud, unless a call is in progress. */
   void processPending() {
     if (callInProgress || terminating.isEmpty()) {
       return;
--- a/src/main/java/dev/windbend/machine/ScaleOut.java
+++ b/src/main/java/dev/windbend/machine/ScaleOut.java
@@ -10,12 +10,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Requests machines of the cloud, each time until it has surely answered. */
+/** Requests machines from the cloud, and retries each request until a definite response. */
 final class ScaleOut {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
   private static final int MAX_BATCH_SIZE = 50;
 
-  /** How long a kind is not requested after the cloud had not enough of it. */
+  /** How long a kind is not requested after the cloud had too few instances of it. */
   private static final long REFUSED_BACKOFF_MS = 8_000;
 
   private static final long RETRY_DELAY_MS = 1_500;
@@ -30,12 +30,16 @@
   private final Object2LongOpenHashMap<InstanceKind> refusedUntilMs =
       new Object2LongOpenHashMap<>();
 
-  /** Kinds that were refused, and not granted in full since. */
+  /** Kinds that were refused or granted in part, and have not been granted in full since. */
   private final Set<InstanceKind> scarceKinds = new HashSet<>();
 
   private boolean closed;
 
-  /** {@code pursue} goes on with all that the fleet has under way. */
+  /**
+   * Creates an instance without requests.
+   *
+   * @param processPending sends the pending calls of the whole fleet
+   */
   ScaleOut(
       EventLoop loop,
       CloudClient cloud,
@@ -57,15 +61,18 @@
     closed = true;
   }
 
+  /** Whether requests of this kind are backed off. */
   boolean recentlyRefused(InstanceKind kind) {
     return refusedUntilMs.getLong(kind) > loop.nowMs();
   }
 
+  /** Whether requests of any kind are backed off. */
   boolean anyRecentlyRefused() {
     long nowMs = loop.nowMs();
     return refusedUntilMs.values().longStream().anyMatch(untilMs -> untilMs > nowMs);
   }
 
+  /** The requests that the cloud has not answered yet. */
   Collection<Fleet.PendingScaleOut> pending() {
     List<Fleet.PendingScaleOut> pending = new ArrayList<>();
     for (ScaleOutRequest request : records.requests()) {
@@ -83,9 +90,10 @@
   }
 
   /**
-   * Each batch takes two changes in the state service, also one that is refused. So while the cloud
-   * had none of a kind last, one batch requests it, now and then: a shard that requested all it
-   * lacked again and again would use up the changes that submissions and starts need.
+   * Requests machines in batches. Each batch needs two writes to the state service, even if it is
+   * refused. A kind that the cloud last lacked is therefore requested by a single batch per
+   * back-off period: a shard that repeatedly requested its whole shortage would use up the write
+   * rate that job submissions and task starts need.
    */
   void request(MachineType type, int zone, boolean spot, int count) {
     boolean probe = scarceKinds.contains(new InstanceKind(type.index(), zone, spot));
@@ -110,14 +118,15 @@
         spot);
   }
 
-  /** Calls the cloud for requests that are on record and have no answer. */
+  /** Sends requests that are on record and unanswered to the cloud. */
   void processPending() {
     for (ScaleOutRequest request : List.copyOf(records.requests())) {
       if (request.answered || !request.recorded() || request.callInProgress) {
         continue;
       }
       if (!request.sent && recentlyRefused(InstanceKind.of(request))) {
-        // A moment ago there were none of its kind; never sent, so nothing can come of it.
+        // The cloud recently lacked this kind. The request was never sent, so it is safe to drop
+        // it.
         records.finish(request);
       } else {
         send(request);
@@ -167,7 +176,7 @@
     listener.fleetChanged();
   }
 
-  /** It may have been carried out: the same name again, until there is an answer. */
+  /** Repeats a request under its name, as it may have been executed without a response. */
   private void retryLater(ScaleOutRequest request) {
     loop.after(
         RETRY_DELAY_MS,
--- a/src/main/java/dev/windbend/machine/ScaleOutRecord.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRecord.java
@@ -4,13 +4,17 @@
 import java.util.List;
 
 /**
- * Machines of one kind that came to a shard together, as stored until none of them is left with it.
- * Either a request, stored before the cloud is asked ({@code machines} null: it has not answered
- * yet), or machines that another shard transferred or that were orphaned.
+ * Stored record of machines of one kind that were added to a shard together. It is deleted when
+ * none of them belongs to the shard any more. The record is either a scale-out request, stored
+ * before it is sent to the cloud, or lists machines that another shard transferred or that were
+ * orphaned.
  *
- * @param fence null: a request; 0: transferred, and this record's version is the token from which
- *     on only the receiver may command the machines; else that version, kept when the record is
- *     rewritten. Of several records that name a machine the one with the highest counts.
+ * @param count number of machines requested
+ * @param machines names of the machines; null: the cloud has not answered the request yet
+ * @param fence null: a request; 0: a transfer, whose fence is the version of this record; otherwise
+ *     that version, preserved when the record is rewritten. Only the receiver may command the
+ *     machines with tokens equal to the fence or higher. If several records name a machine, the one
+ *     with the highest fence is authoritative.
  */
 public record ScaleOutRecord(
     @JsonProperty("type") String type,
@@ -19,15 +23,15 @@
     @JsonProperty("count") int count,
     @JsonProperty("machines") List<String> machines,
     @JsonProperty("fence") Long fence) {
-  /** Below it: shard, then the name. */
+  /** Prefix of the keys of these records, followed by the shard, a slash and the name. */
   public static final String KEY_PREFIX = "w/h/";
 
-  /** What the keys of a shard's records begin with. */
+  /** Prefix of the keys of a shard's records. */
   public static String shardPrefix(int shard) {
     return KEY_PREFIX + shard + "/";
   }
 
-  /** The shard of a key, -1 if it has none. */
+  /** The shard that a key belongs to; -1 if the key names none. */
   static int shardOf(String key) {
     int end = key.indexOf('/', KEY_PREFIX.length());
     try {
@@ -37,11 +41,16 @@
     }
   }
 
-  /** The cloud has not answered the request yet. */
+  /** Whether this is a request that the cloud has not answered yet. */
   public boolean unanswered() {
     return machines == null;
   }
 
+  /**
+   * The fence of the record; 0 for a request.
+   *
+   * @param version version of the record in the state service
+   */
   long effectiveFence(long version) {
     return fence == null ? 0 : fence > 0 ? fence : version;
   }
--- a/src/main/java/dev/windbend/machine/ScaleOutRequest.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRequest.java
@@ -7,13 +7,16 @@
 import java.util.List;
 
 /**
- * One request for machines, or machines transferred together, kept in one record: before the
- * request is sent to the cloud, with its machines once it has answered, and until none of them is
- * left with this shard. A record for each machine would take most of the changes that the state
- * service allows.
+ * A request for machines, or a group of machines transferred together, stored as one {@link
+ * ScaleOutRecord}. The record is written before the request is sent to the cloud, gets the names of
+ * the machines when the cloud has answered, and is deleted when none of them belongs to this shard
+ * any more. One record per machine would use most of the write rate of the state service.
  */
 final class ScaleOutRequest implements PendingWrite {
-  /** A machine too many does no harm: a successor looks for it in the cloud's list. */
+  /**
+   * Maximum delay of a write that only removes machines. A record that names machines which are
+   * gone does no harm, since the next leader compares them with the cloud's list.
+   */
   private static final long MAX_WRITE_DELAY_MS = 60_000;
 
   final String name;
@@ -23,39 +26,48 @@
   final ScaleOutRecord record;
   final long requestedMs;
 
-  /** From this token on only this shard may command its machines; 0: requested by this shard. */
+  /**
+   * Only this shard may command the machines with tokens equal to this one or higher; 0: the
+   * machines were requested by this shard.
+   */
   final long fence;
 
-  /** Those still with this shard. */
+  /** Machines of this request that still belong to this shard. */
   final List<Machine> machines = new ArrayList<>();
 
+  /** Whether a call to the cloud, or the delay before its repetition, is in progress. */
   boolean callInProgress;
 
-  /** The cloud may have heard of it; so of one found in the records. */
+  /** Whether the cloud may have received it; always true for a request restored from its record. */
   boolean sent;
 
   boolean answered;
   private boolean finished;
   private long version;
 
-  /** How many changes there were. */
+  /** Number of changes made. */
   private long changeCount;
 
-  /** How many of the changes are stored. */
+  /** Number of changes that are stored. */
   private long storedCount;
 
-  /** How many of the changes are in the write under way; -1: there is none. */
+  /** Number of changes stored once the write in flight is applied; -1: no write in flight. */
   private long inFlightCount = -1;
 
-  /** When the oldest change that is not written was made (steady clock). */
+  /** When the oldest change that is not stored was made (monotonic clock). */
   private long unstoredSinceMs;
 
   private boolean urgent;
 
-  /** The record is deleted. */
+  /** Whether the record is deleted. */
   private boolean deleted;
 
-  /** {@code version} 0: not stored yet. */
+  /**
+   * Creates a request from its record.
+   *
+   * @param version version of the stored record; 0: not stored yet
+   * @param nowMs monotonic clock
+   */
   ScaleOutRequest(
       String name,
       int shard,
@@ -79,7 +91,11 @@
     }
   }
 
-  /** The record differs from what is stored. */
+  /**
+   * Records that the record now differs from its stored version.
+   *
+   * @param changeUrgent whether the change has to be written without delay
+   */
   void markChanged(long nowMs, boolean changeUrgent) {
     if (changeCount == storedCount) {
       unstoredSinceMs = nowMs;
@@ -88,28 +104,28 @@
     urgent |= changeUrgent;
   }
 
-  /** Some version of it is stored. */
+  /** Whether any version of the record is stored. */
   boolean recorded() {
     return version > 0;
   }
 
-  /** The cloud has answered; the machines may be used once this is written. */
+  /** Records that the cloud has answered. The machines may be used once that is stored. */
   void recordAnswer(long nowMs) {
     answered = true;
     markChanged(nowMs, true);
   }
 
-  /** Returned, or another shard's: the record may name it a while longer. */
+  /** Removes a terminated or transferred machine; the stored record may name it for longer. */
   void remove(Machine machine, long nowMs) {
     if (machines.remove(machine)) {
       markChanged(nowMs, false);
     }
   }
 
-  /** Nothing depends on the record any more. */
+  /** Marks the record for deletion. */
   void finish(long nowMs) {
     finished = true;
-    // While it stands without an answer, nobody may adopt a machine of its kind.
+    // While an unanswered request is stored, no machine of its kind can be adopted as orphaned.
     markChanged(nowMs, !answered);
   }
 
--- a/src/main/java/dev/windbend/machine/TransferRecord.java
+++ b/src/main/java/dev/windbend/machine/TransferRecord.java
@@ -5,8 +5,8 @@
 import dev.windbend.store.VersionedValue;
 
 /**
- * Machines of one kind on their way to a shard, from another shard or from nobody: one record,
- * below the receiver's key, whatever their number.
+ * Write of the record that transfers machines of one kind to a shard, or assigns orphaned machines
+ * to it. One record under the receiver's key prefix holds all machines of the transfer.
  */
 final class TransferRecord extends RecordWrite {
   private final ScaleOutRecord record;
@@ -45,7 +45,7 @@
   @Override
   public void onConflict(String changedKey, VersionedValue stored) {
     if (stored != null) {
-      // Applied by a write of ours whose answer was lost.
+      // The key is unique, so an earlier write was applied and its response was lost.
       finish();
     }
   }
--- a/src/main/java/dev/windbend/machine/TransferWriter.java
+++ b/src/main/java/dev/windbend/machine/TransferWriter.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes the records by which machines get to a shard from another, or from no shard. */
+/** Writes the records that transfer machines to a shard or assign orphaned machines to it. */
 final class TransferWriter {
   private static final Logger LOG = LoggerFactory.getLogger(TransferWriter.class);
   private static final int MAX_BATCH_SIZE = 50;
@@ -29,13 +29,13 @@
     this.listener = listener;
   }
 
-  /** Gives orphaned machines to a shard, which may be this one. */
+  /** Assigns orphaned machines to a shard, which may be this one. */
   void adopt(OrphanedMachine kind, List<String> machineNames, int toShard) {
     LOG.info("orphaned machines adopted: to_shard={} machines={}", toShard, machineNames);
     write(kind.type(), kind.zone(), kind.spot(), machineNames, toShard, () -> {});
   }
 
-  /** Gives empty machines to another shard; they are used no more from now on. */
+  /** Transfers empty machines to another shard; this shard stops using them immediately. */
   void transfer(Collection<Machine> machines, int toShard) {
     Map<InstanceKind, List<Machine>> byKind = new LinkedHashMap<>();
     for (Machine machine : machines) {
--- a/src/main/java/dev/windbend/machine/WorkerLiveness.java
+++ b/src/main/java/dev/windbend/machine/WorkerLiveness.java
@@ -1,6 +1,6 @@
 package dev.windbend.machine;
 
-/** What the heartbeats of a machine's worker tell, and whether our responses reach it. */
+/** State of a machine's worker from its heartbeats, and whether responses reach the worker. */
 public final class WorkerLiveness {
   private long incarnation = -1;
   private long heartbeatSequence = -1;
@@ -23,33 +23,33 @@
     return heartbeatSequence;
   }
 
-  /** When the newest heartbeat came (steady clock, ms); -1: none yet. */
+  /** When the newest heartbeat arrived (monotonic clock, ms); -1: none yet. */
   long lastHeartbeatMs() {
     return lastHeartbeatMs;
   }
 
-  /** Where it takes direct commands, as its newest heartbeat says; null: not known. */
+  /** Address for direct commands, from the worker's newest heartbeat; null: unknown. */
   public String address() {
     return address;
   }
 
-  /** Its newest heartbeat carried our token: what it lists is all there is. */
+  /** Whether the newest heartbeat carried the leader's token, so that its task list is complete. */
   boolean confirmedUnderToken() {
     return confirmedUnderToken;
   }
 
-  /** Whether a heartbeat is newer than all before. */
+  /** Whether a heartbeat is newer than all previous ones. */
   public boolean isNewer(long workerIncarnation, long sequence) {
     return workerIncarnation > incarnation
         || (workerIncarnation == incarnation && sequence > heartbeatSequence);
   }
 
   /**
-   * Takes in what its newest heartbeat says of the agent.
+   * Records the newest heartbeat of the worker.
    *
-   * @param workerAddress where it takes direct commands; null: not known
-   * @param underLeaderToken whether it carried the token that this shard uses for the machine
-   * @param nowMs steady clock
+   * @param workerAddress address for direct commands; null: unknown
+   * @param underLeaderToken whether it carried the token that this leader uses for the machine
+   * @param nowMs monotonic clock
    */
   public void recordHeartbeat(
       long workerIncarnation,
@@ -64,42 +64,42 @@
     confirmedUnderToken = underLeaderToken;
   }
 
-  /** A heartbeat of it waits for its response, so it can be sent something at once. */
+  /** Whether a heartbeat awaits its response, so that commands can be sent immediately. */
   public boolean awaitingResponse() {
     return awaitingResponse;
   }
 
-  /** Its newest heartbeat has no response yet. */
+  /** Records that the newest heartbeat awaits its response. */
   public void beginAwaitingResponse() {
     awaitingResponse = true;
   }
 
-  /** Its heartbeat has its response, or has been replaced by a newer one. */
+  /** Records that the heartbeat has been answered, or replaced by a newer one. */
   public void endAwaitingResponse() {
     awaitingResponse = false;
   }
 
-  /** We have answered it under our token. */
+  /** Whether the worker has been sent a response under the leader's token. */
   public boolean answeredUnderToken() {
     return answeredUnderToken;
   }
 
-  /** A heartbeat of it is answered under our token. */
+  /** Records that a heartbeat is answered under the leader's token. */
   public void recordResponseUnderToken() {
     answeredUnderToken = true;
   }
 
-  /** How many heartbeats one after the other show no effect of our responses. */
+  /** Number of consecutive heartbeats that show no effect of the controller's responses. */
   public int missedResponses() {
     return missedResponses;
   }
 
-  /** A heartbeat shows no effect of our responses. */
+  /** Records a heartbeat that shows no effect of the controller's responses. */
   public void recordMissedResponse() {
     missedResponses++;
   }
 
-  /** A heartbeat gives no sign of a missed response. */
+  /** Records a heartbeat without a sign of a missed response. */
   public void clearMissedResponses() {
     missedResponses = 0;
   }
--- a/src/main/java/dev/windbend/machine/package-info.java
+++ b/src/main/java/dev/windbend/machine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Machines of a shard: scale out and scale in through the cloud, transfers between shards, the
- * records in the state service that name the owner of each machine, and the machines' health.
+ * Machines of a shard: scale-out and scale-in through the cloud API, transfers between shards, the
+ * stored records that name the shard of each machine, and the health of the machines.
  */
 package dev.windbend.machine;
--- a/src/test/java/dev/windbend/machine/CloudMessagesTest.java
+++ b/src/test/java/dev/windbend/machine/CloudMessagesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Messages from and to the cloud, and what the state service keeps of machines. */
+/** Guards the JSON form of the cloud API's messages and of the stored records of machines. */
 class CloudMessagesTest {
   static Stream<Arguments> messages() {
     return Stream.of(
@@ -25,17 +25,17 @@
             {"rigs":[{"label":"g8","cores":96.0,"cards":8.0,"ram_gb":768.0,"cache_gb":200.0,
             "pull_gb_per_s":1.5,"rate":12.0,"low_price":4.5,"ready_s":45.0,"yards":["a","b"]}]}"""),
         arguments(
-            "rental",
+            "scale-out request",
             new CloudMessages.CreateInstances("r-17", "g8", "a", true, 12),
             """
             {"hire":"r-17","rig":"g8","yard":"a","standby":true,"how_many":12}"""),
         arguments(
-            "machines rented or given back",
+            "instances created or terminated",
             new CloudMessages.InstanceNames(List.of("host-000231", "host-000232")),
             """
             {"trucks":["host-000231","host-000232"]}"""),
         arguments(
-            "list of machines",
+            "page of instances",
             new CloudMessages.InstancePage(
                 List.of(
                     new CloudMessages.Instance("host-000231", "g8", "a", true, "running", 61.5)),
@@ -44,17 +44,17 @@
             {"trucks":[{"uid":"host-000231","rig":"g8","yard":"a","standby":true,
             "status":"running","age_s":61.5}],"has_next":true}"""),
         arguments(
-            "empty list of machines",
+            "empty page of instances",
             new CloudMessages.InstancePage(List.of(), false),
             """
             {"trucks":[],"has_next":false}"""),
         arguments(
-            "stored: rental that the cloud has answered",
+            "stored: answered scale-out request",
             new ScaleOutRecord("g8", "a", true, 12, List.of("host-000231"), null),
             """
             {"type":"g8","zone":"a","spot":true,"count":12,"machines":["host-000231"]}"""),
         arguments(
-            "stored: rental that the cloud has not answered yet",
+            "stored: unanswered scale-out request",
             new ScaleOutRecord("g8", "a", false, 12, null, null),
             """
             {"type":"g8","zone":"a","spot":false,"count":12}"""),
@@ -93,7 +93,7 @@
         "{\"machines\":null,\"fence\":null}",
         ScaleOutRecord.class,
         new ScaleOutRecord(null, null, false, 0, null, null));
-    // The cloud says more of a machine than we ask for.
+    // Unknown fields of an instance, such as its address, are ignored.
     assertRead(
         """
         {"uid":"host-000231","addr":"10.1.0.232:9000","rig":"g8","yard":"a","standby":true,
--- a/src/test/java/dev/windbend/machine/FleetTest.java
+++ b/src/test/java/dev/windbend/machine/FleetTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a fleet asks of the cloud and of the state service. */
+/** Calls that a fleet makes to a fake cloud, and its writes to the state service. */
 class FleetTest {
   private static final String MACHINE_TYPES_JSON =
       "{\"rigs\":[{\"label\":\"t\",\"cores\":8,\"cards\":0,\"ram_gb\":8,\"cache_gb\":9,"
@@ -28,7 +28,7 @@
 
   private final ManualEventLoop loop = new ManualEventLoop(1_000);
 
-  /** Every record is stored at once. */
+  /** Applies every write immediately. */
   private final Fleet.Listener listener =
       new Fleet.Listener() {
         @Override
@@ -94,7 +94,7 @@
     fleet.processPending();
   }
 
-  /** As a shard does that lacks machines all day: what is on offer is wanted again every round. */
+  /** Scales out like a shard with a permanent shortage, which requests machines in every cycle. */
   private void scaleOutUnlessRefused(int count) {
     if (!fleet.recentlyRefused(0, 0, true)) {
       fleet.scaleOut(catalog.type(0), 0, true, count);
@@ -107,7 +107,7 @@
       scaleOutUnlessRefused(500);
       advance(1_000);
     }
-    // A record stored and removed: the ten batches of the first round, then one each 8 s.
+    // Two writes per batch (create and delete): ten batches in the first cycle, then one per 8 s.
     assertThat(appliedWrites).isBetween(20, 36);
     assertThat(fleet.machines()).isEmpty();
     availableInstances = 2_000;
@@ -115,21 +115,21 @@
       scaleOutUnlessRefused(500);
       advance(1_000);
     }
-    assertThat(fleet.machines()).as("all that the cloud has again").hasSize(2_000);
+    assertThat(fleet.machines()).as("all instances that the cloud has again").hasSize(2_000);
   }
 
-  /** A process that stood still with a return in its queue may have lost the shard meanwhile. */
-  @ParameterizedTest(name = "still the owner when it may be sent: {0}")
+  /** A process that is suspended while a termination is queued may no longer lead the shard. */
+  @ParameterizedTest(name = "still the leader when the call may be sent: {0}")
   @ValueSource(booleans = {true, false})
   void terminatesMachineOnlyIfStillLeader(boolean stillLeader) {
     availableInstances = 1;
     fleet.scaleOut(catalog.type(0), 0, true, 1);
     fleet.processPending();
     for (int i = 0; i < 8; i++) {
-      cloud.listInstances(listed -> {}); // uses the rate up
+      cloud.listInstances(listed -> {}); // exhausts the rate limit
     }
     fleet.scaleIn(fleet.machines().iterator().next(), "test");
-    assertThat(terminatedNames).as("has to wait").isEmpty();
+    assertThat(terminatedNames).as("queued by the rate limit").isEmpty();
     mayAct = stillLeader;
     for (int i = 0; i < 10; i++) {
       advance(1_000);
--- a/src/test/java/dev/windbend/machine/MachineIndexTest.java
+++ b/src/test/java/dev/windbend/machine/MachineIndexTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Of all records that name a machine, the one with the highest fence counts, in any order. */
+/** A machine belongs to the shard of the record with the highest fence, in any arrival order. */
 class MachineIndexTest {
   private final MachineIndex machineIndex = new MachineIndex();
 
@@ -61,7 +61,7 @@
     assertThat(machineIndex.shardOf("m1")).isEqualTo(-1);
   }
 
-  /** A fleet of 4,000 is replaced by another: late copies of reports bring none of it back. */
+  /** Delayed heartbeats must not add a machine again after a fleet of 4,000 has been replaced. */
   @Test
   void retainsAllFormerMachinesOfLargeFleet() {
     int fleetSize = 4_000;
