--- a/src/main/java/dev/windbend/machine/ScaleIn.java
+++ b/src/main/java/dev/windbend/machine/ScaleIn.java
@@ -65,7 +65,7 @@
   }
 
   /** Sends the next batch to the cloud, unless a call is in progress. */
-  void processPending() {
+  void sendNextBatch() {
     if (callInProgress || terminating.isEmpty()) {
       return;
     }
--- a/src/main/java/dev/windbend/machine/ScaleOut.java
+++ b/src/main/java/dev/windbend/machine/ScaleOut.java
@@ -119,7 +119,7 @@
   }
 
   /** Sends requests that are on record and unanswered to the cloud. */
-  void processPending() {
+  void sendPending() {
     for (ScaleOutRequest request : List.copyOf(records.requests())) {
       if (request.answered || !request.recorded() || request.callInProgress) {
         continue;
