--- a/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
+++ b/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
@@ -38,8 +38,9 @@
   }
 
   /**
-   * A controller that had just started read answers seconds late, and sent each renewal only after
-   * the answer to the one before: its lease ended with the answer waiting in its socket.
+   * Guards against a lease that expires on an overloaded controller: a controller that had just
+   * started read responses seconds late and sent each renewal only after the previous response, so
+   * its lease expired while that response was still unread in the socket.
    */
   @Test
   void renewalsDoNotWaitForResponses() {
@@ -67,7 +68,7 @@
   }
 
   @Test
-  void responsesForAFormerLeaseAreIgnored() {
+  void responsesForAPreviousLeaseAreIgnored() {
     lease.acquire();
     grant(0, 7);
     advance(RENEWAL_MS);
@@ -76,11 +77,11 @@
     assertThat(expirations).isEqualTo(1);
     assertThat(lease.id()).isEqualTo(ControllerLease.NO_LEASE);
     grant(2, 7);
-    assertThat(lease.isValid()).as("renewed before it ended").isFalse();
+    assertThat(lease.isValid()).as("renewal of the expired lease").isFalse();
     grant(3, 8);
     assertThat(lease.id()).isEqualTo(8);
     respond(2, 404, "{}");
-    assertThat(expirations).as("the former one once more").isEqualTo(1);
+    assertThat(expirations).as("expiry of the previous lease reported again").isEqualTo(1);
     assertThat(lease.isValid()).isTrue();
   }
 
