--- a/src/main/java/dev/windbend/machine/Machine.java
+++ b/src/main/java/dev/windbend/machine/Machine.java
@@ -358,7 +358,7 @@
   }
 
   /**
-   * Whether new tasks may be placed on it, apart from missed responses.
+   * Whether new tasks may be placed on it. Missed responses are not taken into account.
    *
    * @param nowMs monotonic clock
    */
--- a/src/main/java/dev/windbend/machine/MachineMessages.java
+++ b/src/main/java/dev/windbend/machine/MachineMessages.java
@@ -8,8 +8,8 @@
   private MachineMessages() {}
 
   /**
-   * Requirements of a task on a machine. Types and zones are given by name, since dense indexes
-   * differ between controllers.
+   * Requirements of a task on a machine, as exchanged between controllers. Types and zones are
+   * given by name.
    *
    * @param types allowed machine types; null: any
    * @param zones allowed zones; null: any
--- a/src/main/java/dev/windbend/machine/ScaleOut.java
+++ b/src/main/java/dev/windbend/machine/ScaleOut.java
@@ -125,8 +125,7 @@
         continue;
       }
       if (!request.sent && recentlyRefused(InstanceKind.of(request))) {
-        // The cloud recently lacked this kind. The request was never sent, so it is safe to drop
-        // it.
+        // The cloud recently lacked this kind, and a request that was never sent is safe to drop.
         records.finish(request);
       } else {
         send(request);
