--- a/src/main/java/dev/windbend/machine/ScaleOutRequest.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRequest.java
@@ -14,8 +14,8 @@
  */
 final class ScaleOutRequest implements PendingWrite {
   /**
-   * Maximum delay of a write that only removes machines. If the stored record still names
-   * terminated machines, the next leader finds them missing from the cloud's list.
+   * Maximum delay of a write that only removes machines. A stored record that still names
+   * terminated machines does no harm: the next leader finds them missing from the cloud's list.
    */
   private static final long MAX_WRITE_DELAY_MS = 60_000;
 
