--- a/src/main/java/dev/windbend/plan/AdvanceReservations.java
+++ b/src/main/java/dev/windbend/plan/AdvanceReservations.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Has tasks queue behind machines that are free soon enough, which are reserved for them (paper,
- * Algorithm 1, lines 18 to 25).
+ * Reserves machines that become free soon enough, so that tasks queue for them (paper, Algorithm 1,
+ * lines 18 to 25).
  */
 final class AdvanceReservations {
   private final CycleState state;
@@ -14,44 +14,45 @@
   }
 
   /**
-   * Reserves machines for a job's tasks, those free first before the others.
+   * Reserves capacity for a job's tasks on the machines that become free first.
    *
-   * @param keep how many tasks are left over
-   * @param byMs they have to be free by that time
-   * @param orInTime or, where that is later, in time for the deadline
+   * @param tasksToLeave number of tasks to leave unassigned
+   * @param freeByMs latest time at which a machine may become free
+   * @param allowUntilDeadline whether a machine may also become free later, provided that the task
+   *     still meets its deadline
    */
-  void reserve(JobCursor cursor, int keep, long byMs, boolean orInTime) {
+  void reserve(JobCursor cursor, int tasksToLeave, long freeByMs, boolean allowUntilDeadline) {
     PendingJob job = cursor.job();
     long latestStartMs = job.objectives().dueMs() - cursor.estimateMs();
-    long untilMs = orInTime ? Math.max(byMs, latestStartMs) : byMs;
+    long untilMs = allowUntilDeadline ? Math.max(freeByMs, latestStartMs) : freeByMs;
     if (state.unavailableSizes().contains(cursor.resources(), untilMs)) {
       return;
     }
     PriorityQueue<Candidate> candidates = new PriorityQueue<>(Candidate.BEST_FIRST);
-    boolean allSearched = !cursor.constrainedByZones();
+    boolean searchedAllMachines = !cursor.constrainedByZones();
     for (MachineReservations machine : state.machines()) {
-      if (cursor.unassignedTasks() <= keep) {
+      if (cursor.unassignedTasks() <= tasksToLeave) {
         return;
       }
       if (cursor.mayUse(machine)) {
-        addCandidate(candidates, job, machine, byMs, orInTime);
+        addCandidate(candidates, job, machine, freeByMs, allowUntilDeadline);
       } else {
-        allSearched = false;
+        searchedAllMachines = false;
       }
     }
-    reserveBest(candidates, cursor, keep, byMs, orInTime);
-    if (cursor.unassignedTasks() > keep && allSearched && untilMs == byMs) {
-      state.unavailableSizes().add(cursor.resources(), byMs);
+    reserveBest(candidates, cursor, tasksToLeave, freeByMs, allowUntilDeadline);
+    if (cursor.unassignedTasks() > tasksToLeave && searchedAllMachines && untilMs == freeByMs) {
+      state.unavailableSizes().add(cursor.resources(), freeByMs);
     }
   }
 
   private void reserveBest(
       PriorityQueue<Candidate> candidates,
       JobCursor cursor,
-      int keep,
-      long byMs,
-      boolean orInTime) {
-    while (cursor.unassignedTasks() > keep && !candidates.isEmpty()) {
+      int tasksToLeave,
+      long freeByMs,
+      boolean allowUntilDeadline) {
+    while (cursor.unassignedTasks() > tasksToLeave && !candidates.isEmpty()) {
       Candidate candidate = candidates.poll();
       MachineReservations machine = candidate.machine();
       if (cursor.mayUse(machine)) {
@@ -60,7 +61,7 @@
         }
         state.trace().recordOutlook(cursor, DecisionTrace.Outlook.SOON_FREE_MACHINE);
         state.reserve(cursor, machine, candidate.startMs());
-        addCandidate(candidates, cursor.job(), machine, byMs, orInTime);
+        addCandidate(candidates, cursor.job(), machine, freeByMs, allowUntilDeadline);
       }
     }
   }
@@ -69,15 +70,15 @@
       PriorityQueue<Candidate> candidates,
       PendingJob job,
       MachineReservations machine,
-      long byMs,
-      boolean orInTime) {
+      long freeByMs,
+      boolean allowUntilDeadline) {
     state.addMachinesExamined(1);
     PendingJob.Requirements task = job.requirements();
     long runMs = machine.runMs(task);
     long freeMs = machine.firstFitMs(runMs, task.resources());
-    boolean inTime =
-        orInTime && freeMs < Long.MAX_VALUE && freeMs + runMs <= job.objectives().dueMs();
-    if (freeMs <= byMs || inTime) {
+    boolean meetsDeadline =
+        allowUntilDeadline && freeMs < Long.MAX_VALUE && freeMs + runMs <= job.objectives().dueMs();
+    if (freeMs <= freeByMs || meetsDeadline) {
       candidates.add(Candidate.startingAt(machine, (double) freeMs, freeMs));
     }
   }
--- a/src/main/java/dev/windbend/plan/BinPacking.java
+++ b/src/main/java/dev/windbend/plan/BinPacking.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Places tasks on machines that are up and paid (paper, Algorithm 1, lines 7 to 10): those with the
- * lowest {@link PlacementScore} first.
+ * Places tasks on machines that are running and already paid for (paper, Algorithm 1, lines 7 to
+ * 10), in ascending order of {@link PlacementScore}.
  */
 final class BinPacking {
   private static final double MS_PER_SECOND = 1_000;
@@ -19,13 +19,14 @@
   }
 
   /**
-   * Places a job's tasks where capacity is free now. Where an early start counts, a machine that
-   * has the image and is free before another could have fetched it is reserved instead.
+   * Places a job's tasks where capacity is free now. If the job still benefits from an early start,
+   * a machine that has the image is reserved instead, provided that it becomes free sooner than the
+   * image could be fetched.
    *
-   * @param keep how many tasks are left over
-   * @param maxExtensionCost what it may cost that a task runs past a machine's paid block
+   * @param tasksToLeave number of tasks to leave unassigned
+   * @param maxExtensionCost maximum cost of extending a machine's paid block for a task
    */
-  void place(JobCursor cursor, int keep, double maxExtensionCost) {
+  void place(JobCursor cursor, int tasksToLeave, double maxExtensionCost) {
     List<Candidate> candidates = new ArrayList<>();
     state.addMachinesExamined(state.machines().size());
     for (MachineReservations machine : state.machines()) {
@@ -36,12 +37,12 @@
     candidates.sort(Candidate.BEST_FIRST);
     for (Candidate candidate : candidates) {
       if (candidate.startMs() == Candidate.NOW) {
-        fill(cursor, keep, candidate.machine());
-      } else if (cursor.unassignedTasks() > keep && cursor.mayUse(candidate.machine())) {
+        fill(cursor, tasksToLeave, candidate.machine());
+      } else if (cursor.unassignedTasks() > tasksToLeave && cursor.mayUse(candidate.machine())) {
         state.trace().recordObstacle(cursor, DecisionTrace.Obstacle.MACHINE_WITH_IMAGE_PREFERRED);
         state.reserve(cursor, candidate.machine(), candidate.startMs());
       }
-      if (cursor.unassignedTasks() <= keep) {
+      if (cursor.unassignedTasks() <= tasksToLeave) {
         return;
       }
     }
@@ -72,20 +73,24 @@
     }
   }
 
-  /** An early start still counts; a displaced job leaves no room that is free to a lower one. */
+  /**
+   * Whether the job may wait for a machine that has its image. Waiting is allowed only before the
+   * time to start by. A displaced job does not wait, because a job of lower priority could take the
+   * capacity that is free now.
+   */
   private boolean mayWaitForImage(PendingJob job) {
     return state.nowMs() < job.objectives().startByMs() && !DisplacedPrecedence.appliesTo(job);
   }
 
-  private void fill(JobCursor cursor, int keep, MachineReservations machine) {
+  private void fill(JobCursor cursor, int tasksToLeave, MachineReservations machine) {
     PendingJob.Requirements task = cursor.job().requirements();
     long runMs = machine.runMs(task);
-    while (cursor.unassignedTasks() > keep
+    while (cursor.unassignedTasks() > tasksToLeave
         && cursor.mayUse(machine)
         && machine.fitsNow(runMs, task.resources())) {
       state.place(cursor, machine);
     }
-    if (cursor.unassignedTasks() > keep) {
+    if (cursor.unassignedTasks() > tasksToLeave) {
       traceReservationConflict(cursor, machine);
     }
   }
@@ -99,10 +104,15 @@
     }
   }
 
-  /** Running past the paid block extends it. That must not cost more than a new machine would. */
+  /**
+   * Returns the cost of extending the paid block until the end of the task; 0 if the task ends
+   * within the block. It must not exceed the cost of a new machine. The price is per hour and the
+   * time is in milliseconds, as in {@link ScaleOutPlanner#costOfNewMachine}, so both costs can be
+   * compared.
+   */
   private double extensionCost(PendingJob.Requirements task, MachineReservations machine) {
     MachineCapacity capacity = machine.capacity();
-    long pastMs = state.nowMs() + task.estimateMs() - capacity.lifetime().paidUntilMs();
-    return pastMs <= 0 ? 0 : capacity.attributes().pricePerHour() * pastMs;
+    long extensionMs = state.nowMs() + task.estimateMs() - capacity.lifetime().paidUntilMs();
+    return extensionMs <= 0 ? 0 : capacity.attributes().pricePerHour() * extensionMs;
   }
 }
--- a/src/main/java/dev/windbend/plan/Candidate.java
+++ b/src/main/java/dev/windbend/plan/Candidate.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * A machine that a task may be placed on.
+ * A machine on which a task may be placed or reserved.
  *
- * @param score what speaks against it; the lowest is the best
- * @param startMs when the task may start; {@link #NOW}: at once
- * @param victims indices of the machine's tasks to preempt first
+ * @param score penalty; the candidate with the lowest score is preferred
+ * @param startMs start time of the task; {@link #NOW} if it can start immediately
+ * @param victims indices of the tasks of the machine to preempt before the placement
  */
 record Candidate(MachineReservations machine, double score, long startMs, List<Integer> victims) {
   static final long NOW = 0;
--- a/src/main/java/dev/windbend/plan/CycleState.java
+++ b/src/main/java/dev/windbend/plan/CycleState.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a cycle has decided so far: reservations, use of quotas, placements and preemptions. */
+/**
+ * Decisions made so far in a scheduling cycle: reservations, quota usage, placements and
+ * preemptions.
+ */
 final class CycleState {
   private final Snapshot snapshot;
   private final List<MachineReservations> machines;
@@ -37,7 +40,10 @@
     return snapshot.nowMs();
   }
 
-  /** Those of the snapshot in its order, then those that the cycle requests. */
+  /**
+   * Returns the machines of the snapshot in snapshot order, followed by those that the cycle
+   * requests.
+   */
   List<MachineReservations> machines() {
     return machines;
   }
@@ -46,7 +52,7 @@
     return trace;
   }
 
-  /** A job has been served, after all of higher priority. */
+  /** Records that a job has been served. Jobs of higher priority must have been served before. */
   void recordServed(JobCursor cursor) {
     displacedPrecedence.recordServed(cursor);
   }
@@ -75,12 +81,12 @@
     machinesExamined += count;
   }
 
-  /** Tasks with so many cores wait for machines that are not up. */
+  /** Adds the cores of tasks that wait for machines that are not running yet. */
   void addCoresAwaitingMachines(double cores) {
     coresAwaitingMachines += cores;
   }
 
-  /** How many more of the job's tasks its team's quota allows. */
+  /** Returns how many more tasks of the job fit into its team's quota. */
   int tasksWithinQuota(PendingJob job) {
     Snapshot.Team team = snapshot.teams().get(job.team());
     Resources need = job.requirements().resources();
@@ -89,7 +95,10 @@
         .timesFits(new Resources(need.cores(), need.gpus(), 0));
   }
 
-  /** Whether the job's next task may start on the machine, if it has capacity. */
+  /**
+   * Whether the job's next task may start on the machine now, provided that the machine has enough
+   * free capacity.
+   */
   boolean mayStart(JobCursor cursor, MachineReservations machine) {
     if (!machine.up() || !cursor.mayUse(machine)) {
       return false;
@@ -101,7 +110,10 @@
     return true;
   }
 
-  /** Reserves capacity for the job's next task, which counts for its team's quota at once. */
+  /**
+   * Reserves capacity for the job's next task. The task counts towards its team's quota
+   * immediately.
+   */
   void reserve(JobCursor cursor, MachineReservations machine, long atMs) {
     PendingJob job = cursor.job();
     Resources need = cursor.resources();
@@ -111,20 +123,23 @@
     cursor.recordAssignment(machine);
   }
 
-  /** Starts the job's next task. */
+  /** Places the job's next task on the machine, to start now. */
   void place(JobCursor cursor, MachineReservations machine) {
     reserve(cursor, machine, nowMs());
     cursor.recordStart(machine);
     placements.add(new SchedulingDecision.PlacedTask(cursor.index(), machine.index()));
   }
 
-  /** Stops a running task, which counts for its team's quota until it is proved gone. */
+  /**
+   * Preempts a running task. The task counts towards its team's quota until it is confirmed
+   * terminated.
+   */
   void preempt(MachineReservations machine, int task) {
     machine.preempt(task);
     preemptions.add(new SchedulingDecision.PreemptedTask(machine.index(), task));
   }
 
-  /** Adds a machine that the cycle requests of the cloud. */
+  /** Adds a machine that the cycle requests from the cloud. */
   MachineReservations addRequested(InstanceOffer offer) {
     MachineReservations machine = new MachineReservations(offer, nowMs());
     machines.add(machine);
--- a/src/main/java/dev/windbend/plan/Deadline.java
+++ b/src/main/java/dev/windbend/plan/Deadline.java
@@ -1,20 +1,21 @@
 package dev.windbend.plan;
 
 /**
- * When a job is due: the next of its time limits that it can still meet. A job that can meet none
- * is hopeless; serving it before one that still can would only make both late.
+ * The deadline of a job: the earliest of its time limits that it can still meet. If it can meet
+ * none, the deadline is unattainable; such a job is served after jobs that can still meet theirs,
+ * because serving it first would make both late.
  *
- * @param dueSeconds from submission
- * @param unattainable whether it can't be met either
+ * @param dueSeconds time from submission to the deadline, in seconds
+ * @param unattainable whether the job can meet none of its time limits
  */
 public record Deadline(double dueSeconds, boolean unattainable) {
 
   /**
-   * The next limit that can still be met, else the last.
+   * Returns the earliest limit that can still be met, or the last limit if none can.
    *
-   * @param limitsSeconds ascending, from submission
-   * @param ageSeconds time since submission
-   * @param estimateSeconds how long the job runs, as estimated
+   * @param limitsSeconds time limits in seconds from submission, ascending; at least one
+   * @param ageSeconds time since submission, in seconds
+   * @param estimateSeconds estimated run time of the job, in seconds
    */
   public static Deadline nextAttainable(
       double[] limitsSeconds, double ageSeconds, double estimateSeconds) {
--- a/src/main/java/dev/windbend/plan/DecisionTrace.java
+++ b/src/main/java/dev/windbend/plan/DecisionTrace.java
@@ -6,50 +6,54 @@
 import java.util.TreeMap;
 
 /**
- * Why a cycle left tasks waiting, for logs and tests. A cycle that nobody asks for reasons runs
- * with {@link #NONE}, which records nothing.
+ * Records why a scheduling cycle left tasks waiting, for logs and tests. Use {@link #NONE} for a
+ * cycle whose reasons are not needed.
  */
 public final class DecisionTrace {
-  /** Records nothing. */
+  /** A trace that records nothing. */
   public static final DecisionTrace NONE = new DecisionTrace(false);
 
   private final boolean enabled;
   private final TreeMap<Integer, LeftWaiting> byJob = new TreeMap<>();
 
-  /** Why a task was not started on a machine that is up. */
+  /** Why a task was not started on a running machine. */
   public enum Obstacle {
-    /** The team's quota is used up, what is reserved for its earlier jobs included. */
+    /**
+     * The team's quota is exhausted, including reservations for jobs of the team that were served
+     * earlier.
+     */
     QUOTA,
-    /** Capacity is free now and reserved for another task before this one would end. */
+    /** Capacity is free now but reserved for another task before this task would end. */
     RESERVED_AHEAD,
-    /** The paid block would have to be extended at a higher cost than that of a new machine. */
+    /** Extending the paid block would cost more than a new machine. */
     EXTENSION_COST,
-    /** More work would be lost by preemption than gained. */
+    /** Preemption would lose more work than it gains. */
     PREEMPTION_LOSS,
-    /** A machine that has the image and is free soon was preferred. */
+    /** A machine that has the image and becomes free soon was preferred. */
     MACHINE_WITH_IMAGE_PREFERRED,
-    /** A displaced task of higher priority that fits waits as well. */
+    /** A waiting displaced task of higher priority fits into the same capacity. */
     HIGHER_DISPLACED_TASK,
   }
 
-  /** What is to become of tasks that wait. */
+  /** What the cycle has planned for tasks that wait. */
   public enum Outlook {
-    /** The slack allows waiting. */
+    /** The deadline leaves enough slack to wait for a later cycle. */
     POSTPONED,
-    /** Reserved on a machine that is free soon. */
+    /** Capacity is reserved on a machine that becomes free soon. */
     SOON_FREE_MACHINE,
-    /** Reserved on a machine that the cycle requests. */
+    /** Capacity is reserved on a machine that the cycle requests. */
     NEW_MACHINE,
-    /** Nothing can be had in time; the next cycle looks again. */
+    /** No capacity becomes available in time; the next cycle tries again. */
     NOTHING_IN_TIME,
   }
 
   /**
    * The tasks of a job that were not started.
    *
-   * @param job the job's place in the snapshot
-   * @param obstacles all that were met; none: no machine that it may use has free capacity
-   * @param outlooks what is to become of the tasks
+   * @param job index of the job in the snapshot
+   * @param obstacles reasons why tasks were not started; empty if no machine that the job may use
+   *     has free capacity
+   * @param outlooks what the cycle has planned for the tasks
    */
   public record LeftWaiting(int job, Set<Obstacle> obstacles, Set<Outlook> outlooks) {}
 
@@ -57,7 +61,7 @@
     this.enabled = enabled;
   }
 
-  /** A trace that records one cycle. */
+  /** Returns a trace that records one cycle. */
   public static DecisionTrace recording() {
     return new DecisionTrace(true);
   }
@@ -84,7 +88,10 @@
         job -> new LeftWaiting(job, EnumSet.noneOf(Obstacle.class), EnumSet.noneOf(Outlook.class)));
   }
 
-  /** The jobs of which the decision leaves tasks waiting, in the snapshot's order. */
+  /**
+   * Returns the recorded jobs with tasks that the decision leaves waiting, in snapshot order. Empty
+   * for {@link #NONE}.
+   */
   public List<LeftWaiting> leftWaiting(Snapshot snapshot, SchedulingDecision decision) {
     if (!enabled) {
       return List.of();
--- a/src/main/java/dev/windbend/plan/DisplacedPrecedence.java
+++ b/src/main/java/dev/windbend/plan/DisplacedPrecedence.java
@@ -5,21 +5,22 @@
 import java.util.List;
 
 /**
- * Keeps displaced tasks out of room into which a displaced task of higher priority fits that is
- * left waiting (docs/zones.md, priority inversion). Without it a shorter task of lower priority is
- * backfilled ahead of a reservation that the longer one would overrun.
+ * Prevents priority inversion among displaced tasks (docs/zones.md): a displaced task does not
+ * start in capacity into which a waiting displaced task of higher priority fits. Without this rule,
+ * a shorter task of lower priority could be backfilled ahead of a reservation that the longer task
+ * of higher priority would overrun.
  */
 final class DisplacedPrecedence {
   private final List<MachineReservations> machines;
 
-  /** By index of the machine, for those that waiting tasks may use. */
+  /** Waiting tasks by index of each machine that they may use. */
   private final Int2ObjectOpenHashMap<List<WaitingTask>> waitingByMachine =
       new Int2ObjectOpenHashMap<>();
 
-  /** Tasks of this rank and size wait. */
+  /** Rank and size of waiting tasks of a job. */
   private record WaitingTask(int rank, Resources size) {
-    boolean precedes(int lowerRank, Resources room) {
-      return rank < lowerRank && room.fits(size);
+    boolean precedes(int lowerRank, Resources lowerSize) {
+      return rank < lowerRank && lowerSize.fits(size);
     }
   }
 
@@ -27,12 +28,18 @@
     this.machines = machines;
   }
 
-  /** Whether jobs like this one have precedence: displaced, and in time for one of their limits. */
+  /**
+   * Whether the job's tasks have precedence: the job is displaced and can still meet one of its
+   * time limits.
+   */
   static boolean appliesTo(PendingJob job) {
     return job.progress().displaced() && !job.objectives().unattainable();
   }
 
-  /** The job has been served, after all of higher priority; some of its tasks may wait. */
+  /**
+   * Records the tasks that a served job leaves waiting. Jobs of higher priority must have been
+   * served before.
+   */
   void recordServed(JobCursor cursor) {
     if (!appliesTo(cursor.job()) || !cursor.leftWaiting()) {
       return;
@@ -46,16 +53,20 @@
   }
 
   private void add(int machine, WaitingTask waiting) {
-    List<WaitingTask> known = waitingByMachine.computeIfAbsent(machine, key -> new ArrayList<>(1));
-    for (WaitingTask other : known) {
+    List<WaitingTask> existing =
+        waitingByMachine.computeIfAbsent(machine, key -> new ArrayList<>(1));
+    for (WaitingTask other : existing) {
       if (other.rank() <= waiting.rank() && waiting.size().fits(other.size())) {
         return;
       }
     }
-    known.add(waiting);
+    existing.add(waiting);
   }
 
-  /** Whether the job's tasks have to leave the machine to a waiting task. */
+  /**
+   * Whether the job's tasks must not start on the machine because a waiting task has precedence
+   * there.
+   */
   boolean blocks(JobCursor cursor, MachineReservations machine) {
     if (waitingByMachine.isEmpty() || !cursor.job().progress().displaced()) {
       return false;
--- a/src/main/java/dev/windbend/plan/InstanceOffer.java
+++ b/src/main/java/dev/windbend/plan/InstanceOffer.java
@@ -1,19 +1,19 @@
 package dev.windbend.plan;
 
 /**
- * A kind of machine that the cloud rents.
+ * A combination of machine type, zone and price that the cloud offers.
  *
- * @param attributes type, zone and price
- * @param capacity what a machine of this kind has
- * @param bootMs how long it takes to boot
- * @param available whether the cloud may be asked for it now; else it refused it a moment ago, or
- *     the zone is closed
+ * @param attributes type, zone and price of the machines
+ * @param capacity resources of each machine
+ * @param bootMs boot time in milliseconds
+ * @param available whether such machines may be requested now; false if the cloud has recently
+ *     refused them or the zone is closed
  */
 public record InstanceOffer(
     MachineAttributes attributes, Resources capacity, long bootMs, boolean available) {
 
-  /** An offer that the cloud may be asked for now. */
-  public InstanceOffer(MachineAttributes kind, Resources capacity, long bootMs) {
-    this(kind, capacity, bootMs, true);
+  /** Creates an offer of which machines may be requested now. */
+  public InstanceOffer(MachineAttributes attributes, Resources capacity, long bootMs) {
+    this(attributes, capacity, bootMs, true);
   }
 }
--- a/src/main/java/dev/windbend/plan/JobCursor.java
+++ b/src/main/java/dev/windbend/plan/JobCursor.java
@@ -1,15 +1,18 @@
 package dev.windbend.plan;
 
-/** A job being served in a cycle: how many of its tasks are left, and where the others went. */
+/**
+ * The state of a job during a cycle: how many of its waiting tasks are unassigned, and the zones of
+ * the others.
+ */
 final class JobCursor {
   private final PendingJob job;
   private final int index;
   private final PendingJob.Constraints constraints;
 
-  /** Of the tasks that have a place or a reservation. */
+  /** Zones of the tasks that have a placement or a reservation. */
   private final ZoneCounts assignedZones;
 
-  /** Of the tasks that have a place, without reservations. */
+  /** Zones of the tasks that have a placement; reservations are not counted. */
   private final ZoneCounts startedZones;
 
   private int unassignedTasks;
@@ -29,12 +32,12 @@
     return job;
   }
 
-  /** The job's place in the snapshot. */
+  /** Returns the index of the job in the snapshot. */
   int index() {
     return index;
   }
 
-  /** Tasks that have neither a place nor a reservation yet. */
+  /** Returns the number of tasks that have neither a placement nor a reservation yet. */
   int unassignedTasks() {
     return unassignedTasks;
   }
@@ -47,63 +50,75 @@
     return job.requirements().estimateMs();
   }
 
-  /** Whether the zones of its other tasks bind the next one. */
+  /** Whether the zones of the job's other tasks restrict the zone of the next task. */
   boolean constrainedByZones() {
     return assignedZones.constrainNext();
   }
 
-  /** Whether the next task may run on this kind of machine: constraints and anti-affinity. */
-  boolean mayUse(MachineAttributes kind) {
-    return allows(kind, assignedZones);
+  /**
+   * Whether the job's constraints and its zone rules allow the next task on machines with these
+   * attributes.
+   */
+  boolean mayUse(MachineAttributes attributes) {
+    return allows(attributes, assignedZones);
   }
 
-  /** Whether the next task may run on the machine, if it has capacity. */
+  /**
+   * Whether the next task may run on the machine, provided that the machine has enough free
+   * capacity.
+   */
   boolean mayUse(MachineReservations machine) {
     return mayUse(machine.attributes()) && !avoids(machine);
   }
 
-  /** The same, were it to start now: reservations bind no zone. */
+  /**
+   * Like {@link #mayUse(MachineReservations)}, but for a task that starts now: reservations of
+   * other tasks do not restrict its zone.
+   */
   boolean mayStartOn(MachineReservations machine) {
     return allows(machine.attributes(), startedZones) && !avoids(machine);
   }
 
-  private boolean allows(MachineAttributes kind, ZoneCounts zones) {
-    return constraints.allows(kind) && zones.allowsNext(kind.zone());
+  private boolean allows(MachineAttributes attributes, ZoneCounts zones) {
+    return constraints.allows(attributes) && zones.allowsNext(attributes.zone());
   }
 
   private boolean avoids(MachineReservations machine) {
     return machine.inSnapshot() && constraints.avoidedMachines().contains(machine.index());
   }
 
-  /** The next task is placed on the machine, or has a reservation there. */
+  /** Records that the next task has a placement or a reservation on the machine. */
   void recordAssignment(MachineReservations machine) {
     assignedZones.add(machine.attributes().zone());
     unassignedTasks--;
   }
 
-  /** The task assigned last starts now. */
+  /** Records that the task assigned last starts now. */
   void recordStart(MachineReservations machine) {
     startedZones.add(machine.attributes().zone());
     startedTasks++;
   }
 
-  /** Tasks that start now. */
+  /** Returns the number of tasks that start now. */
   int startedTasks() {
     return startedTasks;
   }
 
-  /** Tasks that the team's quota allows were not started. */
+  /** Records that tasks within the team's quota were not started. */
   void markLeftWaiting() {
     leftWaiting = true;
   }
 
-  /** Whether tasks that the team's quota allows were not started. */
+  /** Whether tasks within the team's quota were not started. */
   boolean leftWaiting() {
     return leftWaiting;
   }
 
-  /** The tasks that are left but so many are given up for this cycle. */
-  void setUnassignedTasks(int keep) {
-    unassignedTasks = keep;
+  /**
+   * Reduces the number of unassigned tasks; the tasks in excess are not considered again in this
+   * cycle.
+   */
+  void setUnassignedTasks(int tasksToLeave) {
+    unassignedTasks = tasksToLeave;
   }
 }
--- a/src/main/java/dev/windbend/plan/JobOrder.java
+++ b/src/main/java/dev/windbend/plan/JobOrder.java
@@ -2,21 +2,27 @@
 
 import java.util.Comparator;
 
-/** In which order a cycle serves jobs. */
+/** Orders in which a cycle serves jobs, and the age limits that decide on precedence. */
 final class JobOrder {
-  /** A job must begin within four minutes of its submission; at half of that it goes first. */
+  /**
+   * A job must start within four minutes of its submission; it is served first from half of that
+   * time.
+   */
   private static final long MUST_START_AGE_MS = 120_000;
 
-  /** Older jobs have waited for long. */
+  /** Jobs of at least this age count as long-waiting. */
   private static final long LONG_WAITING_AGE_MS = 240_000;
 
-  /** Serving the least work first would leave the largest job for ever if capacity is short. */
+  /**
+   * Oldest job first. With the least work first, the largest job would starve while capacity is
+   * short.
+   */
   static final Comparator<JobCursor> OLDEST_FIRST =
       Comparator.comparingLong(cursor -> -cursor.job().progress().ageMs());
 
   /**
-   * By priority; then those that can still meet a deadline, those displaced with their zone (by
-   * deadline and slack), and the least work first.
+   * By priority; within a priority, jobs that can still meet a deadline first, then displaced jobs
+   * (by deadline, then by latest start time), then jobs with the least waiting work.
    */
   static final Comparator<JobCursor> MOST_URGENT_FIRST =
       Comparator.<JobCursor>comparingInt(cursor -> cursor.job().rank())
@@ -40,11 +46,12 @@
         : 0;
   }
 
-  /** Whether tasks of the job may be placed in this cycle. */
+  /** Whether the job has waiting tasks that may be placed in this cycle. */
   static boolean eligible(PendingJob job, long nowMs) {
     return job.progress().waiting() > 0 && job.constraints().notBeforeMs() <= nowMs;
   }
 
+  /** Whether no task of the job was ever started and the job is old enough to be served first. */
   static boolean mustStart(PendingJob job) {
     return !job.progress().everStarted() && job.progress().ageMs() >= MUST_START_AGE_MS;
   }
--- a/src/main/java/dev/windbend/plan/MachineAttributes.java
+++ b/src/main/java/dev/windbend/plan/MachineAttributes.java
@@ -1,13 +1,14 @@
 package dev.windbend.plan;
 
 /**
- * A kind of machine, as far as placement, prices and image transfers go by it.
+ * Attributes of a machine on which placement, cost and image transfer time depend.
  *
- * @param type the machine type's index
- * @param zone the zone's index
- * @param spot a spot instance, which the cloud may recall
- * @param pricePerHour what it costs
- * @param fetchGbPerSecond how fast it fetches images; not above 0: at once
+ * @param type index of the machine type
+ * @param zone index of the zone
+ * @param spot whether it is a spot instance, which the cloud may reclaim
+ * @param pricePerHour price per hour
+ * @param fetchGbPerSecond image transfer rate in GB/s; if not above 0, images are available
+ *     immediately
  */
 public record MachineAttributes(
     int type, int zone, boolean spot, double pricePerHour, double fetchGbPerSecond) {}
--- a/src/main/java/dev/windbend/plan/MachineCapacity.java
+++ b/src/main/java/dev/windbend/plan/MachineCapacity.java
@@ -4,16 +4,18 @@
 import java.util.List;
 
 /**
- * A machine as a cycle sees it: what is free now if it is up, else all of it from a time on.
+ * Capacity of a machine in a snapshot: the free resources of a running machine, or the resources
+ * that a requested machine will have once it is ready.
  *
- * @param attributes type, zone and price
- * @param up whether tasks can be placed on it now
- * @param nextResponseMs how long until it can be told to start or stop a task
- * @param readyMs when it should be up, if it isn't
- * @param free what its tasks leave of it
- * @param lifetime when it may go
- * @param images indices of the images that it has
- * @param running its tasks
+ * @param attributes type, zone and price of the machine
+ * @param up whether the machine is running, so that tasks can be placed on it now
+ * @param nextResponseMs time in milliseconds until the next heartbeat response, which carries
+ *     commands to start or stop tasks
+ * @param readyMs time when the machine should be ready, if it is not running
+ * @param free resources that its tasks do not use
+ * @param lifetime when the machine may be released
+ * @param images indices of the images that are present on the machine
+ * @param running tasks that run on the machine
  */
 public record MachineCapacity(
     MachineAttributes attributes,
@@ -26,12 +28,12 @@
     List<RunningTask> running) {
 
   /**
-   * When a machine may go.
+   * When a machine may be released.
    *
-   * @param idle whether it has no task
-   * @param paidUntilMs the end of its paid billing block
-   * @param releasableFromMs when it has been idle for long enough to go before that end, if idle
-   *     machines have more than the reserve
+   * @param idle whether the machine has no task
+   * @param paidUntilMs end of the paid billing block
+   * @param releasableFromMs earliest time at which the machine may be released before the end of
+   *     its paid block; applies only to idle capacity beyond the reserve
    */
   public record Lifetime(boolean idle, long paidUntilMs, long releasableFromMs) {}
 }
--- a/src/main/java/dev/windbend/plan/MachineReservations.java
+++ b/src/main/java/dev/windbend/plan/MachineReservations.java
@@ -5,33 +5,36 @@
 import java.util.List;
 
 /**
- * What is free of a machine over time, less what the cycle has reserved. The machine is one of the
- * snapshot, or one that the cycle requests of the cloud.
+ * Free resources of a machine over time, minus the reservations of the cycle. The machine is one of
+ * the snapshot, or one that the cycle requests from the cloud.
  */
 final class MachineReservations {
   private static final int NOT_IN_SNAPSHOT = -1;
   private static final double MS_PER_SECOND = 1_000;
 
-  /** A change of what is free. */
+  /** A change of the free resources; negative amounts are reserved from that time on. */
   private record CapacityChange(long atMs, Resources resources) {}
 
   private final long nowMs;
   private final int index;
   private final MachineAttributes attributes;
 
-  /** Null: a machine that the cycle requests. */
+  /** Null for a machine that the cycle requests. */
   private final MachineCapacity capacity;
 
-  /** In order of time. */
+  /** In ascending order of time. */
   private final List<CapacityChange> changes = new ArrayList<>();
 
-  /** Null: no task of the machine is preempted. */
+  /** Indices of preempted tasks; null if there are none. */
   private IntOpenHashSet preempted;
 
   private Resources freeNow;
   private boolean reserved;
 
-  /** Something is reserved for later, so what is free now may not stay so. */
+  /**
+   * Whether the cycle has made a reservation for a later time, so that capacity that is free now
+   * may not stay free.
+   */
   private boolean reservedLater;
 
   MachineReservations(MachineCapacity capacity, int index, long nowMs) {
@@ -63,7 +66,7 @@
     return attributes;
   }
 
-  /** The machine's place in the snapshot; only those of the snapshot have one. */
+  /** Returns the index of the machine in the snapshot; -1 for a machine that the cycle requests. */
   int index() {
     return index;
   }
@@ -72,27 +75,30 @@
     return capacity != null;
   }
 
-  /** Whether tasks can be placed on it now. */
+  /** Whether tasks can be placed on the machine now. */
   boolean up() {
     return capacity != null && capacity.up();
   }
 
-  /** The machine in the snapshot; null: the cycle requests it. */
+  /** Returns the machine of the snapshot; null for a machine that the cycle requests. */
   MachineCapacity capacity() {
     return capacity;
   }
 
-  /** What is free at this moment. */
+  /** Returns the resources that are free at the time of the cycle. */
   Resources freeNow() {
     return freeNow;
   }
 
-  /** Whether the cycle has reserved anything, for now or later. */
+  /** Whether the cycle has reserved capacity on the machine, for now or for later. */
   boolean reserved() {
     return reserved;
   }
 
-  /** How long the machine takes to fetch a job's image; 0: it has it. */
+  /**
+   * Returns the time in milliseconds to fetch the task's image; 0 if the image is available
+   * immediately.
+   */
   long fetchMs(PendingJob.Requirements task) {
     return (capacity != null && capacity.images().contains(task.image()))
             || attributes.fetchGbPerSecond() <= 0
@@ -100,7 +106,10 @@
         : (long) (MS_PER_SECOND * task.imageGb() / attributes.fetchGbPerSecond());
   }
 
-  /** How long a task takes on the machine, as estimated, with the fetch of its image. */
+  /**
+   * Returns the estimated run time on the machine in milliseconds, including the fetch of the
+   * image.
+   */
   long runMs(PendingJob.Requirements task) {
     return task.estimateMs() + fetchMs(task);
   }
@@ -117,7 +126,7 @@
     changes.add(position, new CapacityChange(atMs, resources));
   }
 
-  /** Whether so much is free from now on for the given time. */
+  /** Whether the resources are free from now on for the given duration. */
   boolean fitsNow(long runMs, Resources need) {
     return freeNow.fits(need) && (!reservedLater || staysFree(0, freeNow, nowMs + runMs, need));
   }
@@ -138,7 +147,7 @@
         || changes.get(change + 1).atMs() > changes.get(change).atMs();
   }
 
-  /** What is free all through the given time from now on. */
+  /** Returns the resources that are free throughout the given duration from now on. */
   Resources minFree(long runMs) {
     Resources free = freeNow;
     Resources least = freeNow;
@@ -153,7 +162,11 @@
     return least;
   }
 
-  /** When so much gets free and stays so for the given time; {@code Long.MAX_VALUE}: never. */
+  /**
+   * Returns the earliest time from which the resources stay free for the given duration, out of the
+   * times at which resources are freed; {@code Long.MAX_VALUE} if there is none. The current time
+   * is not considered.
+   */
   long firstFitMs(long runMs, Resources need) {
     Resources free = freeNow;
     int i = 0;
@@ -173,7 +186,7 @@
     return Long.MAX_VALUE;
   }
 
-  /** From that time on so much is spoken for, for the given time. */
+  /** Reserves the resources from the given time on for the given duration, in milliseconds. */
   void reserve(long atMs, long runMs, Resources need) {
     reserved = true;
     if (atMs <= nowMs) {
@@ -185,11 +198,12 @@
     addChange(atMs + Math.max(1, runMs), need);
   }
 
+  /** Whether the cycle preempts the task with this index. */
   boolean preempted(int task) {
     return preempted != null && preempted.contains(task);
   }
 
-  /** The task makes way now, instead of at its end. */
+  /** Frees the resources of a running task now instead of at its end. */
   void preempt(int task) {
     RunningTask running = capacity.running().get(task);
     if (preempted == null) {
--- a/src/main/java/dev/windbend/plan/PendingJob.java
+++ b/src/main/java/dev/windbend/plan/PendingJob.java
@@ -3,14 +3,14 @@
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 
 /**
- * The waiting tasks of a job, which are all alike.
+ * A job with waiting tasks. All tasks of a job have the same requirements.
  *
- * @param team the team's index
- * @param rank the job's priority; 0 is the highest
- * @param requirements what a task needs
- * @param constraints where and from when tasks may be placed
- * @param progress which tasks wait, and for how long
- * @param objectives when the job should start and end
+ * @param team index of the team
+ * @param rank priority of the job; 0 is the highest
+ * @param requirements requirements of each task
+ * @param constraints where and when tasks may be placed
+ * @param progress how many tasks wait, and for how long
+ * @param objectives target times of the job
  */
 public record PendingJob(
     int team,
@@ -21,24 +21,24 @@
     Objectives objectives) {
 
   /**
-   * What a task needs.
+   * Requirements of each task of a job.
    *
-   * @param resources what it uses while it runs
-   * @param image the index of its image
-   * @param imageGb the image's size
-   * @param estimateMs how long it runs, as estimated
+   * @param resources resources that the task uses while it runs
+   * @param image index of the container image
+   * @param imageGb size of the image in GB
+   * @param estimateMs estimated run time in milliseconds
    */
   public record Requirements(Resources resources, int image, double imageGb, long estimateMs) {}
 
   /**
-   * Where and from when tasks may be placed.
+   * Where and when tasks may be placed.
    *
-   * @param types by machine type; null: any
-   * @param zone -1: any
-   * @param colocated all tasks run in the same zone
-   * @param spread no zone has more than half of the tasks, rounded up
-   * @param spot whether spot instances will do
-   * @param notBeforeMs no task is placed before that time
+   * @param types allowed machine types, by index of the type; null if all are allowed
+   * @param zone index of the required zone; -1 if any zone is allowed
+   * @param colocated whether all tasks must run in the same zone
+   * @param spread whether no zone may have more than half of the tasks, rounded up
+   * @param spot whether spot instances are allowed
+   * @param notBeforeMs earliest time at which tasks may be placed
    * @param avoidedMachines indices of machines on which tasks of the job have failed
    */
   public record Constraints(
@@ -50,27 +50,33 @@
       long notBeforeMs,
       IntOpenHashSet avoidedMachines) {
 
-    /** Whether tasks may run on machines of this type. */
+    /** Whether tasks may run on machines of the given type. */
     public boolean allowsType(int type) {
       return types == null || types[type];
     }
 
-    /** Whether tasks may run on this kind of machine, their other tasks left aside. */
-    public boolean allows(MachineAttributes kind) {
-      return allowsType(kind.type()) && (zone < 0 || zone == kind.zone()) && (spot || !kind.spot());
+    /**
+     * Whether tasks may run on machines with the given attributes. The zones of the job's other
+     * tasks are not considered.
+     */
+    public boolean allows(MachineAttributes attributes) {
+      return allowsType(attributes.type())
+          && (zone < 0 || zone == attributes.zone())
+          && (spot || !attributes.spot());
     }
   }
 
   /**
-   * Which tasks wait, and for how long.
+   * How many tasks wait, and for how long.
    *
-   * @param tasks all tasks of the job
-   * @param waiting those that wait
-   * @param placedPerZone those that are placed, by zone, if constraints go by them
-   * @param ageMs time since the job's submission
-   * @param everStarted whether a task of it was ever started
-   * @param starved no task was placed for so long that one goes first, whatever that costs
-   * @param displaced tasks lost their machine with a zone
+   * @param tasks number of all tasks of the job
+   * @param waiting number of tasks that wait
+   * @param placedPerZone number of placed tasks by zone; needed only if constraints depend on them
+   * @param ageMs time since submission, in milliseconds
+   * @param everStarted whether a task of the job was ever started
+   * @param starved whether no task was placed for so long that one task is placed first, regardless
+   *     of cost
+   * @param displaced whether tasks of the job lost their machines in a zone failure
    */
   public record Progress(
       int tasks,
@@ -82,17 +88,17 @@
       boolean displaced) {}
 
   /**
-   * When the job should start and end.
+   * Target times of a job.
    *
-   * @param dueMs the next of its deadlines that it can still meet
-   * @param unattainable it can meet none
-   * @param guaranteed it is within its team's guarantee together with the team's earlier jobs, and
-   *     is to start promptly
-   * @param startByMs until then an early start counts
+   * @param dueMs earliest deadline that the job can still meet, or the last one if it can meet none
+   * @param unattainable whether the job can meet none of its deadlines
+   * @param guaranteed whether the job and the team's earlier jobs together are within the team's
+   *     guarantee, so that the job should start promptly
+   * @param startByMs time until which an early start is of benefit
    */
   public record Objectives(long dueMs, boolean unattainable, boolean guaranteed, long startByMs) {}
 
-  /** The work that waits, in core milliseconds. */
+  /** Returns the work of the waiting tasks, in core milliseconds. */
   double waitingWork() {
     return progress.waiting * requirements.resources.cores() * requirements.estimateMs;
   }
--- a/src/main/java/dev/windbend/plan/PlacementScore.java
+++ b/src/main/java/dev/windbend/plan/PlacementScore.java
@@ -3,18 +3,21 @@
 import java.util.List;
 
 /**
- * What speaks against placing a task on a machine, in milliseconds of delay that weigh as much. The
- * machine with the lowest score packs best: expensive machines and those with much free capacity
- * are left to run empty, so that they can go.
+ * Penalty for placing a task on a machine, expressed as an equivalent delay in milliseconds. The
+ * machine with the lowest score is preferred. Expensive machines and machines with much free
+ * capacity score high, so that they become idle and can be released.
  */
 final class PlacementScore {
-  /** A machine at twice the cheapest price is taken only where it saves so much time. */
+  /**
+   * Penalty for a machine at twice the cheapest price: it is preferred only if it saves more than
+   * this time.
+   */
   private static final double PRICE_PENALTY_MS = 3_000;
 
-  /** Each core that is free on a machine speaks as much against it. */
+  /** Penalty for each core that is free on the machine. */
   private static final double FRAGMENTATION_MS_PER_CORE = 100;
 
-  /** Capacity that is to be free soon may be late by so much. */
+  /** Allowance for capacity that becomes free later than expected. */
   private static final double RELEASE_DELAY_MS = 1_000;
 
   private final double cheapestPrice;
@@ -27,13 +30,18 @@
     this.cheapestPrice = cheapest;
   }
 
-  /** A task that starts at once, which the machine hears of and has fetched the image for. */
+  /**
+   * Returns the score of a task that starts now; the delay consists of the image fetch and the time
+   * until the machine receives the command.
+   */
   double scoreImmediateStart(MachineReservations machine, long fetchMs) {
     double delayMs = fetchMs + machine.capacity().nextResponseMs();
     return score(machine, delayMs);
   }
 
-  /** A task that starts once the machine has capacity. */
+  /**
+   * Returns the score of a task that starts when the machine becomes free, after the given wait.
+   */
   double scoreDelayedStart(MachineReservations machine, long waitMs) {
     return score(machine, waitMs + RELEASE_DELAY_MS);
   }
@@ -47,8 +55,8 @@
   }
 
   private double pricePenaltyMs(MachineReservations machine) {
-    double expense =
+    double relativePremium =
         cheapestPrice > 0 ? machine.attributes().pricePerHour() / cheapestPrice - 1 : 0;
-    return PRICE_PENALTY_MS * expense;
+    return PRICE_PENALTY_MS * relativePremium;
   }
 }
--- a/src/main/java/dev/windbend/plan/Planner.java
+++ b/src/main/java/dev/windbend/plan/Planner.java
@@ -4,15 +4,17 @@
 import java.util.List;
 
 /**
- * One scheduling cycle (paper, Algorithm 1) as a pure function: idle paid capacity first; wait
- * while the slack allows; queue behind a machine that is free soon enough, which is reserved; else
- * extend a paid block or scale out, whichever costs less.
+ * Decides one scheduling cycle (paper, Algorithm 1) as a pure function. Idle capacity that is
+ * already paid for is used first. Tasks that find none wait while their slack allows it, or reserve
+ * a machine that becomes free soon enough. Otherwise a paid block is extended or a new machine is
+ * requested, whichever costs less.
  *
- * <p>The tasks of a job are alike, so a job examines each machine once and not once for each task,
- * and what one job has found exhausted is not searched again for another of its size.
+ * <p>All tasks of a job have the same requirements, so each machine is examined once per job
+ * instead of once per task. If one job has found no capacity, the search is not repeated for
+ * another job with tasks of the same size or larger.
  */
 public final class Planner {
-  /** Of a job that must begin one task in so many goes first. */
+  /** For a job that must start, one in this many of its waiting tasks is served first. */
   private static final int MUST_START_DIVISOR = 8;
 
   private final Snapshot snapshot;
@@ -31,12 +33,12 @@
     this.scaleOutPlanner = new ScaleOutPlanner(state);
   }
 
-  /** Decides what a cycle does; the same for the same snapshot. */
+  /** Decides a scheduling cycle. The same snapshot always gives the same decision. */
   public static SchedulingDecision plan(Snapshot snapshot) {
     return plan(snapshot, DecisionTrace.NONE);
   }
 
-  /** The same, and records why tasks were left waiting. */
+  /** Decides a scheduling cycle and records in the trace why tasks were left waiting. */
   public static SchedulingDecision plan(Snapshot snapshot, DecisionTrace trace) {
     return new Planner(snapshot, trace).run();
   }
@@ -100,7 +102,7 @@
     }
   }
 
-  /** Serves at most so many of a job's tasks. */
+  /** Serves at most {@code maxTasks} tasks of a job, within the team's quota. */
   private void serve(JobCursor cursor, int maxTasks) {
     int wanted = Math.min(cursor.unassignedTasks(), maxTasks);
     int withinQuota = Math.min(wanted, state.tasksWithinQuota(cursor.job()));
@@ -115,18 +117,19 @@
   }
 
   /**
-   * The body of Algorithm 1's loop over jobs.
+   * Starts a job's tasks or reserves capacity for them (the body of the loop over jobs in Algorithm
+   * 1).
    *
-   * @param keep how many tasks are left over
+   * @param tasksToLeave number of tasks to leave unassigned
    */
-  private void startOrReserve(JobCursor cursor, int keep) {
+  private void startOrReserve(JobCursor cursor, int tasksToLeave) {
     PendingJob job = cursor.job();
-    binPacking.place(cursor, keep, maxExtensionCost(job));
-    if (cursor.unassignedTasks() > keep && preemption.possibleFor(job)) {
-      advanceReservations.reserve(cursor, keep, preemptionWaitEndMs(job), false);
-      preemption.place(cursor, keep);
+    binPacking.place(cursor, tasksToLeave, maxExtensionCost(job));
+    if (cursor.unassignedTasks() > tasksToLeave && preemption.possibleFor(job)) {
+      advanceReservations.reserve(cursor, tasksToLeave, preemptionWaitEndMs(job), false);
+      preemption.place(cursor, tasksToLeave);
     }
-    if (cursor.unassignedTasks() <= keep) {
+    if (cursor.unassignedTasks() <= tasksToLeave) {
       return;
     }
     long bootMs = scaleOutPlanner.bootMs(job);
@@ -135,17 +138,21 @@
       state.trace().recordOutlook(cursor, DecisionTrace.Outlook.POSTPONED);
       return;
     }
-    advanceReservations.reserve(cursor, keep, snapshot.nowMs() + bootMs, !prompt);
-    scaleOutPlanner.request(cursor, keep);
-    if (cursor.unassignedTasks() > keep) {
+    advanceReservations.reserve(cursor, tasksToLeave, snapshot.nowMs() + bootMs, !prompt);
+    scaleOutPlanner.request(cursor, tasksToLeave);
+    if (cursor.unassignedTasks() > tasksToLeave) {
       state.trace().recordOutlook(cursor, DecisionTrace.Outlook.NOTHING_IN_TIME);
       state.addCoresAwaitingMachines(
-          (cursor.unassignedTasks() - keep) * cursor.resources().cores());
-      cursor.setUnassignedTasks(keep);
+          (cursor.unassignedTasks() - tasksToLeave) * cursor.resources().cores());
+      cursor.setUnassignedTasks(tasksToLeave);
     }
   }
 
-  /** A displaced job takes what is free now, so that no lower one does while it waits. */
+  /**
+   * Returns the maximum cost of extending a paid block. It is unlimited for a displaced job, which
+   * has to use capacity that is free now: otherwise a job of lower priority could take that
+   * capacity while the displaced job waits.
+   */
   private double maxExtensionCost(PendingJob job) {
     return DisplacedPrecedence.appliesTo(job)
         ? Double.POSITIVE_INFINITY
@@ -153,13 +160,13 @@
   }
 
   /**
-   * Until when free capacity is waited for rather than preempted. What is free after the time to
-   * start by is no help while that can still be kept.
+   * Returns the time until which the job waits for capacity to become free instead of preempting
+   * tasks. While the time to start by can still be met, the wait ends at that time at the latest.
    */
   private long preemptionWaitEndMs(PendingJob job) {
     long startByMs = job.objectives().startByMs();
-    long patienceEndsMs = snapshot.nowMs() + snapshot.limits().preemptionWaitMs();
-    return snapshot.nowMs() < startByMs ? Math.min(patienceEndsMs, startByMs) : patienceEndsMs;
+    long waitEndMs = snapshot.nowMs() + snapshot.limits().preemptionWaitMs();
+    return snapshot.nowMs() < startByMs ? Math.min(waitEndMs, startByMs) : waitEndMs;
   }
 
   private boolean slackAllowsWaiting(PendingJob job, long bootMs) {
--- a/src/main/java/dev/windbend/plan/Preemption.java
+++ b/src/main/java/dev/windbend/plan/Preemption.java
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Stops tasks of lower priority for a job, where that loses least, and not if more work would be
- * lost than gained.
+ * Preempts tasks of lower priority for a job, where the least work is lost, and only if the work
+ * gained exceeds the work lost.
  */
 final class Preemption {
   private static final int NO_RANK = -1;
@@ -32,24 +32,27 @@
     return lowest;
   }
 
-  /** Whether any task has a lower priority than the job; a higher rank is a lower priority. */
+  /**
+   * Whether any preemptible task has a lower priority than the job. A higher rank means a lower
+   * priority.
+   */
   boolean possibleFor(PendingJob job) {
     return job.rank() < lowestPreemptibleRank;
   }
 
   /**
-   * Places a job's tasks where others make way.
+   * Places a job's tasks on machines after preempting other tasks there.
    *
-   * @param keep how many tasks are left over
+   * @param tasksToLeave number of tasks to leave unassigned
    */
-  void place(JobCursor cursor, int keep) {
+  void place(JobCursor cursor, int tasksToLeave) {
     PriorityQueue<Candidate> candidates = new PriorityQueue<>(Candidate.BEST_FIRST);
     for (MachineReservations machine : state.machines()) {
-      if (cursor.unassignedTasks() > keep && state.mayStart(cursor, machine)) {
+      if (cursor.unassignedTasks() > tasksToLeave && state.mayStart(cursor, machine)) {
         addCandidate(candidates, cursor, machine);
       }
     }
-    while (cursor.unassignedTasks() > keep && !candidates.isEmpty()) {
+    while (cursor.unassignedTasks() > tasksToLeave && !candidates.isEmpty()) {
       Candidate candidate = candidates.poll();
       MachineReservations machine = candidate.machine();
       if (cursor.mayUse(machine)) {
@@ -63,7 +66,10 @@
     }
   }
 
-  /** Chooses the tasks of which the least work is lost, as few as make enough capacity. */
+  /**
+   * Adds the machine if preemption on it pays off. Tasks are chosen in ascending order of lost work
+   * until enough capacity is free.
+   */
   private void addCandidate(
       PriorityQueue<Candidate> candidates, JobCursor cursor, MachineReservations machine) {
     state.addMachinesExamined(1);
@@ -106,7 +112,10 @@
     return preemptible;
   }
 
-  /** Stops and starts travel in answers to heartbeats, so a machine that reports soon is best. */
+  /**
+   * Returns the delay until a task can start. Commands to stop and start tasks are sent in
+   * heartbeat responses, so a machine whose next heartbeat is due soon is preferred.
+   */
   private static long startDelayMs(PendingJob job, MachineReservations machine) {
     return machine.fetchMs(job.requirements()) + machine.capacity().nextResponseMs();
   }
--- a/src/main/java/dev/windbend/plan/Resources.java
+++ b/src/main/java/dev/windbend/plan/Resources.java
@@ -1,33 +1,36 @@
 package dev.windbend.plan;
 
 /**
- * What a task needs or a machine has. Sums may be negative.
+ * Amounts of resources that a task needs or a machine has. Differences may be negative.
  *
- * @param cores processor cores, in parts too
- * @param gpus GPUs, in parts too
- * @param memoryGb memory
+ * @param cores CPU cores; fractions are allowed
+ * @param gpus GPUs; fractions are allowed
+ * @param memoryGb memory in GB
  */
 public record Resources(double cores, double gpus, double memoryGb) {
-  /** Nothing of anything. */
+  /** Zero of each resource. */
   public static final Resources NONE = new Resources(0, 0, 0);
 
-  /** Amounts that differ by less are equal: sums depend on the order of their terms. */
+  /**
+   * Amounts that differ by less count as equal, because floating-point sums depend on the order of
+   * their terms.
+   */
   private static final double TOLERANCE = 1e-6;
 
-  /** More tasks than any job has. */
+  /** Result of {@link #timesFits} for a need of nothing; more tasks than any job has. */
   private static final double UNLIMITED = 1e9;
 
-  /** The sum of both. */
+  /** Returns the sum of both. */
   public Resources plus(Resources other) {
     return new Resources(cores + other.cores, gpus + other.gpus, memoryGb + other.memoryGb);
   }
 
-  /** What is left of this without the other. */
+  /** Returns this minus the other. */
   public Resources minus(Resources other) {
     return new Resources(cores - other.cores, gpus - other.gpus, memoryGb - other.memoryGb);
   }
 
-  /** The lesser amount of each. */
+  /** Returns the smaller amount of each resource. */
   public Resources min(Resources other) {
     return new Resources(
         Math.min(cores, other.cores),
@@ -35,7 +38,10 @@
         Math.min(memoryGb, other.memoryGb));
   }
 
-  /** How many times the need fits into this; what it needs none of doesn't count. */
+  /**
+   * Returns how many times the need fits into this. A resource of which nothing is needed is
+   * ignored.
+   */
   public int timesFits(Resources need) {
     double times = UNLIMITED;
     times = need.cores > 0 ? Math.min(times, (cores + TOLERANCE) / need.cores) : times;
--- a/src/main/java/dev/windbend/plan/RunTimeEstimates.java
+++ b/src/main/java/dev/windbend/plan/RunTimeEstimates.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * Recent Average (paper, section 4.1): the mean run time of the last two finished tasks of the same
- * user, else the user's own figure. A "user" is a team's kind of jobs here: a team has several.
+ * Estimates run times by the Recent Average method (paper, section 4.1): the mean run time of the
+ * last two finished tasks of the same user, or the declared run time until two tasks have finished.
+ * A "user" of the paper corresponds to one class of jobs of a team; a team has several classes.
  */
 public final class RunTimeEstimates {
   private static final double NO_RUN_TIME = -1;
@@ -19,14 +20,17 @@
     private double lastSeconds = NO_RUN_TIME;
   }
 
-  /** A task of the user has finished after running for so long. */
+  /** Records the run time of a finished task of the user, in seconds. */
   public void recordRunTime(String user, double runSeconds) {
     RunTimes times = recentByUser.computeIfAbsent(user, key -> new RunTimes());
     times.previousSeconds = times.lastSeconds;
     times.lastSeconds = runSeconds;
   }
 
-  /** How long a task runs, in seconds; the user's own figure until two tasks have finished. */
+  /**
+   * Returns the estimated run time of a task in seconds: the declared run time until two tasks of
+   * the user have finished.
+   */
   public double estimateSeconds(String user, double declaredSeconds) {
     RunTimes times = recentByUser.get(user);
     return times == null || times.previousSeconds < 0
@@ -35,8 +39,8 @@
   }
 
   /**
-   * The estimate of a task that has run for so long: it is doubled until the task hasn't outlived
-   * it (paper, section 4.2).
+   * Corrects the estimated run time of a running task: doubles the estimate until it is at least
+   * the elapsed time (paper, section 4.2).
    */
   public static double correctedSeconds(double estimateSeconds, double elapsedSeconds) {
     double corrected = Math.max(MIN_ESTIMATE_SECONDS, estimateSeconds);
--- a/src/main/java/dev/windbend/plan/RunningTask.java
+++ b/src/main/java/dev/windbend/plan/RunningTask.java
@@ -1,20 +1,21 @@
 package dev.windbend.plan;
 
 /**
- * A task on a machine.
+ * A task that runs on a machine.
  *
- * @param endMs when it should end
- * @param resources what it uses
- * @param rank its job's priority; 0 is the highest
- * @param lostMs run time that stopping it now would lose; -1: it can't be stopped, or is being so
+ * @param endMs estimated end time
+ * @param resources resources that the task uses
+ * @param rank priority of the task's job; 0 is the highest
+ * @param lostMs run time in milliseconds that would be lost by stopping the task now; -1 if it
+ *     cannot be preempted or is already being stopped
  */
 public record RunningTask(long endMs, Resources resources, int rank, long lostMs) {
-  /** Whether the task may be stopped for another. */
+  /** Whether the task may be preempted. */
   public boolean preemptible() {
     return lostMs >= 0;
   }
 
-  /** The work that stopping it now would lose, in core milliseconds. */
+  /** Returns the work that would be lost by stopping the task now, in core milliseconds. */
   public double lostWork() {
     return lostMs * resources.cores();
   }
--- a/src/main/java/dev/windbend/plan/ScaleInPlanner.java
+++ b/src/main/java/dev/windbend/plan/ScaleInPlanner.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Idle machines that no task is reserved on: at the end of their paid block they go, those beyond
- * the reserve before it.
+ * Selects idle machines without reservations for release: each at the end of its paid block, and
+ * machines beyond the reserve before that.
  */
 final class ScaleInPlanner {
   private static final Comparator<MachineReservations> MOST_EXPENSIVE_FIRST =
@@ -24,7 +24,7 @@
     }
   }
 
-  /** Indices of the idle machines, in the snapshot's order. */
+  /** Returns the indices of idle machines without reservations, in snapshot order. */
   List<Integer> idleMachines() {
     List<Integer> indices = new ArrayList<>();
     for (MachineReservations machine : idleMachines) {
@@ -33,7 +33,7 @@
     return indices;
   }
 
-  /** Indices of those to give back to the cloud. */
+  /** Returns the indices of the idle machines to release, most expensive first. */
   List<Integer> machinesToRelease() {
     List<Integer> released = new ArrayList<>();
     double coresBeyondReserve = -snapshot.reserveCores();
--- a/src/main/java/dev/windbend/plan/ScaleOutPlanner.java
+++ b/src/main/java/dev/windbend/plan/ScaleOutPlanner.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Requests machines of the cloud for tasks that nothing else is free for in time. */
+/** Requests machines from the cloud for tasks for which no other capacity becomes free in time. */
 final class ScaleOutPlanner {
   private static final int NO_OFFER = -1;
 
   private final CycleState state;
   private final List<InstanceOffer> offers;
 
-  /** By offer. */
+  /** Number of machines requested in this cycle, by index of the offer. */
   private final int[] requestedByOffer;
 
-  /** Machines before this cycle, by zone. */
+  /** Number of machines at the start of this cycle, by zone. */
   private final int[] machinesInZone;
 
   private int requestedMachines;
@@ -39,7 +39,10 @@
     return count;
   }
 
-  /** How long a machine that the job may run on takes to boot, at most. */
+  /**
+   * Returns the longest boot time among the offers whose machine type the job allows, in
+   * milliseconds.
+   */
   long bootMs(PendingJob job) {
     long bootMs = 0;
     for (InstanceOffer offer : offers) {
@@ -50,7 +53,10 @@
     return bootMs;
   }
 
-  /** What a task costs at least on a machine of its own; infinite if one would come too late. */
+  /**
+   * Returns the lowest cost of running a task on a new machine; infinite if no offered machine
+   * would be ready in time for the deadline.
+   */
   double costOfNewMachine(PendingJob job) {
     PendingJob.Requirements task = job.requirements();
     double least = Double.POSITIVE_INFINITY;
@@ -67,13 +73,14 @@
   }
 
   /**
-   * Requests machines for a job's tasks, as many as they need and the cycle may, and reserves them.
+   * Requests machines for a job's tasks, up to the limit of the cycle, and reserves capacity on
+   * them.
    *
-   * @param keep how many tasks are left over
+   * @param tasksToLeave number of tasks to leave unassigned
    */
-  void request(JobCursor cursor, int keep) {
+  void request(JobCursor cursor, int tasksToLeave) {
     int maxMachines = state.snapshot().limits().maxNewMachines();
-    while (cursor.unassignedTasks() > keep && requestedMachines < maxMachines) {
+    while (cursor.unassignedTasks() > tasksToLeave && requestedMachines < maxMachines) {
       int cheapest = cheapestOffer(cursor);
       if (cheapest == NO_OFFER) {
         return;
@@ -84,7 +91,7 @@
       MachineReservations machine = state.addRequested(offer);
       long readyMs = state.nowMs() + offer.bootMs();
       for (int places = offer.capacity().timesFits(cursor.resources());
-          places > 0 && cursor.unassignedTasks() > keep && cursor.mayUse(machine);
+          places > 0 && cursor.unassignedTasks() > tasksToLeave && cursor.mayUse(machine);
           places--) {
         state.trace().recordOutlook(cursor, DecisionTrace.Outlook.NEW_MACHINE);
         state.reserve(cursor, machine, readyMs);
@@ -94,8 +101,10 @@
   }
 
   /**
-   * The cheapest offer; of two at the same price the one in the zone that had fewer machines before
-   * this cycle, so that a cycle needs one request and not one for each zone.
+   * Returns the index of the cheapest offer; {@link #NO_OFFER} if none is suitable. At the same
+   * price, the zone that had fewer machines at the start of the cycle is preferred. Machines
+   * requested in the same cycle are not counted, so that one request is sent instead of one per
+   * zone.
    */
   private int cheapestOffer(JobCursor cursor) {
     int cheapest = NO_OFFER;
@@ -112,13 +121,13 @@
     return cheapest;
   }
 
-  private boolean isPreferred(MachineAttributes kind, MachineAttributes best) {
-    return kind.pricePerHour() < best.pricePerHour()
-        || (kind.pricePerHour() == best.pricePerHour()
-            && machinesInZone[kind.zone()] < machinesInZone[best.zone()]);
+  private boolean isPreferred(MachineAttributes attributes, MachineAttributes best) {
+    return attributes.pricePerHour() < best.pricePerHour()
+        || (attributes.pricePerHour() == best.pricePerHour()
+            && machinesInZone[attributes.zone()] < machinesInZone[best.zone()]);
   }
 
-  /** What the cycle requests, in the order of the offers. */
+  /** Returns the machines that the cycle requests, in the order of the offers. */
   List<SchedulingDecision.RequestedMachines> requests() {
     List<SchedulingDecision.RequestedMachines> requests = new ArrayList<>();
     for (int i = 0; i < requestedByOffer.length; i++) {
--- a/src/main/java/dev/windbend/plan/SchedulingDecision.java
+++ b/src/main/java/dev/windbend/plan/SchedulingDecision.java
@@ -3,16 +3,18 @@
 import java.util.List;
 
 /**
- * What a scheduling cycle wants done; all numbers are indices into its snapshot.
+ * Actions decided by a scheduling cycle. Jobs, machines and offers are given by their indices in
+ * the snapshot.
  *
- * @param preemptions tasks to stop for more urgent ones, before any placement
+ * @param preemptions tasks to preempt, before any placement
  * @param placements tasks to start
- * @param scaleOuts machines to request of the cloud
- * @param idleMachines machines that are idle and not reserved
- * @param scaleIns those of them to give back to the cloud
- * @param coresAwaitingMachines cores of tasks that wait for machines that are not up yet, or that
- *     the cloud doesn't offer
- * @param machinesExamined how often a machine was examined for a job, which is what a cycle costs
+ * @param scaleOuts machines to request from the cloud
+ * @param idleMachines indices of machines that are idle and have no reservation
+ * @param scaleIns indices of the idle machines to release
+ * @param coresAwaitingMachines cores of tasks that wait for machines that are not running yet or
+ *     that the cloud does not offer
+ * @param machinesExamined number of examinations of a machine for a job, as a measure of the cost
+ *     of the cycle
  */
 public record SchedulingDecision(
     List<PreemptedTask> preemptions,
@@ -24,26 +26,26 @@
     int machinesExamined) {
 
   /**
-   * One of a job's waiting tasks starts on a machine.
+   * A waiting task of a job, to be started on a machine.
    *
-   * @param job the job's index
-   * @param machine the machine's index
+   * @param job index of the job
+   * @param machine index of the machine
    */
   public record PlacedTask(int job, int machine) {}
 
   /**
-   * A running task makes way.
+   * A running task to stop.
    *
-   * @param machine the machine's index
-   * @param task the task's index on its machine
+   * @param machine index of the machine
+   * @param task index of the task among the machine's running tasks
    */
   public record PreemptedTask(int machine, int task) {}
 
   /**
-   * Machines to request of the cloud.
+   * Machines to request from the cloud.
    *
-   * @param offer the offer's index
-   * @param count how many
+   * @param offer index of the offer
+   * @param count number of machines
    */
   public record RequestedMachines(int offer, int count) {}
 }
--- a/src/main/java/dev/windbend/plan/Snapshot.java
+++ b/src/main/java/dev/windbend/plan/Snapshot.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * All that a scheduling cycle decides on. Names are dense indices here, and times are of the steady
- * clock.
+ * Input of a scheduling cycle. Teams, machine types, zones and images are identified by dense
+ * indices; times are milliseconds of the monotonic clock.
  *
- * @param nowMs when the cycle runs
- * @param limits what bounds its decisions
- * @param oldestFirst whether jobs that have waited for long are served before all else
- * @param reserveCores cores that idle machines keep before any goes ahead of its time
- * @param teams by their index
- * @param jobs those with waiting tasks
- * @param machines those that may get tasks, and those that are requested
- * @param offers what the cloud rents
+ * @param nowMs time of the cycle
+ * @param limits limits of the cycle's decisions
+ * @param oldestFirst whether long-waiting jobs are served before jobs of higher priority
+ * @param reserveCores idle cores to keep; idle machines beyond this reserve may be released before
+ *     the end of their paid block
+ * @param teams quotas of the teams, by index of the team
+ * @param jobs jobs with waiting tasks
+ * @param machines running machines that may be given tasks, and requested machines
+ * @param offers machines that the cloud offers
  */
 public record Snapshot(
     long nowMs,
@@ -26,21 +27,22 @@
     List<InstanceOffer> offers) {
 
   /**
-   * What bounds a cycle's decisions.
+   * Limits of a cycle's decisions.
    *
-   * @param cyclePeriodMs longest time until the next cycle
-   * @param preemptionWaitMs what is free within this time is waited for rather than preempted
-   * @param maxNewMachines how many machines the cycle may request of the cloud
+   * @param cyclePeriodMs maximum time until the next cycle, in milliseconds
+   * @param preemptionWaitMs time in milliseconds within which tasks wait for capacity to become
+   *     free instead of preempting
+   * @param maxNewMachines maximum number of machines that the cycle may request
    */
   public record Limits(long cyclePeriodMs, long preemptionWaitMs, int maxNewMachines) {}
 
   /**
-   * A team's quota and what its tasks use, those included that are not proved gone.
+   * Quota and usage of a team. The usage includes tasks that are not confirmed terminated.
    *
-   * @param maxCores cores that it may use
-   * @param maxGpus GPUs that it may use
-   * @param usedCores cores that it uses
-   * @param usedGpus GPUs that it uses
+   * @param maxCores maximum number of cores
+   * @param maxGpus maximum number of GPUs
+   * @param usedCores cores in use
+   * @param usedGpus GPUs in use
    */
   public record Team(double maxCores, double maxGpus, double usedCores, double usedGpus) {}
 }
--- a/src/main/java/dev/windbend/plan/UnavailableSizes.java
+++ b/src/main/java/dev/windbend/plan/UnavailableSizes.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * Sizes of tasks that no machine gets free for in time. What one job was searched for in vain need
- * not be searched for again by another job of at least its size.
+ * Task sizes for which no machine becomes free in time. After an unsuccessful search for one job,
+ * the search is skipped for jobs whose tasks are at least as large.
  */
 final class UnavailableSizes {
   private final List<UnavailableSize> sizes = new ArrayList<>();
 
-  /** Nothing of this size gets free before that time. */
+  /** No capacity of this size becomes free until the given time. */
   private record UnavailableSize(Resources size, long untilMs) {}
 
   void add(Resources size, long untilMs) {
@@ -18,15 +18,15 @@
   }
 
   boolean contains(Resources need, long untilMs) {
-    for (UnavailableSize exhausted : sizes) {
-      if (need.fits(exhausted.size) && untilMs <= exhausted.untilMs) {
+    for (UnavailableSize unavailable : sizes) {
+      if (need.fits(unavailable.size) && untilMs <= unavailable.untilMs) {
         return true;
       }
     }
     return false;
   }
 
-  /** There is capacity that was not there before. */
+  /** Forgets all sizes. Called when capacity has been added or freed. */
   void clear() {
     sizes.clear();
   }
--- a/src/main/java/dev/windbend/plan/ZoneCounts.java
+++ b/src/main/java/dev/windbend/plan/ZoneCounts.java
@@ -1,6 +1,9 @@
 package dev.windbend.plan;
 
-/** Tasks of a job by zone, and which zones they leave to the next one. */
+/**
+ * Number of a job's tasks in each zone, and the zones that the job's colocation and spread rules
+ * allow for the next task.
+ */
 final class ZoneCounts {
   private static final int NO_ZONE = -1;
 
@@ -9,10 +12,13 @@
   private final int maxPerZoneIfSpread;
   private final int[] perZone;
 
-  /** Where tasks that have to be in the same zone are; none as long as there is no task. */
+  /**
+   * Zone of all tasks of a colocated job; {@link #NO_ZONE} until a task is counted, and for other
+   * jobs.
+   */
   private int colocationZone;
 
-  /** Counts the tasks that were placed before the cycle. */
+  /** Starts with the tasks that were placed before the cycle. */
   ZoneCounts(PendingJob job) {
     this.colocated = job.constraints().colocated();
     this.spread = job.constraints().spread();
@@ -30,7 +36,7 @@
     return NO_ZONE;
   }
 
-  /** Whether the counted tasks bind the next one. */
+  /** Whether the counted tasks restrict the zone of the next task. */
   boolean constrainNext() {
     return spread || colocationZone != NO_ZONE;
   }
--- a/src/test/java/dev/windbend/plan/DecisionTraceTest.java
+++ b/src/test/java/dev/windbend/plan/DecisionTraceTest.java
@@ -19,9 +19,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The planner says why it left a task waiting, and decides the same whether asked or not. */
+/**
+ * The planner records why it left a task waiting, and makes the same decision with and without a
+ * trace.
+ */
 class DecisionTraceTest extends PlannerFixture {
-  private static final Set<Obstacle> NO_ROOM = EnumSet.noneOf(Obstacle.class);
+  private static final Set<Obstacle> NO_OBSTACLES = EnumSet.noneOf(Obstacle.class);
 
   private void assertLeftWaiting(int job, Set<Obstacle> obstacles, Outlook outlook) {
     DecisionTrace trace = DecisionTrace.recording();
@@ -35,20 +38,20 @@
   }
 
   @Test
-  void noRoom() {
+  void recordsOutlookWhenNoCapacityIsFree() {
     job(2, 4, 1, 10, 80);
-    assertLeftWaiting(0, NO_ROOM, POSTPONED);
+    assertLeftWaiting(0, NO_OBSTACLES, POSTPONED);
     jobs.clear();
     job(2, 4, 1, 10, 15);
-    assertLeftWaiting(0, NO_ROOM, NEW_MACHINE);
+    assertLeftWaiting(0, NO_OBSTACLES, NEW_MACHINE);
     offers.clear();
-    assertLeftWaiting(0, NO_ROOM, NOTHING_IN_TIME);
+    assertLeftWaiting(0, NO_OBSTACLES, NOTHING_IN_TIME);
     machine(0, true, 0, running(4, 5, 2, 0));
-    assertLeftWaiting(0, NO_ROOM, SOON_FREE_MACHINE);
+    assertLeftWaiting(0, NO_OBSTACLES, SOON_FREE_MACHINE);
   }
 
   @Test
-  void quota() {
+  void recordsQuotaWhenTeamQuotaIsExhausted() {
     job(2, 4, 3, 10, 60);
     maxCores = 8;
     machine(0, true, 8);
@@ -58,9 +61,12 @@
         .containsExactly(new LeftWaiting(0, EnumSet.of(QUOTA), EnumSet.noneOf(Outlook.class)));
   }
 
-  /** Half of the machine is free; all of it is reserved from the time when the rest is free. */
+  /**
+   * Half of the machine is free; the whole machine is reserved from the time when the other half
+   * becomes free.
+   */
   @Test
-  void reservedAhead() {
+  void recordsReservedAheadWhenFreeCapacityIsReservedLater() {
     offers.clear();
     job(0, 8, 1, 10, 20);
     job(1, 4, 1, 6, 6);
@@ -69,14 +75,14 @@
   }
 
   @Test
-  void extensionCost() {
+  void recordsExtensionCostWhenNewMachineIsCheaper() {
     job(2, 4, 1, 60, 95);
     machinePaidFor(10, 0, false, 8);
     assertLeftWaiting(0, EnumSet.of(EXTENSION_COST), NEW_MACHINE);
   }
 
   @Test
-  void preemptionLoss() {
+  void recordsPreemptionLossWhenMoreWorkWouldBeLost() {
     offers.clear();
     job(1, 8, 1, 10, 12);
     machine(0, true, 0, running(8, 90, 2, 11));
@@ -84,12 +90,12 @@
   }
 
   @Test
-  void machineWithImagePreferred() {
+  void recordsPreferredMachineWhenImageIsPresentThere() {
     job(
-        draft -> {
-          draft.imageGb = 9;
-          draft.estimateMs = 10_000;
-          draft.startByMs = NOW + 5_000;
+        builder -> {
+          builder.imageGb = 9;
+          builder.estimateMs = 10_000;
+          builder.startByMs = NOW + 5_000;
         });
     machine(0, true, 0, running(8, 2, 2, -1));
     DecisionTrace trace = DecisionTrace.recording();
--- a/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
+++ b/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
@@ -10,21 +10,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who gets room elsewhere of the jobs that lost machines with a zone: no priority inversion. */
+/**
+ * Displaced jobs, which lost machines in a zone failure, get capacity in other zones without
+ * priority inversion.
+ */
 class DisplacedPrecedenceTest extends PlannerFixture {
-  /** A displaced job of one size in cores; its times are in milliseconds. */
-  private void displaced(int rank, int cores, int waiting, long dueInMs, long estimateMs) {
+  /** Adds a displaced job; its times are in milliseconds. */
+  private void addDisplacedJob(int rank, int cores, int waiting, long dueInMs, long estimateMs) {
     job(
-        draft -> {
-          draft.rank = rank;
-          draft.resources = new Resources(cores, 0, 1);
-          draft.tasks = waiting;
-          draft.waiting = waiting;
-          draft.dueMs = NOW + dueInMs;
-          draft.estimateMs = estimateMs;
-          draft.ageMs = 60_000;
-          draft.everStarted = true;
-          draft.displaced = true;
+        builder -> {
+          builder.rank = rank;
+          builder.resources = new Resources(cores, 0, 1);
+          builder.tasks = waiting;
+          builder.waiting = waiting;
+          builder.dueMs = NOW + dueInMs;
+          builder.estimateMs = estimateMs;
+          builder.ageMs = 60_000;
+          builder.everStarted = true;
+          builder.displaced = true;
         });
   }
 
@@ -32,8 +35,12 @@
     return plan().placements().stream().map(SchedulingDecision.PlacedTask::job).sorted().toList();
   }
 
-  /** Shrunk cases of the property in EvacuationPlanTest: rank/cores/waiting/due/estimate. */
-  @ParameterizedTest(name = "{0} in rooms {1}: placed {2}")
+  /**
+   * Cases shrunk from failures of the property test in EvacuationPlanTest. Jobs are given as
+   * rank/cores/waiting/due/estimate. A shorter task of lower priority must not be backfilled ahead
+   * of a reservation.
+   */
+  @ParameterizedTest(name = "jobs {0}, free cores {1}: placed {2}")
   @CsvSource({
     "0/1/3/0/1000 0/2/1/2000/1000 1/1/1/0/1001 2/1/1/0/1000, 1 1 2, 0 0 0",
     "0/1/1/0/1000 0/4/1/2000/1000 1/1/1/0/1001 2/1/1/0/1000, 4, 0",
@@ -41,58 +48,63 @@
     "0/1/1/0/1000 0/1/1/1/1000 0/1/1/1/1000 0/1/1/1/1000 0/2/1/2001/1001 0/3/1/2000/1000"
         + " 0/4/1/0/1000 0/4/1/0/1000 1/2/1/0/1000, 4 6, 0 1 2 3 6",
   })
-  void noShorterLowerTaskIsBackfilledAheadOfAReservation(
-      String jobs, String rooms, String expected) {
+  void doesNotBackfillLowerPriorityTaskAheadOfReservation(
+      String jobs, String freeCores, String expected) {
     offers.clear();
     for (String job : jobs.split(" ", -1)) {
       int[] values = Stream.of(job.split("/", -1)).mapToInt(Integer::parseInt).toArray();
-      displaced(values[0], values[1], values[2], values[3], values[4]);
+      addDisplacedJob(values[0], values[1], values[2], values[3], values[4]);
     }
-    for (String room : rooms.split(" ", -1)) {
-      machine(0, true, Integer.parseInt(room));
+    for (String cores : freeCores.split(" ", -1)) {
+      machine(0, true, Integer.parseInt(cores));
     }
     assertThat(placedJobs())
         .isEqualTo(Stream.of(expected.split(" ", -1)).map(Integer::valueOf).toList());
   }
 
-  /** Half of the machine is free until the other half is and all of it is reserved. */
-  private void halfAMachineFreeAheadOfAReservation() {
+  /**
+   * Adds a machine of which half is free until the other half becomes free, when a reservation for
+   * the whole machine starts.
+   */
+  private void addHalfFreeMachineWithReservation() {
     offers.clear();
-    displaced(0, 8, 1, 20_000, 10_000);
+    addDisplacedJob(0, 8, 1, 20_000, 10_000);
     machine(0, true, 4, running(4, 5, 2, -1));
   }
 
-  @ParameterizedTest(name = "higher {0} cores, zone {1}, displaced {2}, hopeless {3}: {4} placed")
+  @ParameterizedTest(
+      name =
+          "higher-priority task: {0} cores, zone {1}, displaced {2}, unattainable {3}; {4} placed")
   @CsvSource({
     "4, -1, true, false, 0",
-    "2, -1, true, false, 0", // fits into the room of the lower
-    "5, -1, true, false, 1", // doesn't
-    "4, 1, true, false, 1", // may not run there
-    "4, -1, false, false, 1", // the definition is of displaced work
-    "4, -1, true, true, 1", // beyond its time limits
+    "2, -1, true, false, 0", // fits into the capacity for the lower-priority task
+    "5, -1, true, false, 1", // does not fit
+    "4, 1, true, false, 1", // may not run in the zone of the machine
+    "4, -1, false, false, 1", // priority inversion is defined for displaced jobs only
+    "4, -1, true, true, 1", // can meet none of its time limits
   })
-  void onlyWhatCouldTakeTheRoomHoldsALowerTaskBack(
-      int cores, int zone, boolean isDisplaced, boolean hopeless, int placed) {
-    halfAMachineFreeAheadOfAReservation();
+  void blocksLowerPriorityTaskOnlyIfHigherTaskCouldUseCapacity(
+      int cores, int zone, boolean isDisplaced, boolean unattainable, int placed) {
+    addHalfFreeMachineWithReservation();
     job(
-        draft -> {
-          draft.rank = 1;
-          draft.resources = new Resources(cores, 0, 1);
-          draft.zone = zone;
-          draft.estimateMs = 6_000;
-          draft.dueMs = NOW + 6_000;
-          draft.displaced = isDisplaced;
-          draft.unattainable = hopeless;
+        builder -> {
+          builder.rank = 1;
+          builder.resources = new Resources(cores, 0, 1);
+          builder.zone = zone;
+          builder.estimateMs = 6_000;
+          builder.dueMs = NOW + 6_000;
+          builder.displaced = isDisplaced;
+          builder.unattainable = unattainable;
         });
-    displaced(2, 4, 1, 4_000, 4_000);
+    addDisplacedJob(2, 4, 1, 4_000, 4_000);
     assertThat(placedJobs()).hasSize(placed);
   }
 
   @Test
-  void theTraceNamesIt() {
-    halfAMachineFreeAheadOfAReservation();
-    displaced(1, 4, 1, 6_000, 6_000);
-    displaced(2, 4, 1, 4_000, 4_000);
+  void recordsHigherDisplacedTaskAsObstacle() {
+    addHalfFreeMachineWithReservation();
+    addDisplacedJob(1, 4, 1, 6_000, 6_000);
+    addDisplacedJob(2, 4, 1, 4_000, 4_000);
     DecisionTrace trace = DecisionTrace.recording();
     SchedulingDecision decision = Planner.plan(snapshot(), trace);
     assertThat(trace.leftWaiting(snapshot(), decision))
@@ -103,66 +115,73 @@
             EnumSet.of(DecisionTrace.Obstacle.HIGHER_DISPLACED_TASK));
   }
 
-  /** A job over its team's limit doesn't wait for room. */
+  /** A job over its team's quota does not wait for capacity, so it blocks no other job. */
   @Test
-  void aJobOverItsTeamsLimitHoldsNothingBack() {
-    halfAMachineFreeAheadOfAReservation();
-    displaced(1, 4, 1, 6_000, 6_000);
-    displaced(2, 2, 1, 4_000, 4_000);
+  void placesLowerPriorityTaskIfHigherJobIsOverTeamQuota() {
+    addHalfFreeMachineWithReservation();
+    addDisplacedJob(1, 4, 1, 6_000, 6_000);
+    addDisplacedJob(2, 2, 1, 4_000, 4_000);
     maxCores = 10;
     assertThat(placedJobs()).containsExactly(2);
   }
 
-  /** What starves goes first, as in the design: its task is placed before any is reserved. */
+  /** One task of a starved job is placed before any reservation is made. */
   @Test
-  void aStarvedLowerTaskIsExempt() {
-    halfAMachineFreeAheadOfAReservation();
-    displaced(1, 4, 1, 6_000, 6_000);
+  void placesStarvedLowerPriorityTaskFirst() {
+    addHalfFreeMachineWithReservation();
+    addDisplacedJob(1, 4, 1, 6_000, 6_000);
     job(
-        draft -> {
-          draft.rank = 2;
-          draft.resources = new Resources(4, 0, 1);
-          draft.estimateMs = 4_000;
-          draft.displaced = true;
-          draft.starved = true;
+        builder -> {
+          builder.rank = 2;
+          builder.resources = new Resources(4, 0, 1);
+          builder.estimateMs = 4_000;
+          builder.displaced = true;
+          builder.starved = true;
         });
     assertThat(placedJobs()).containsExactly(2);
   }
 
-  /** Cost: the longer paid block of a dear machine, or a new cheap one that has to boot. */
-  @ParameterizedTest(name = "hopeless {0}: placed {1}")
+  /**
+   * The higher-priority job can extend the paid block of an expensive machine or request a cheap
+   * new machine, which has to boot. A lower-priority task must not take the machine instead.
+   */
+  @ParameterizedTest(name = "deadline unattainable {0}: placed job {1}")
   @CsvSource({"false, 0", "true, 1"})
-  void noLowerTaskTakesAMachineThatIsTooDearForAHigherOne(boolean hopeless, int placed) {
+  void placesHigherPriorityTaskDespiteExtensionCost(boolean unattainable, int placed) {
     machinePaidFor(10, 0, false, 8);
     job(
-        draft -> {
-          draft.rank = 1;
-          draft.resources = WHOLE_MACHINE;
-          draft.estimateMs = 60_000;
-          draft.dueMs = NOW + 95_000;
-          draft.displaced = true;
-          draft.unattainable = hopeless;
+        builder -> {
+          builder.rank = 1;
+          builder.resources = WHOLE_MACHINE;
+          builder.estimateMs = 60_000;
+          builder.dueMs = NOW + 95_000;
+          builder.displaced = true;
+          builder.unattainable = unattainable;
         });
-    displaced(2, 8, 1, 10_000, 10_000);
+    addDisplacedJob(2, 8, 1, 10_000, 10_000);
     assertThat(placedJobs()).containsExactly(placed);
   }
 
-  /** Image: a machine that has it and is free soon, or one that is free now and fetches it. */
+  /**
+   * One machine has the image and becomes free soon; the other is free now and has to fetch the
+   * image. A lower-priority task must not take the second machine while the higher-priority task
+   * waits for the first.
+   */
   @Test
-  void noLowerTaskTakesAMachineThatAHigherOnePassesOverForItsImage() {
+  void placesHigherPriorityTaskWithoutWaitingForImage() {
     machine(0, true, 0, running(8, 2, 2, -1));
     machine(0, true, 8);
     machines.set(1, withoutImages(machines.get(1)));
     job(
-        draft -> {
-          draft.rank = 1;
-          draft.resources = WHOLE_MACHINE;
-          draft.imageGb = 9;
-          draft.estimateMs = 10_000;
-          draft.startByMs = NOW + 5_000;
-          draft.displaced = true;
+        builder -> {
+          builder.rank = 1;
+          builder.resources = WHOLE_MACHINE;
+          builder.imageGb = 9;
+          builder.estimateMs = 10_000;
+          builder.startByMs = NOW + 5_000;
+          builder.displaced = true;
         });
-    displaced(2, 8, 1, 20_000, 10_000);
+    addDisplacedJob(2, 8, 1, 20_000, 10_000);
     assertThat(plan().placements()).containsExactly(new SchedulingDecision.PlacedTask(0, 1));
   }
 
@@ -178,14 +197,17 @@
         machine.running());
   }
 
-  /** Preemption: the higher task would lose more work than it gains, the longer lower one not. */
-  @ParameterizedTest(name = "higher {0} cores: {1} preempted")
+  /**
+   * Preemption loses more work than the higher-priority task gains, but less than the longer
+   * lower-priority task gains.
+   */
+  @ParameterizedTest(name = "higher-priority task of {0} cores: {1} preempted")
   @CsvSource({"8, 0", "4, 0"})
-  void noLowerTaskPreemptsForItselfWhereAHigherOneWaits(int cores, int preempted) {
+  void lowerPriorityTaskDoesNotPreemptWhereHigherTaskWaits(int cores, int preempted) {
     offers.clear();
     machine(0, true, 0, running(8, 90, 3, 20));
-    displaced(1, cores, 1, 10_000, 10_000);
-    displaced(2, 8, 1, 60_000, 60_000);
+    addDisplacedJob(1, cores, 1, 10_000, 10_000);
+    addDisplacedJob(2, 8, 1, 60_000, 60_000);
     SchedulingDecision decision = plan();
     assertThat(decision.preemptions()).hasSize(preempted);
     assertThat(decision.placements()).isEmpty();
--- a/src/test/java/dev/windbend/plan/PlannerFixture.java
+++ b/src/test/java/dev/windbend/plan/PlannerFixture.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A snapshot to plan on. One type of 8 cores, two zones, boots in 30 s. */
+/**
+ * Builds snapshots for planner tests: one machine type of 8 cores, two zones, a boot time of 30 s.
+ */
 abstract class PlannerFixture {
   static final long NOW = 1_000_000;
   static final Resources WHOLE_MACHINE = new Resources(8, 0, 32);
@@ -36,7 +38,7 @@
         offers);
   }
 
-  /** A job with what most cases leave alone. */
+  /** Builder of a job with default values; times are in milliseconds. */
   static final class JobBuilder {
     int rank = 2;
     Resources resources = new Resources(1, 0, 1);
@@ -79,21 +81,21 @@
     return new InstanceOffer(kind(zone, spot), WHOLE_MACHINE, 30_000);
   }
 
-  void job(Consumer<JobBuilder> what) {
-    JobBuilder d = new JobBuilder();
-    what.accept(d);
-    jobs.add(d.build());
+  void job(Consumer<JobBuilder> configuration) {
+    JobBuilder builder = new JobBuilder();
+    configuration.accept(builder);
+    jobs.add(builder.build());
   }
 
   void job(int rank, double cores, int waiting, long estimateS, long dueInS) {
     job(
-        d -> {
-          d.rank = rank;
-          d.resources = new Resources(cores, 0, 1);
-          d.tasks = waiting;
-          d.waiting = waiting;
-          d.estimateMs = estimateS * 1000;
-          d.dueMs = NOW + dueInS * 1000;
+        builder -> {
+          builder.rank = rank;
+          builder.resources = new Resources(cores, 0, 1);
+          builder.tasks = waiting;
+          builder.waiting = waiting;
+          builder.estimateMs = estimateS * 1000;
+          builder.dueMs = NOW + dueInS * 1000;
         });
   }
 
--- a/src/test/java/dev/windbend/plan/PlannerScalingTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerScalingTest.java
@@ -9,18 +9,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When the planner waits, queues, scales out and scales in. */
+/** Conditions under which the planner waits, queues, scales out and scales in. */
 class PlannerScalingTest extends PlannerFixture {
   @ParameterizedTest(name = "estimate {0} s, due in {1} s: {2} requested")
   @CsvSource({
-    // slack = due - estimate - boot of 30 s; waits while that exceeds estimate + period of 10 s
+    // slack = due - estimate - boot time of 30 s; waits while the slack exceeds estimate + cycle
+    // period of 10 s
     "20,81,0",
     "20,80,1",
     "20,40,1",
     "100,240,1",
     "100,241,0"
   })
-  void waitsWhileTheSlackAllows(long estimate, long due, int requested) {
+  void waitsWhileSlackAllows(long estimate, long due, int requested) {
     job(2, 4, 1, estimate, due);
     assertThat(
             plan().scaleOuts().stream().mapToInt(SchedulingDecision.RequestedMachines::count).sum())
@@ -29,7 +30,7 @@
 
   @ParameterizedTest(name = "free in {0} s, due in {1} s: {2} requested")
   @CsvSource({"20,30,0", "29,30,0", "40,59,1", "40,60,0"})
-  void queuesBehindAMachineFreeSoonElseScalesOut(long freeIn, long due, int requested) {
+  void queuesForMachineFreeInTimeElseScalesOut(long freeIn, long due, int requested) {
     job(2, 8, 1, 20, due);
     machine(0, true, 0, running(8, freeIn, 2, 5));
     assertThat(
@@ -38,45 +39,45 @@
   }
 
   @Test
-  void reservesASoonFreeMachineForOneTaskOnly() {
+  void reservesSoonFreeMachineForOneTaskOnly() {
     job(2, 8, 2, 20, 30);
     machine(0, true, 0, running(8, 20, 2, 5));
     assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.RequestedMachines(0, 1));
   }
 
   @Test
-  void packsNewMachinesAndTakesTheCheapest() {
+  void packsTasksOnCheapestNewMachines() {
     job(2, 4, 5, 20, 30);
     assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.RequestedMachines(0, 3));
   }
 
   @Test
-  void scalesOutByOnDemandMachinesWhereSpotInstancesAreRefused() {
+  void requestsOnDemandMachineIfNoSpotInstanceIsOffered() {
     offers.remove(0);
     job(2, 4, 1, 20, 30);
     assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.RequestedMachines(0, 1));
   }
 
   @Test
-  void aJobThatHasToBeginDoesNotWaitForSlack() {
+  void scalesOutForJobThatMustStartDespiteSlack() {
     job(
-        d -> {
-          d.resources = new Resources(8, 0, 1);
-          d.dueMs = NOW + 900_000;
-          d.ageMs = 120_000;
+        builder -> {
+          builder.resources = new Resources(8, 0, 1);
+          builder.dueMs = NOW + 900_000;
+          builder.ageMs = 120_000;
         });
     assertThat(plan().scaleOuts()).hasSize(1);
   }
 
   @ParameterizedTest(name = "guaranteed {0}, due in {1} s: {2} requested")
   @CsvSource({"false,900,0", "true,900,1", "false,70,0", "true,70,1"})
-  void whatIsGuaranteedNeitherWaitsNorQueuesForLong(boolean is, long due, int requested) {
+  void scalesOutForGuaranteedJobInsteadOfWaiting(boolean guaranteed, long due, int requested) {
     job(
-        d -> {
-          d.resources = new Resources(8, 0, 1);
-          d.estimateMs = 10_000;
-          d.dueMs = NOW + due * 1000;
-          d.guaranteed = is;
+        builder -> {
+          builder.resources = new Resources(8, 0, 1);
+          builder.estimateMs = 10_000;
+          builder.dueMs = NOW + due * 1000;
+          builder.guaranteed = guaranteed;
         });
     machine(0, true, 0, running(8, 40, 2, 5));
     assertThat(
@@ -85,7 +86,7 @@
   }
 
   @Test
-  void scalesOutInTheZoneWithFewerMachines() {
+  void requestsMachinesInZoneWithFewerMachines() {
     offers.add(offer(1, true));
     job(2, 8, 4, 20, 30);
     machine(0, true, 0, running(8, 900, 2, 5));
@@ -93,7 +94,7 @@
   }
 
   @Test
-  void givesBackWhatIsIdleAtTheEndOfItsBlock() {
+  void releasesIdleMachineAtEndOfPaidBlock() {
     machine(0, true, 8);
     machines.add(
         new MachineCapacity(
@@ -105,19 +106,19 @@
             new MachineCapacity.Lifetime(true, NOW - 1, NOW),
             new IntOpenHashSet(),
             List.of()));
-    SchedulingDecision w = plan();
-    assertThat(w.scaleIns()).containsExactly(1);
-    assertThat(w.idleMachines()).containsExactly(0, 1);
+    SchedulingDecision decision = plan();
+    assertThat(decision.scaleIns()).containsExactly(1);
+    assertThat(decision.idleMachines()).containsExactly(0, 1);
   }
 
-  @ParameterizedTest(name = "a reserve of {0} cores")
+  @ParameterizedTest(name = "reserve of {0} cores: machines {1} released")
   @CsvSource({"24,''", "23,''", "16,1", "9,1", "8,1 0", "0,1 0 2"})
-  void givesBackIdleMachinesBeyondTheReserveMostExpensiveFirst(double keep, String back) {
-    reserveCores = keep;
+  void releasesMostExpensiveIdleMachinesBeyondReserveFirst(double reservedCores, String released) {
+    reserveCores = reservedCores;
     machine(0, true, 8);
     machine(0, false, 8);
     machine(0, true, 8);
     assertThat(plan().scaleIns().stream().map(String::valueOf).collect(Collectors.joining(" ")))
-        .isEqualTo(back);
+        .isEqualTo(released);
   }
 }
--- a/src/test/java/dev/windbend/plan/PlannerTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerTest.java
@@ -6,19 +6,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** In which order jobs are served, where their tasks go, and what makes way for them. */
+/** Order in which jobs are served, placement of their tasks, and preemption for them. */
 class PlannerTest extends PlannerFixture {
   @Test
-  void takesIdleCapacityFirstAndScalesOutByNothing() {
+  void usesIdleCapacityWithoutScalingOut() {
     job(2, 4, 2, 30, 40);
     machine(0, true, 8);
-    SchedulingDecision w = plan();
-    assertThat(w.placements()).hasSize(2);
-    assertThat(w.scaleOuts()).isEmpty();
+    SchedulingDecision decision = plan();
+    assertThat(decision.placements()).hasSize(2);
+    assertThat(decision.scaleOuts()).isEmpty();
   }
 
   @Test
-  void prefersTheTighterFit() {
+  void prefersTighterFit() {
     job(2, 2, 1, 30, 40);
     machine(0, true, 8);
     machine(0, true, 2, running(6, 10, 2, 5));
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void keepsTheTeamsQuotaWithWhatIsNotProvedGone() {
+  void countsUsedCoresTowardsTeamQuota() {
     maxCores = 10;
     usedCores = 4;
     job(2, 4, 3, 20, 30);
@@ -35,25 +35,25 @@
   }
 
   @Test
-  void preemptsLowerWorkOnlyIfItLosesLessThanItGains() {
+  void preemptsLowerPriorityTaskThatLosesLeastWork() {
     job(1, 4, 1, 20, 60);
     machine(0, true, 0, running(4, 90, 2, 30), running(4, 90, 2, 5));
-    SchedulingDecision w = plan();
-    assertThat(w.preemptions()).containsExactly(new SchedulingDecision.PreemptedTask(0, 1));
-    assertThat(w.placements()).containsExactly(new SchedulingDecision.PlacedTask(0, 0));
+    SchedulingDecision decision = plan();
+    assertThat(decision.preemptions()).containsExactly(new SchedulingDecision.PreemptedTask(0, 1));
+    assertThat(decision.placements()).containsExactly(new SchedulingDecision.PlacedTask(0, 0));
   }
 
-  @ParameterizedTest(name = "rank {0}, loses {1} s, free in {2} s")
+  @ParameterizedTest(name = "rank {0}, {1} s of run time lost, free in {2} s")
   @CsvSource({"2,5,90", "1,30,90", "1,5,2"})
-  void preemptsNothingOtherwise(int rank, long lost, long freeIn) {
+  void preemptsNothingForSamePriorityHighLossOrSoonFreeCapacity(int rank, long lost, long freeIn) {
     job(rank, 8, 1, 20, 60);
     machine(0, true, 0, running(8, freeIn, 2, lost));
     assertThat(plan().preemptions()).isEmpty();
   }
 
-  /** What it would lose there is the same; only one reports at once. */
+  /** Both machines would lose the same work; the next heartbeat of the second is due sooner. */
   @Test
-  void preemptsLowerWorkWhereItIsHeardSoonest() {
+  void preemptsOnMachineWithEarliestResponse() {
     job(1, 8, 1, 20, 60);
     nextResponseMs = 4_000;
     machine(0, true, 0, running(8, 90, 2, 5));
@@ -64,29 +64,29 @@
 
   @ParameterizedTest(name = "free in {0} s, to start within {1} s: {2} preempted")
   @CsvSource({"2,3,0", "2,1,1", "2,-5,0", "5,-5,1"})
-  void waitsForCapacityOnlyWhileTheTimeToStartByIsKept(long freeInS, long startInS, int preempted) {
+  void waitsForCapacityOnlyIfStartTimeIsMet(long freeInS, long startInS, int preempted) {
     job(
-        d -> {
-          d.rank = 1;
-          d.resources = WHOLE_MACHINE;
-          d.estimateMs = 20_000;
-          d.dueMs = NOW + 60_000;
-          d.startByMs = NOW + 1_000 * startInS;
+        builder -> {
+          builder.rank = 1;
+          builder.resources = WHOLE_MACHINE;
+          builder.estimateMs = 20_000;
+          builder.dueMs = NOW + 60_000;
+          builder.startByMs = NOW + 1_000 * startInS;
         });
     machine(0, true, 0, running(8, freeInS, 2, 5));
     assertThat(plan().preemptions()).hasSize(preempted);
   }
 
   @Test
-  void placesOnlyWhereTheJobAllows() {
-    job(d -> d.zone = 1);
-    job(d -> d.spot = false);
-    job(d -> d.types = new boolean[] {false});
+  void placesOnlyOnMachinesThatConstraintsAllow() {
+    job(builder -> builder.zone = 1);
+    job(builder -> builder.spot = false);
+    job(builder -> builder.types = new boolean[] {false});
     job(
-        d -> {
-          d.colocated = true;
-          d.tasks = 2;
-          d.placedPerZone = new int[] {0, 1};
+        builder -> {
+          builder.colocated = true;
+          builder.tasks = 2;
+          builder.placedPerZone = new int[] {0, 1};
         });
     machine(0, true, 8);
     machine(1, true, 8);
@@ -99,36 +99,37 @@
   }
 
   @Test
-  void spreadsAtMostHalfRoundedUpOverOneZone() {
+  void placesAtMostHalfOfSpreadTasksInOneZone() {
     job(
-        d -> {
-          d.spread = true;
-          d.tasks = 5;
-          d.waiting = 5;
+        builder -> {
+          builder.spread = true;
+          builder.tasks = 5;
+          builder.waiting = 5;
         });
     machine(0, true, 8);
     offers.clear();
     assertThat(plan().placements()).hasSize(3);
   }
 
-  private void jobOfAge(int rank, long ageS, boolean begun, int tasks) {
+  private void addJobOfAge(int rank, long ageS, boolean everStarted, int tasks) {
     job(
-        d -> {
-          d.rank = rank;
-          d.resources = new Resources(8, 0, 1);
-          d.tasks = tasks;
-          d.waiting = tasks;
-          d.estimateMs = 60_000;
-          d.dueMs = NOW - 1;
-          d.unattainable = true;
-          d.ageMs = ageS * 1000;
-          d.everStarted = begun;
+        builder -> {
+          builder.rank = rank;
+          builder.resources = new Resources(8, 0, 1);
+          builder.tasks = tasks;
+          builder.waiting = tasks;
+          builder.estimateMs = 60_000;
+          builder.dueMs = NOW - 1;
+          builder.unattainable = true;
+          builder.ageMs = ageS * 1000;
+          builder.everStarted = everStarted;
         });
   }
 
-  @ParameterizedTest(name = "age {0} s, begun {1}, the long overdue first {2}: task of {3}")
+  @ParameterizedTest(name = "age {0} s, ever started {1}, oldest first {2}: places task of job {3}")
   @CsvSource({
-    // Least work first: the small urgent one, unless the large one has to begin or is long overdue.
+    // The small job of higher priority is first, unless the large job must start or is
+    // long-waiting.
     "119,false,false,1",
     "120,false,false,0",
     "230,true,false,1",
@@ -136,19 +137,20 @@
     "240,true,true,0",
     "300,true,false,1",
   })
-  void noJobWaitsForEver(long age, boolean begun, boolean first, int served) {
-    jobOfAge(2, age, begun, 16);
-    jobOfAge(1, 5, false, 1);
+  void servesJobThatMustStartOrIsLongWaitingFirst(
+      long age, boolean everStarted, boolean serveOldestFirst, int served) {
+    addJobOfAge(2, age, everStarted, 16);
+    addJobOfAge(1, 5, false, 1);
     offers.clear();
-    oldestFirst = first;
+    oldestFirst = serveOldestFirst;
     machine(0, true, 8);
     assertThat(plan().placements()).containsExactly(new SchedulingDecision.PlacedTask(served, 0));
   }
 
   @Test
-  void aJobThatHasToBeginTakesAnEighthAtFirst() {
-    jobOfAge(2, 200, false, 16);
-    jobOfAge(1, 5, false, 1);
+  void placesOneEighthOfJobThatMustStartFirst() {
+    addJobOfAge(2, 200, false, 16);
+    addJobOfAge(1, 5, false, 1);
     offers.clear();
     for (int i = 0; i < 4; i++) {
       machine(0, true, 8);
@@ -157,16 +159,16 @@
         .containsExactly(0, 0, 1, 0);
   }
 
-  @ParameterizedTest(name = "image at hand in {0} s, an early start counts {1}: placed {2}")
+  @ParameterizedTest(name = "machine with image free in {0} s, early start counts {1}: placed {2}")
   @CsvSource({"2,true,0", "2,false,1", "9,true,1"})
-  void whereAnEarlyStartCountsAMachineWithTheImageIsReserved(
-      long freeIn, boolean counts, int placed) {
+  void reservesMachineWithImageIfEarlyStartCounts(
+      long freeIn, boolean earlyStartCounts, int placed) {
     job(
-        d -> {
-          d.resources = new Resources(8, 0, 1);
-          d.imageGb = 8;
-          d.estimateMs = 10_000;
-          d.startByMs = counts ? NOW + 5_000 : 0;
+        builder -> {
+          builder.resources = new Resources(8, 0, 1);
+          builder.imageGb = 8;
+          builder.estimateMs = 10_000;
+          builder.startByMs = earlyStartCounts ? NOW + 5_000 : 0;
         });
     machine(0, true, 0, running(8, freeIn, 2, 5));
     machine(0, true, 8);
@@ -175,7 +177,7 @@
   }
 
   @Test
-  void takesExpensiveCapacityLast() {
+  void usesExpensiveMachineLast() {
     job(2, 4, 1, 30, 40);
     machine(0, false, 8);
     machine(0, true, 8);
@@ -183,16 +185,16 @@
   }
 
   @Test
-  void takesMachinesThatHearItAtOnceFirst() {
+  void prefersMachineWithEarliestResponse() {
     job(2, 4, 1, 30, 40);
     machine(0, true, 8);
     MachineCapacity machine = machines.remove(0);
-    for (long hears : new long[] {5_000, 0}) {
+    for (long responseMs : new long[] {5_000, 0}) {
       machines.add(
           new MachineCapacity(
               machine.attributes(),
               machine.up(),
-              hears,
+              responseMs,
               machine.readyMs(),
               machine.free(),
               machine.lifetime(),
@@ -202,9 +204,12 @@
     assertThat(plan().placements()).containsExactly(new SchedulingDecision.PlacedTask(0, 1));
   }
 
-  /** What a cycle costs goes by machines and jobs, not by tasks. */
+  /**
+   * The cost of a cycle depends on the number of machines and jobs, and is independent of the
+   * number of tasks.
+   */
   @Test
-  void examinesAMachineOnceForAJobAndNotOnceForATask() {
+  void examinesMachineOncePerJobInsteadOfOncePerTask() {
     int machines = 400;
     int jobs = 50;
     int tasks = 1_000;
@@ -215,31 +220,37 @@
     for (int j = 0; j < jobs; j++) {
       job(2, 4, tasks, 30, 20);
     }
-    SchedulingDecision w = plan();
-    assertThat(w.placements()).isEmpty();
-    assertThat(w.machinesExamined()).isLessThan(3 * machines * jobs).isLessThan(tasks * jobs * 2);
+    SchedulingDecision decision = plan();
+    assertThat(decision.placements()).isEmpty();
+    assertThat(decision.machinesExamined())
+        .isLessThan(3 * machines * jobs)
+        .isLessThan(tasks * jobs * 2);
   }
 
-  /** Neither the price of going on beyond a paid block nor more urgent work keeps it waiting. */
+  /**
+   * One task of a starved job is placed despite the cost of extending the paid block and despite a
+   * job of higher priority.
+   */
   @ParameterizedTest(name = "starved {0}: {1} of its 3 tasks placed")
   @CsvSource({"false,0", "true,1"})
-  void oneTaskOfAStarvedJobGoesFirst(boolean starved, long placed) {
+  void placesOneTaskOfStarvedJobFirst(boolean starved, long placed) {
     machine(0, false, 8);
     job(
-        d -> {
-          d.rank = 3;
-          d.resources = new Resources(8, 0, 1);
-          d.tasks = 3;
-          d.waiting = 3;
-          d.estimateMs = 5_000_000;
-          d.dueMs = NOW + 6_000_000;
-          d.starved = starved;
+        builder -> {
+          builder.rank = 3;
+          builder.resources = new Resources(8, 0, 1);
+          builder.tasks = 3;
+          builder.waiting = 3;
+          builder.estimateMs = 5_000_000;
+          builder.dueMs = NOW + 6_000_000;
+          builder.starved = starved;
         });
     job(0, 8, 1, 10, 60);
-    assertThat(plan().placements().stream().filter(p -> p.job() == 0).count()).isEqualTo(placed);
+    assertThat(plan().placements().stream().filter(placement -> placement.job() == 0).count())
+        .isEqualTo(placed);
   }
 
-  /** Jobs in the order in which they get the one core that is left, least work and age alike. */
+  /** Two jobs of the same age and waiting work compete for the only free core. */
   @ParameterizedTest(name = "displaced {0} and {1}, due in {2} and {3} s: job {4} is first")
   @CsvSource({
     "false, true, 30, 90, 1",
@@ -248,18 +259,18 @@
     "true, true, 30, 90, 0",
     "false, false, 90, 30, 0"
   })
-  void displacedWorkGoesFirstWithinItsRankAndByDueTime(
+  void placesDisplacedJobFirstWithinRankAndByDueTime(
       boolean first, boolean second, long firstDueS, long secondDueS, int placed) {
     machine(0, true, 1);
     job(
-        d -> {
-          d.displaced = first;
-          d.dueMs = NOW + 1_000 * firstDueS;
+        builder -> {
+          builder.displaced = first;
+          builder.dueMs = NOW + 1_000 * firstDueS;
         });
     job(
-        d -> {
-          d.displaced = second;
-          d.dueMs = NOW + 1_000 * secondDueS;
+        builder -> {
+          builder.displaced = second;
+          builder.dueMs = NOW + 1_000 * secondDueS;
         });
     assertThat(plan().placements())
         .extracting(SchedulingDecision.PlacedTask::job)
--- a/src/test/java/dev/windbend/plan/PriorityPropertiesTest.java
+++ b/src/test/java/dev/windbend/plan/PriorityPropertiesTest.java
@@ -9,15 +9,18 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Priority over any mix of sizes, zones, kinds of machines, images, constraints and offers. */
+/**
+ * Priority properties for random mixes of sizes, zones, machine types, images, constraints and
+ * offers.
+ */
 class PriorityPropertiesTest {
   private static final long NOW = 1_000_000;
   private static final int RANKS = 4;
   private static final int MAX_JOBS = 12;
   private static final int MAX_MACHINES = 8;
-  private static final long PLENTY = 100_000;
+  private static final long AMPLE_QUOTA = 100_000;
 
-  /** Draws a snapshot; small numbers, so that sizes and times meet often. */
+  /** Generates a random snapshot. The numbers are small, so that sizes and times often coincide. */
   private static final class SnapshotGenerator {
     private final Random random;
     private final boolean displaced;
@@ -45,14 +48,14 @@
           new Snapshot.Limits(10_000, 3_000, random.nextInt(3)),
           false,
           0,
-          List.of(new Snapshot.Team(PLENTY, PLENTY, 0, 0)),
+          List.of(new Snapshot.Team(AMPLE_QUOTA, AMPLE_QUOTA, 0, 0)),
           jobs,
           machines,
           offers);
     }
 
-    private boolean oneIn(int n) {
-      return random.nextInt(n) == 0;
+    private boolean oneIn(int count) {
+      return random.nextInt(count) == 0;
     }
 
     private PendingJob job() {
@@ -116,9 +119,12 @@
     }
   }
 
-  /** Guards against priority inversion as docs/zones.md defines it, whatever its cause. */
+  /**
+   * Guards against priority inversion as defined in docs/zones.md: a displaced task is placed in
+   * capacity into which a waiting displaced task of higher priority fits.
+   */
   @Property(tries = 2_000)
-  void noDisplacedTaskIsPlacedInRoomThatAWaitingHigherOneFitsInto(@ForAll long seed) {
+  void doesNotPlaceDisplacedTaskWhereWaitingHigherTaskFits(@ForAll long seed) {
     Snapshot snapshot = new SnapshotGenerator(seed, true).snapshot();
     SchedulingDecision decision = Planner.plan(snapshot);
     List<JobCursor> cursors = cursorsAfter(snapshot, decision);
@@ -153,26 +159,30 @@
     return cursors;
   }
 
-  /** Guards against lower work in the way: what a job gets is the same without it. */
+  /**
+   * Guards against jobs of lower priority that affect others: a job gets the same placements with
+   * and without them.
+   */
   @Property(tries = 2_000)
-  void lowerWorkChangesNothingForHigherWork(@ForAll long seed, @ForAll boolean displaced) {
+  void lowerPriorityJobsDoNotChangeHigherPriorityPlacements(
+      @ForAll long seed, @ForAll boolean displaced) {
     Snapshot snapshot = new SnapshotGenerator(seed, displaced).snapshot();
     List<SchedulingDecision.PlacedTask> all = Planner.plan(snapshot).placements();
     for (int lowest = 0; lowest < RANKS - 1; lowest++) {
       int rank = lowest;
       List<SchedulingDecision.PlacedTask> alone =
-          Planner.plan(without(snapshot, rank)).placements();
+          Planner.plan(withoutJobsBelow(snapshot, rank)).placements();
       assertThat(all)
           .filteredOn(placed -> snapshot.jobs().get(placed.job()).rank() <= rank)
           .containsExactlyElementsOf(alone);
     }
   }
 
-  /** The same snapshot, its jobs of a rank beyond this without a waiting task. */
-  private static Snapshot without(Snapshot snapshot, int lowestRank) {
+  /** Returns the snapshot with no waiting tasks in jobs of lower priority than the given rank. */
+  private static Snapshot withoutJobsBelow(Snapshot snapshot, int lowestRank) {
     List<PendingJob> jobs = new ArrayList<>();
     for (PendingJob job : snapshot.jobs()) {
-      jobs.add(job.rank() <= lowestRank ? job : withoutWaiting(job));
+      jobs.add(job.rank() <= lowestRank ? job : withoutWaitingTasks(job));
     }
     return new Snapshot(
         snapshot.nowMs(),
@@ -185,7 +195,7 @@
         snapshot.offers());
   }
 
-  private static PendingJob withoutWaiting(PendingJob job) {
+  private static PendingJob withoutWaitingTasks(PendingJob job) {
     PendingJob.Progress progress = job.progress();
     return new PendingJob(
         job.team(),
--- a/src/test/java/dev/windbend/plan/RunTimeEstimatesTest.java
+++ b/src/test/java/dev/windbend/plan/RunTimeEstimatesTest.java
@@ -8,7 +8,7 @@
 
 class RunTimeEstimatesTest {
   @Test
-  void usesTheMeanOfTheLastTwoOfTheSameUserAndElseTheOwnFigure() {
+  void returnsMeanOfLastTwoRunTimesElseDeclaredRunTime() {
     RunTimeEstimates estimates = new RunTimeEstimates();
     assertThat(estimates.estimateSeconds("a", 50)).isEqualTo(50);
     estimates.recordRunTime("a", 10);
@@ -22,7 +22,7 @@
 
   @ParameterizedTest
   @CsvSource({"10,5,10", "10,10,10", "10,11,20", "10,35,40", "10,41,80", "0,3,4"})
-  void doublesAnEstimateThatATaskOutlives(double estimate, double elapsed, double corrected) {
+  void doublesEstimateUntilItCoversElapsedTime(double estimate, double elapsed, double corrected) {
     assertThat(RunTimeEstimates.correctedSeconds(estimate, elapsed)).isEqualTo(corrected);
   }
 }
--- a/src/test/java/dev/windbend/plan/StarvationTest.java
+++ b/src/test/java/dev/windbend/plan/StarvationTest.java
@@ -10,28 +10,29 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * One job among a stream of others that never ends, over many cycles in virtual time: it begins
- * within the time that operators allow, however short the others' tasks are.
+ * Guards against starvation of a job that competes with an endless stream of other tasks. Many
+ * cycles are simulated in virtual time; the job must start within the time limit even if the tasks
+ * of the stream are short.
  */
 class StarvationTest {
   private static final long START_MS = 1_000_000;
   private static final long CYCLE_MS = 1_000;
   private static final long SIMULATED_MS = 600_000;
 
-  /** The largest jobs have to begin by then. */
+  /** Time limit for the start of the largest jobs. */
   private static final long MAX_START_DELAY_MS = 240_000;
 
-  /** As StarvedJobs has it. */
+  /** Same value as in StarvedJobs. */
   private static final long STARVED_AFTER_MS = 45_000;
 
   private static final int OLDEST_FIRST_EVERY = 4;
   private static final int CORES = 8;
   private static final int IMAGE = 7;
 
-  /** A stream that always has more tasks than room. */
+  /** A stream of tasks that always exceeds the free capacity. */
   private record TaskStream(int cores, int rank, long estimateMs) {}
 
-  /** A task of the stream that runs. */
+  /** A running task of a stream. */
   private record RunningStreamTask(long endMs, TaskStream stream, long startedMs) {}
 
   private final List<List<RunningStreamTask>> machines = new ArrayList<>();
@@ -40,7 +41,8 @@
   private boolean cloudRefusesRequests;
 
   @ParameterizedTest(
-      name = "{0} machines: {1} cores, rank {2}, {3} s beside {4} of rank {5}, {6} s")
+      name =
+          "{0} machines: job of {1} cores, rank {2}, {3} s; stream of {4} cores, rank {5}, {6} s")
   @CsvSource({
     "1, 4, 1, 100, 4, 2, 4",
     "1, 8, 1, 100, 4, 2, 20",
@@ -49,29 +51,32 @@
     "4, 8, 2, 30, 2, 2, 60",
     "20, 8, 2, 30, 2, 2, 60",
   })
-  void noJobIsPassedOverForEver(
+  void startsJobWithinTimeLimit(
       int machineCount,
       int cores,
       int rank,
       long estimateS,
-      int other,
-      int otherRank,
-      long otherS) {
-    streams.add(new TaskStream(other, otherRank, 1_000 * otherS));
+      int streamCores,
+      int streamRank,
+      long streamEstimateS) {
+    streams.add(new TaskStream(streamCores, streamRank, 1_000 * streamEstimateS));
     for (long seed = 1; seed <= 5; seed++) {
       for (boolean cloudRefuses : new boolean[] {false, true}) {
         cloudRefusesRequests = cloudRefuses;
         assertThat(firstStartMs(machineCount, new TaskStream(cores, rank, 1_000 * estimateS), seed))
-            .as("seed %d, the cloud refuses: %b", seed, cloudRefuses)
+            .as("seed %d, cloud refuses requests: %b", seed, cloudRefuses)
             .isLessThanOrEqualTo(MAX_START_DELAY_MS);
       }
     }
   }
 
-  /** A stream of whole machines has precedence; in what it leaves free a short one is quicker. */
+  /**
+   * A stream of high-priority tasks that use whole machines has precedence. Short tasks of lower
+   * priority fit into the capacity that it leaves free, but must not starve the long task.
+   */
   @ParameterizedTest(name = "{0} machines")
   @CsvSource({"1", "4", "20"})
-  void shortLowerTasksDoNotPassALongOneByForEver(int machineCount) {
+  void startsLongTaskDespiteShortLowerPriorityTasks(int machineCount) {
     streams.add(new TaskStream(4, 2, 4_000));
     streams.add(new TaskStream(CORES, 0, 10_000));
     for (long seed = 1; seed <= 5; seed++) {
@@ -100,7 +105,7 @@
     return SIMULATED_MS;
   }
 
-  /** Whether the job has begun. */
+  /** Applies the decision to the simulated machines; returns whether the job has started. */
   private boolean applyDecision(SchedulingDecision decision, long nowMs) {
     List<List<RunningStreamTask>> stopped = new ArrayList<>();
     machines.forEach(tasks -> stopped.add(new ArrayList<>()));
@@ -151,18 +156,18 @@
   }
 
   private static PendingJob pending(
-      TaskStream stream, int waiting, long submittedMs, long ageMs, boolean begun) {
+      TaskStream stream, int waiting, long submittedMs, long ageMs, boolean everStarted) {
     Resources size = new Resources(stream.cores(), 0, 1);
     long dueMs = submittedMs + 2 * stream.estimateMs();
-    boolean hopeless = submittedMs + ageMs + stream.estimateMs() > dueMs;
+    boolean unattainable = submittedMs + ageMs + stream.estimateMs() > dueMs;
     return new PendingJob(
         0,
         stream.rank(),
         new PendingJob.Requirements(size, IMAGE, 0, stream.estimateMs()),
         new PendingJob.Constraints(null, -1, false, false, true, 0, new IntOpenHashSet()),
         new PendingJob.Progress(
-            waiting, waiting, new int[2], ageMs, begun, ageMs >= STARVED_AFTER_MS, false),
-        new PendingJob.Objectives(dueMs, hopeless, false, 0));
+            waiting, waiting, new int[2], ageMs, everStarted, ageMs >= STARVED_AFTER_MS, false),
+        new PendingJob.Objectives(dueMs, unattainable, false, 0));
   }
 
   private static MachineCapacity capacity(List<RunningStreamTask> tasks, long nowMs) {
