--- a/src/main/java/dev/windbend/plan/InstanceOffer.java
+++ b/src/main/java/dev/windbend/plan/InstanceOffer.java
@@ -12,7 +12,7 @@
 public record InstanceOffer(
     MachineAttributes attributes, Resources capacity, long bootMs, boolean available) {
 
-  /** Creates an offer of which machines may be requested now. */
+  /** Creates an offer whose machines may be requested now. */
   public InstanceOffer(MachineAttributes attributes, Resources capacity, long bootMs) {
     this(attributes, capacity, bootMs, true);
   }
--- a/src/main/java/dev/windbend/plan/Planner.java
+++ b/src/main/java/dev/windbend/plan/Planner.java
@@ -14,7 +14,10 @@
  * another job with tasks of the same size or larger.
  */
 public final class Planner {
-  /** For a job that must start, one in this many of its waiting tasks is served first. */
+  /**
+   * Divisor for the number of waiting tasks of a job that must start: one eighth of them, rounded
+   * up, is served first.
+   */
   private static final int MUST_START_DIVISOR = 8;
 
   private final Snapshot snapshot;
@@ -161,7 +164,8 @@
 
   /**
    * Returns the time until which the job waits for capacity to become free instead of preempting
-   * tasks. While the time to start by can still be met, the wait ends at that time at the latest.
+   * tasks. While the time to start by can still be met, the wait ends at that time at the latest,
+   * because capacity that becomes free later would miss it.
    */
   private long preemptionWaitEndMs(PendingJob job) {
     long startByMs = job.objectives().startByMs();
--- a/src/main/java/dev/windbend/plan/Preemption.java
+++ b/src/main/java/dev/windbend/plan/Preemption.java
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Adds the machine if preemption on it pays off. Tasks are chosen in ascending order of lost work
-   * until enough capacity is free.
+   * Adds the machine if preempting tasks on it gains more work than it loses. Tasks are chosen in
+   * ascending order of lost work until enough capacity is free.
    */
   private void addCandidate(
       PriorityQueue<Candidate> candidates, JobCursor cursor, MachineReservations machine) {
--- a/src/main/java/dev/windbend/plan/RunTimeEstimates.java
+++ b/src/main/java/dev/windbend/plan/RunTimeEstimates.java
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Returns the estimated run time of a task in seconds: the declared run time until two tasks of
-   * the user have finished.
+   * Returns the estimated run time of a task in seconds: the mean of the last two run times of the
+   * user, or the declared run time until two tasks have finished.
    */
   public double estimateSeconds(String user, double declaredSeconds) {
     RunTimes times = recentByUser.get(user);
--- a/src/main/java/dev/windbend/plan/ScaleOutPlanner.java
+++ b/src/main/java/dev/windbend/plan/ScaleOutPlanner.java
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Returns the lowest cost of running a task on a new machine; infinite if no offered machine
-   * would be ready in time for the deadline.
+   * Returns the lowest cost of running a task on a new machine; infinite if no suitable machine is
+   * offered or the task would end after its deadline.
    */
   double costOfNewMachine(PendingJob job) {
     PendingJob.Requirements task = job.requirements();
--- a/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
+++ b/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
@@ -164,8 +164,8 @@
 
   /**
    * One machine has the image and becomes free soon; the other is free now and has to fetch the
-   * image. A lower-priority task must not take the second machine while the higher-priority task
-   * waits for the first.
+   * image. If the higher-priority task waited for the first machine, a lower-priority task could
+   * take the second.
    */
   @Test
   void placesHigherPriorityTaskWithoutWaitingForImage() {
--- a/src/test/java/dev/windbend/plan/PlannerFixture.java
+++ b/src/test/java/dev/windbend/plan/PlannerFixture.java
@@ -73,12 +73,12 @@
     }
   }
 
-  static MachineAttributes kind(int zone, boolean spot) {
+  static MachineAttributes attributes(int zone, boolean spot) {
     return new MachineAttributes(0, zone, spot, spot ? 1 : 2, 1);
   }
 
   static InstanceOffer offer(int zone, boolean spot) {
-    return new InstanceOffer(kind(zone, spot), WHOLE_MACHINE, 30_000);
+    return new InstanceOffer(attributes(zone, spot), WHOLE_MACHINE, 30_000);
   }
 
   void job(Consumer<JobBuilder> configuration) {
@@ -106,7 +106,7 @@
   void machinePaidFor(long paidS, int zone, boolean spot, double free, RunningTask... running) {
     machines.add(
         new MachineCapacity(
-            kind(zone, spot),
+            attributes(zone, spot),
             true,
             nextResponseMs,
             0,
--- a/src/test/java/dev/windbend/plan/PlannerScalingTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerScalingTest.java
@@ -98,7 +98,7 @@
     machine(0, true, 8);
     machines.add(
         new MachineCapacity(
-            kind(0, true),
+            attributes(0, true),
             true,
             0,
             0,
--- a/src/test/java/dev/windbend/plan/PlannerTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerTest.java
@@ -128,7 +128,7 @@
 
   @ParameterizedTest(name = "age {0} s, ever started {1}, oldest first {2}: places task of job {3}")
   @CsvSource({
-    // The small job of higher priority is first, unless the large job must start or is
+    // The job with less work and higher priority is first, unless the large job must start or is
     // long-waiting.
     "119,false,false,1",
     "120,false,false,0",
--- a/src/test/java/dev/windbend/plan/PriorityPropertiesTest.java
+++ b/src/test/java/dev/windbend/plan/PriorityPropertiesTest.java
@@ -41,7 +41,7 @@
       }
       List<InstanceOffer> offers = new ArrayList<>();
       if (oneIn(2)) {
-        offers.add(new InstanceOffer(kind(), new Resources(8, 2, 64), 30_000));
+        offers.add(new InstanceOffer(attributes(), new Resources(8, 2, 64), 30_000));
       }
       return new Snapshot(
           NOW,
@@ -87,7 +87,7 @@
               NOW + 1_000L * random.nextInt(60), oneIn(5), oneIn(4), startByMs));
     }
 
-    private MachineAttributes kind() {
+    private MachineAttributes attributes() {
       boolean spot = oneIn(2);
       return new MachineAttributes(random.nextInt(2), random.nextInt(2), spot, spot ? 1 : 2.5, 1);
     }
@@ -108,7 +108,7 @@
       }
       IntOpenHashSet images = new IntOpenHashSet(new int[] {random.nextInt(3)});
       return new MachineCapacity(
-          kind(),
+          attributes(),
           !oneIn(5),
           random.nextInt(3_000),
           NOW + 1_000L * random.nextInt(40),
--- a/src/test/java/dev/windbend/plan/StarvationTest.java
+++ b/src/test/java/dev/windbend/plan/StarvationTest.java
@@ -148,10 +148,11 @@
         jobs,
         capacities,
         List.of(
-            new InstanceOffer(kind(), new Resources(CORES, 0, 64), 30_000, !cloudRefusesRequests)));
+            new InstanceOffer(
+                attributes(), new Resources(CORES, 0, 64), 30_000, !cloudRefusesRequests)));
   }
 
-  private static MachineAttributes kind() {
+  private static MachineAttributes attributes() {
     return new MachineAttributes(0, 0, true, 1, 1);
   }
 
@@ -183,7 +184,7 @@
               nowMs - task.startedMs()));
     }
     return new MachineCapacity(
-        kind(),
+        attributes(),
         true,
         0,
         0,
