--- a/src/main/java/dev/windbend/plan/AdvanceReservations.java
+++ b/src/main/java/dev/windbend/plan/AdvanceReservations.java
@@ -23,7 +23,7 @@
    */
   void reserve(JobCursor cursor, int tasksToLeave, long freeByMs, boolean allowUntilDeadline) {
     PendingJob job = cursor.job();
-    long latestStartMs = job.objectives().dueMs() - cursor.estimateMs();
+    long latestStartMs = job.objectives().dueMs() - cursor.estimatedRunTimeMs();
     long untilMs = allowUntilDeadline ? Math.max(freeByMs, latestStartMs) : freeByMs;
     if (state.unavailableSizes().contains(cursor.resources(), untilMs)) {
       return;
--- a/src/main/java/dev/windbend/plan/Deadline.java
+++ b/src/main/java/dev/windbend/plan/Deadline.java
@@ -15,12 +15,12 @@
    *
    * @param limitsSeconds time limits in seconds from submission, ascending; at least one
    * @param ageSeconds time since submission, in seconds
-   * @param estimateSeconds estimated run time of the job, in seconds
+   * @param estimatedRunTimeSeconds estimated run time of the job, in seconds
    */
   public static Deadline nextAttainable(
-      double[] limitsSeconds, double ageSeconds, double estimateSeconds) {
+      double[] limitsSeconds, double ageSeconds, double estimatedRunTimeSeconds) {
     for (double limitSeconds : limitsSeconds) {
-      if (ageSeconds + estimateSeconds <= limitSeconds) {
+      if (ageSeconds + estimatedRunTimeSeconds <= limitSeconds) {
         return new Deadline(limitSeconds, false);
       }
     }
--- a/src/main/java/dev/windbend/plan/JobCursor.java
+++ b/src/main/java/dev/windbend/plan/JobCursor.java
@@ -46,8 +46,8 @@
     return job.requirements().resources();
   }
 
-  long estimateMs() {
-    return job.requirements().estimateMs();
+  long estimatedRunTimeMs() {
+    return job.requirements().estimatedRunTimeMs();
   }
 
   /** Whether the zones of the job's other tasks restrict the zone of the next task. */
--- a/src/main/java/dev/windbend/plan/MachineReservations.java
+++ b/src/main/java/dev/windbend/plan/MachineReservations.java
@@ -111,7 +111,7 @@
    * image.
    */
   long runMs(PendingJob.Requirements task) {
-    return task.estimateMs() + fetchMs(task);
+    return task.estimatedRunTimeMs() + fetchMs(task);
   }
 
   private long endMs(RunningTask task) {
--- a/src/main/java/dev/windbend/plan/PendingJob.java
+++ b/src/main/java/dev/windbend/plan/PendingJob.java
@@ -26,9 +26,10 @@
    * @param resources resources that the task uses while it runs
    * @param image index of the container image
    * @param imageGb size of the image in GB
-   * @param estimateMs estimated run time in milliseconds
+   * @param estimatedRunTimeMs estimated run time in milliseconds
    */
-  public record Requirements(Resources resources, int image, double imageGb, long estimateMs) {}
+  public record Requirements(
+      Resources resources, int image, double imageGb, long estimatedRunTimeMs) {}
 
   /**
    * Where and when tasks may be placed.
@@ -100,6 +101,6 @@
 
   /** Returns the work of the waiting tasks, in core milliseconds. */
   double waitingWork() {
-    return progress.waiting * requirements.resources.cores() * requirements.estimateMs;
+    return progress.waiting * requirements.resources.cores() * requirements.estimatedRunTimeMs;
   }
 }
--- a/src/main/java/dev/windbend/plan/RunTimeEstimates.java
+++ b/src/main/java/dev/windbend/plan/RunTimeEstimates.java
@@ -31,7 +31,7 @@
    * Returns the estimated run time of a task in seconds: the mean of the last two run times of the
    * user, or the declared run time until two tasks have finished.
    */
-  public double estimateSeconds(String user, double declaredSeconds) {
+  public double estimatedRunTimeSeconds(String user, double declaredSeconds) {
     RunTimes times = recentByUser.get(user);
     return times == null || times.previousSeconds < 0
         ? declaredSeconds
@@ -42,8 +42,8 @@
    * Corrects the estimated run time of a running task: doubles the estimate until it is at least
    * the elapsed time (paper, section 4.2).
    */
-  public static double correctedSeconds(double estimateSeconds, double elapsedSeconds) {
-    double corrected = Math.max(MIN_ESTIMATE_SECONDS, estimateSeconds);
+  public static double correctedSeconds(double estimatedRunTimeSeconds, double elapsedSeconds) {
+    double corrected = Math.max(MIN_ESTIMATE_SECONDS, estimatedRunTimeSeconds);
     while (corrected < elapsedSeconds) {
       corrected *= 2;
     }
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -45,7 +45,7 @@
   double estimatedRunTimeSeconds(Job job) {
     return Math.max(
         MIN_ESTIMATED_RUN_TIME_SECONDS,
-        estimates.estimateSeconds(estimateKey(job), job.spec().estimateS()));
+        estimates.estimatedRunTimeSeconds(estimateKey(job), job.spec().estimateS()));
   }
 
   @Override
--- a/src/test/java/dev/windbend/plan/DecisionTraceTest.java
+++ b/src/test/java/dev/windbend/plan/DecisionTraceTest.java
@@ -94,7 +94,7 @@
     job(
         builder -> {
           builder.imageGb = 9;
-          builder.estimateMs = 10_000;
+          builder.estimatedRunTimeMs = 10_000;
           builder.startByMs = NOW + 5_000;
         });
     machine(0, true, 0, running(8, 2, 2, -1));
--- a/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
+++ b/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
@@ -24,7 +24,7 @@
           builder.tasks = waiting;
           builder.waiting = waiting;
           builder.dueMs = NOW + dueInMs;
-          builder.estimateMs = estimateMs;
+          builder.estimatedRunTimeMs = estimateMs;
           builder.ageMs = 60_000;
           builder.everStarted = true;
           builder.displaced = true;
@@ -91,7 +91,7 @@
           builder.rank = 1;
           builder.resources = new Resources(cores, 0, 1);
           builder.zone = zone;
-          builder.estimateMs = 6_000;
+          builder.estimatedRunTimeMs = 6_000;
           builder.dueMs = NOW + 6_000;
           builder.displaced = isDisplaced;
           builder.unattainable = unattainable;
@@ -134,7 +134,7 @@
         builder -> {
           builder.rank = 2;
           builder.resources = new Resources(4, 0, 1);
-          builder.estimateMs = 4_000;
+          builder.estimatedRunTimeMs = 4_000;
           builder.displaced = true;
           builder.starved = true;
         });
@@ -153,7 +153,7 @@
         builder -> {
           builder.rank = 1;
           builder.resources = WHOLE_MACHINE;
-          builder.estimateMs = 60_000;
+          builder.estimatedRunTimeMs = 60_000;
           builder.dueMs = NOW + 95_000;
           builder.displaced = true;
           builder.unattainable = unattainable;
@@ -177,7 +177,7 @@
           builder.rank = 1;
           builder.resources = WHOLE_MACHINE;
           builder.imageGb = 9;
-          builder.estimateMs = 10_000;
+          builder.estimatedRunTimeMs = 10_000;
           builder.startByMs = NOW + 5_000;
           builder.displaced = true;
         });
--- a/src/test/java/dev/windbend/plan/PlannerFixture.java
+++ b/src/test/java/dev/windbend/plan/PlannerFixture.java
@@ -51,7 +51,7 @@
     int tasks = 1;
     int waiting = 1;
     int[] placedPerZone = new int[2];
-    long estimateMs = 9;
+    long estimatedRunTimeMs = 9;
     long dueMs = NOW + 30_000;
     boolean unattainable;
     boolean guaranteed;
@@ -65,7 +65,7 @@
       return new PendingJob(
           0,
           rank,
-          new PendingJob.Requirements(resources, 7, imageGb, estimateMs),
+          new PendingJob.Requirements(resources, 7, imageGb, estimatedRunTimeMs),
           new PendingJob.Constraints(types, zone, colocated, spread, spot, 0, new IntOpenHashSet()),
           new PendingJob.Progress(
               tasks, waiting, placedPerZone, ageMs, everStarted, starved, displaced),
@@ -94,7 +94,7 @@
           builder.resources = new Resources(cores, 0, 1);
           builder.tasks = waiting;
           builder.waiting = waiting;
-          builder.estimateMs = estimateS * 1000;
+          builder.estimatedRunTimeMs = estimateS * 1000;
           builder.dueMs = NOW + dueInS * 1000;
         });
   }
--- a/src/test/java/dev/windbend/plan/PlannerScalingTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerScalingTest.java
@@ -75,7 +75,7 @@
     job(
         builder -> {
           builder.resources = new Resources(8, 0, 1);
-          builder.estimateMs = 10_000;
+          builder.estimatedRunTimeMs = 10_000;
           builder.dueMs = NOW + due * 1000;
           builder.guaranteed = guaranteed;
         });
--- a/src/test/java/dev/windbend/plan/PlannerTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerTest.java
@@ -69,7 +69,7 @@
         builder -> {
           builder.rank = 1;
           builder.resources = WHOLE_MACHINE;
-          builder.estimateMs = 20_000;
+          builder.estimatedRunTimeMs = 20_000;
           builder.dueMs = NOW + 60_000;
           builder.startByMs = NOW + 1_000 * startInS;
         });
@@ -118,7 +118,7 @@
           builder.resources = new Resources(8, 0, 1);
           builder.tasks = tasks;
           builder.waiting = tasks;
-          builder.estimateMs = 60_000;
+          builder.estimatedRunTimeMs = 60_000;
           builder.dueMs = NOW - 1;
           builder.unattainable = true;
           builder.ageMs = ageS * 1000;
@@ -167,7 +167,7 @@
         builder -> {
           builder.resources = new Resources(8, 0, 1);
           builder.imageGb = 8;
-          builder.estimateMs = 10_000;
+          builder.estimatedRunTimeMs = 10_000;
           builder.startByMs = earlyStartCounts ? NOW + 5_000 : 0;
         });
     machine(0, true, 0, running(8, freeIn, 2, 5));
@@ -241,7 +241,7 @@
           builder.resources = new Resources(8, 0, 1);
           builder.tasks = 3;
           builder.waiting = 3;
-          builder.estimateMs = 5_000_000;
+          builder.estimatedRunTimeMs = 5_000_000;
           builder.dueMs = NOW + 6_000_000;
           builder.starved = starved;
         });
--- a/src/test/java/dev/windbend/plan/StarvationTest.java
+++ b/src/test/java/dev/windbend/plan/StarvationTest.java
@@ -30,7 +30,7 @@
   private static final int IMAGE = 7;
 
   /** A stream of tasks that always exceeds the free capacity. */
-  private record TaskStream(int cores, int rank, long estimateMs) {}
+  private record TaskStream(int cores, int rank, long estimatedRunTimeMs) {}
 
   /** A running task of a stream. */
   private record RunningStreamTask(long endMs, TaskStream stream, long startedMs) {}
@@ -126,7 +126,7 @@
   }
 
   private RunningStreamTask running(TaskStream stream, long nowMs) {
-    long runMs = (long) (stream.estimateMs() * (0.7 + 0.6 * random.nextDouble()));
+    long runMs = (long) (stream.estimatedRunTimeMs() * (0.7 + 0.6 * random.nextDouble()));
     return new RunningStreamTask(nowMs + runMs, stream, nowMs);
   }
 
@@ -159,12 +159,12 @@
   private static PendingJob pending(
       TaskStream stream, int waiting, long submittedMs, long ageMs, boolean everStarted) {
     Resources size = new Resources(stream.cores(), 0, 1);
-    long dueMs = submittedMs + 2 * stream.estimateMs();
-    boolean unattainable = submittedMs + ageMs + stream.estimateMs() > dueMs;
+    long dueMs = submittedMs + 2 * stream.estimatedRunTimeMs();
+    boolean unattainable = submittedMs + ageMs + stream.estimatedRunTimeMs() > dueMs;
     return new PendingJob(
         0,
         stream.rank(),
-        new PendingJob.Requirements(size, IMAGE, 0, stream.estimateMs()),
+        new PendingJob.Requirements(size, IMAGE, 0, stream.estimatedRunTimeMs()),
         new PendingJob.Constraints(null, -1, false, false, true, 0, new IntOpenHashSet()),
         new PendingJob.Progress(
             waiting, waiting, new int[2], ageMs, everStarted, ageMs >= STARVED_AFTER_MS, false),
