--- a/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
+++ b/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
@@ -16,7 +16,8 @@
  */
 class DisplacedPrecedenceTest extends PlannerFixture {
   /** Adds a displaced job; its times are in milliseconds. */
-  private void addDisplacedJob(int rank, int cores, int waiting, long dueInMs, long estimateMs) {
+  private void addDisplacedJob(
+      int rank, int cores, int waiting, long dueInMs, long estimatedRunTimeMs) {
     job(
         builder -> {
           builder.rank = rank;
@@ -24,7 +25,7 @@
           builder.tasks = waiting;
           builder.waiting = waiting;
           builder.dueMs = NOW + dueInMs;
-          builder.estimatedRunTimeMs = estimateMs;
+          builder.estimatedRunTimeMs = estimatedRunTimeMs;
           builder.ageMs = 60_000;
           builder.everStarted = true;
           builder.displaced = true;
--- a/src/test/java/dev/windbend/plan/PlannerFixture.java
+++ b/src/test/java/dev/windbend/plan/PlannerFixture.java
@@ -87,14 +87,14 @@
     jobs.add(builder.build());
   }
 
-  void job(int rank, double cores, int waiting, long estimateS, long dueInS) {
+  void job(int rank, double cores, int waiting, long estimatedRunTimeS, long dueInS) {
     job(
         builder -> {
           builder.rank = rank;
           builder.resources = new Resources(cores, 0, 1);
           builder.tasks = waiting;
           builder.waiting = waiting;
-          builder.estimatedRunTimeMs = estimateS * 1000;
+          builder.estimatedRunTimeMs = estimatedRunTimeS * 1000;
           builder.dueMs = NOW + dueInS * 1000;
         });
   }
--- a/src/test/java/dev/windbend/plan/PriorityPropertiesTest.java
+++ b/src/test/java/dev/windbend/plan/PriorityPropertiesTest.java
@@ -67,12 +67,13 @@
       if (oneIn(5)) {
         avoided.add(random.nextInt(MAX_MACHINES));
       }
-      long estimateMs = 1_000L * (1 + random.nextInt(20));
+      long estimatedRunTimeMs = 1_000L * (1 + random.nextInt(20));
       long startByMs = oneIn(3) ? NOW + 5_000 : 0;
       return new PendingJob(
           0,
           random.nextInt(RANKS),
-          new PendingJob.Requirements(size, random.nextInt(3), 1 + random.nextInt(6), estimateMs),
+          new PendingJob.Requirements(
+              size, random.nextInt(3), 1 + random.nextInt(6), estimatedRunTimeMs),
           new PendingJob.Constraints(
               types, random.nextInt(6) - 4, oneIn(5), oneIn(5), !oneIn(4), 0, avoided),
           new PendingJob.Progress(
--- a/src/test/java/dev/windbend/plan/StarvationTest.java
+++ b/src/test/java/dev/windbend/plan/StarvationTest.java
@@ -55,15 +55,17 @@
       int machineCount,
       int cores,
       int rank,
-      long estimateS,
+      long estimatedRunTimeS,
       int streamCores,
       int streamRank,
-      long streamEstimateS) {
-    streams.add(new TaskStream(streamCores, streamRank, 1_000 * streamEstimateS));
+      long streamRunTimeS) {
+    streams.add(new TaskStream(streamCores, streamRank, 1_000 * streamRunTimeS));
     for (long seed = 1; seed <= 5; seed++) {
       for (boolean cloudRefuses : new boolean[] {false, true}) {
         cloudRefusesRequests = cloudRefuses;
-        assertThat(firstStartMs(machineCount, new TaskStream(cores, rank, 1_000 * estimateS), seed))
+        assertThat(
+                firstStartMs(
+                    machineCount, new TaskStream(cores, rank, 1_000 * estimatedRunTimeS), seed))
             .as("seed %d, cloud refuses requests: %b", seed, cloudRefuses)
             .isLessThanOrEqualTo(MAX_START_DELAY_MS);
       }
