--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -92,7 +92,7 @@
             members.peerAddressByNode(),
             leaders::transfer);
     JobProgress progress = new JobProgress();
-    replica.addListener(machines::changed);
+    replica.addListener(machines::recordChanged);
     replica.addListener(progress::changed);
     replica.addListener(leaders::keyChanged);
     this.shardContext = newContext(cloud, members.count());
--- a/src/main/java/dev/windbend/daemon/HealthCheck.java
+++ b/src/main/java/dev/windbend/daemon/HealthCheck.java
@@ -37,7 +37,7 @@
   }
 
   private boolean isHealthy() {
-    return replica.synced() && catalog.known() && !isCutOffFromStore();
+    return replica.synced() && catalog.isLoaded() && !isCutOffFromStore();
   }
 
   /**
--- a/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
+++ b/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
@@ -76,7 +76,7 @@
       done.accept(redirectToLeaderOf(shard));
       return;
     }
-    if (unrecorded && !machines.knew(machine)) {
+    if (unrecorded && !machines.isFormer(machine)) {
       leader.handleOrphanHeartbeat(heartbeat);
     }
     done.accept(ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE));
--- a/src/main/java/dev/windbend/daemon/JobAdmission.java
+++ b/src/main/java/dev/windbend/daemon/JobAdmission.java
@@ -42,7 +42,7 @@
     if (team < 0) {
       return UNKNOWN_TEAM;
     }
-    if (!catalog.known()) {
+    if (!catalog.isLoaded()) {
       return Admission.UNDECIDED;
     }
     if (isOverLimit(spec, teams.get(team))) {
@@ -72,6 +72,6 @@
       return true;
     }
     int zone = catalog.zones().find(spec.zone());
-    return zone >= 0 && type.in(zone);
+    return zone >= 0 && type.isOfferedIn(zone);
   }
 }
--- a/src/main/java/dev/windbend/daemon/ShardLeaders.java
+++ b/src/main/java/dev/windbend/daemon/ShardLeaders.java
@@ -104,7 +104,7 @@
       for (ShardLeader leader : snapshot()) {
         leader.jobRecordChanged(uid, value);
       }
-    } else if (key.startsWith(ScaleOutRecord.KEYS)) {
+    } else if (key.startsWith(ScaleOutRecord.KEY_PREFIX)) {
       for (ShardLeader leader : snapshot()) {
         leader.machineRecordChanged(key, value);
       }
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -80,7 +80,7 @@
 
   /** Boot time of the machine type that boots slowest; 0 if no machine type is known. */
   double maxBootSeconds() {
-    return catalog.all().stream().mapToDouble(MachineType::bootS).max().orElse(0);
+    return catalog.all().stream().mapToDouble(MachineType::bootSeconds).max().orElse(0);
   }
 
   @Override
--- a/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -115,8 +115,8 @@
   }
 
   private static MachineAttributes kind(MachineType type, int zone, boolean spot) {
-    double price = spot ? type.spotPrice() : type.price();
-    return new MachineAttributes(type.index(), zone, spot, price, type.fetchGbPerS());
+    double price = spot ? type.spotPrice() : type.onDemandPrice();
+    return new MachineAttributes(type.index(), zone, spot, price, type.fetchGbPerSecond());
   }
 
   static Resources resources(Job job) {
@@ -148,13 +148,13 @@
     }
     MachineType type = machine.type();
     long bootingSeconds = (nowMs - machine.requestedMs()) / 1_000;
-    return bootingSeconds > LATE_BOOT_FACTOR * type.bootS()
-        ? nowMs + (long) (Units.MS_PER_SECOND * LATE_BOOT_REMAINING_FACTOR * type.bootS())
+    return bootingSeconds > LATE_BOOT_FACTOR * type.bootSeconds()
+        ? nowMs + (long) (Units.MS_PER_SECOND * LATE_BOOT_REMAINING_FACTOR * type.bootSeconds())
         : expectedBootEndMs(machine.requestedMs(), type, nowMs);
   }
 
   private static long expectedBootEndMs(long requestedMs, MachineType type, long nowMs) {
-    return Math.max(requestedMs + Units.toMs(type.bootS()), nowMs + MIN_EXPECTED_DELAY_MS);
+    return Math.max(requestedMs + Units.toMs(type.bootSeconds()), nowMs + MIN_EXPECTED_DELAY_MS);
   }
 
   /**
@@ -190,7 +190,7 @@
     double estimatedRunTimeSeconds = deadlines.estimatedRunTimeSeconds(task.job());
     if (task.runningMs() < 0) {
       double fetchSeconds =
-          task.job().spec().imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, type.fetchGbPerS());
+          task.job().spec().imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, type.fetchGbPerSecond());
       return task.placedMs() + Units.toMs(estimatedRunTimeSeconds + fetchSeconds);
     }
     double runTimeSeconds = Units.toSeconds(nowMs - task.runningMs());
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -118,13 +118,13 @@
         boolean heartbeatReceived = machine.lastHeartbeatMs() >= 0;
         booting += heartbeatReceived ? 0 : 1;
         unavailable += heartbeatReceived && !usable ? 1 : 0;
-        available |= usable && task.hasRoomOn(machine);
+        available |= usable && task.hasCapacityOn(machine);
       }
       int requested =
           fleet.pendingScaleOuts().stream().mapToInt(Fleet.PendingScaleOut::count).sum();
       return new Capacity(
           available,
-          new WaitReason.NoCapacity(booting, requested, unavailable, fleet.anyRefused()));
+          new WaitReason.NoCapacity(booting, requested, unavailable, fleet.anyRecentlyRefused()));
     }
   }
 }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -183,7 +183,7 @@
     List<Machine> machines = new ArrayList<>();
     for (Machine machine : state.fleet().machines()) {
       if (inUsableZone(machine)
-          && !machine.returning()
+          && !machine.terminating()
           && !machine.cordoned()
           && machine.liveness().missedResponses() == 0
           && nowMs >= machine.startsRefusedUntilMs()) {
--- a/src/main/java/dev/windbend/shard/ShardMachines.java
+++ b/src/main/java/dev/windbend/shard/ShardMachines.java
@@ -60,7 +60,7 @@
 
   /** A record of machines has changed: another shard may have transferred some to this one. */
   void recordChanged(String key, VersionedValue stored) {
-    String prefix = ScaleOutRecord.prefix(leadership.shard());
+    String prefix = ScaleOutRecord.shardPrefix(leadership.shard());
     if (leadership.ready() && stored != null && key.startsWith(prefix)) {
       restore(key.substring(prefix.length()), stored, false);
       scheduling.requestCycle();
--- a/src/main/java/dev/windbend/shard/ShardServices.java
+++ b/src/main/java/dev/windbend/shard/ShardServices.java
@@ -246,7 +246,7 @@
     }
 
     @Override
-    public void machineGone(Machine machine) {
+    public void machineTerminated(Machine machine) {
       machines.onMachineTerminated(machine);
     }
 
--- a/src/main/java/dev/windbend/shard/StarvedJobs.java
+++ b/src/main/java/dev/windbend/shard/StarvedJobs.java
@@ -66,7 +66,7 @@
     if (longestWaiting == null) {
       return Optional.empty();
     }
-    int machines = (int) Math.ceil(lackingCores / state.catalog().largestCores());
+    int machines = (int) Math.ceil(lackingCores / state.catalog().maxCores());
     return Optional.of(
         new MachineTransferMessages.OverdueTasks(nextTaskRequirements(longestWaiting), machines));
   }
@@ -81,7 +81,7 @@
 
   private boolean anyMachineHasCapacity(TaskRequirements task, long nowMs) {
     return state.fleet().machines().stream()
-        .anyMatch(machine -> machine.usable(nowMs) && task.hasRoomOn(machine));
+        .anyMatch(machine -> machine.usable(nowMs) && task.hasCapacityOn(machine));
   }
 
   /** Requirements of the job's next task, given the zones in which its other tasks are placed. */
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -143,7 +143,7 @@
             heartbeat.address(),
             heartbeat.token() == machineToken,
             nowMs);
-    if (heartbeat.recallS() != null && machine.recallMs() < 0) {
+    if (heartbeat.recallS() != null && machine.recallAtMs() < 0) {
       machine.recordRecall(nowMs + (long) (heartbeat.recallS() * 1000));
       LOG.info(
           "machine recalled by the cloud: machine={} recall_s={}",
@@ -185,7 +185,7 @@
     int tasksBefore = machine.tasks().size();
     machine.liveness().beginAwaitingResponse();
     reconciler.reconcile(machine, heartbeat, nowMs);
-    if (machine.recallMs() >= 0) {
+    if (machine.recallAtMs() >= 0) {
       stopCheckpointingTasks(machine, nowMs);
     }
     if (machine.tasks().size() < tasksBefore || tasksBefore == 0) {
@@ -208,7 +208,7 @@
       double saveS = placement.job().spec().saveS();
       if (placement.job().spec().checkpointS() > 0
           && nowMs + RECALL_MARGIN_MS + saveS * 1000 + 2 * timing.heartbeatMs()
-              >= machine.recallMs()) {
+              >= machine.recallAtMs()) {
         placement.stop(saveS + 1);
       }
     }
@@ -253,7 +253,7 @@
   }
 
   private static ResponseKind leaderResponseKind(Machine machine) {
-    boolean mayStart = !machine.returning() && !machine.cordoned() && machine.recorded();
+    boolean mayStart = !machine.terminating() && !machine.cordoned() && machine.recorded();
     return mayStart ? ResponseKind.RENEW_STOP_AND_START : ResponseKind.RENEW_AND_STOP;
   }
 
@@ -291,7 +291,7 @@
 
   private static boolean hasFreeCapacity(Machine machine) {
     return !machine.cordoned()
-        && !machine.returning()
+        && !machine.terminating()
         && machine.recorded()
         && machine.freeCores() >= 1;
   }
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -168,7 +168,7 @@
   private Map<Integer, List<Machine>> machinesByZone() {
     Map<Integer, List<Machine>> all = new TreeMap<>();
     for (Machine m : fleet.machines()) {
-      if (!m.returning()) {
+      if (!m.terminating()) {
         all.computeIfAbsent(m.zone(), zone -> new ArrayList<>()).add(m);
       }
     }
@@ -263,7 +263,7 @@
   // ---- evacuation
 
   private void evacuate(Zone zone, List<Machine> machines, long now, long sureSinceMs) {
-    int room = MOST_LEAVING - fleet.returningCount();
+    int room = MOST_LEAVING - fleet.terminatingCount();
     if (room <= 0) {
       return;
     }
--- a/src/test/java/dev/windbend/daemon/StoredDay.java
+++ b/src/test/java/dev/windbend/daemon/StoredDay.java
@@ -137,7 +137,7 @@
 
   private void machines(String key, String shard, ScaleOutRecord record) {
     require(record.type() != null && record.zone() != null, key);
-    if (record.open()) {
+    if (record.unanswered()) {
       add(Kind.OPEN_RENTAL);
       return;
     }
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -61,7 +61,7 @@
         }
 
         @Override
-        public void machineGone(Machine machine) {
+        public void machineTerminated(Machine machine) {
           monitor.gone(machine);
         }
 
@@ -112,7 +112,8 @@
       ScaleOutRecord record =
           new ScaleOutRecord("t", rental % 2 == 0 ? "a" : "b", true, PER_RENTAL, names, null);
       String name = "p" + rental;
-      index.changed(ScaleOutRecord.prefix(0) + name, new VersionedValue(Json.tree(record), 1));
+      index.recordChanged(
+          ScaleOutRecord.shardPrefix(0) + name, new VersionedValue(Json.tree(record), 1));
       fleet.restore(name, record, 1, index, true);
     }
   }
@@ -202,7 +203,7 @@
       loop.fire();
       monitor.look(loop.nowMs, 0);
       health.check(loop.nowMs, 0, monitor::evacuates);
-      fleet.pursue();
+      fleet.processPending();
     }
   }
 
