--- a/src/main/java/dev/windbend/plan/MachineReservations.java
+++ b/src/main/java/dev/windbend/plan/MachineReservations.java
@@ -169,17 +169,19 @@
    */
   long firstFitMs(long runMs, Resources need) {
     Resources free = freeNow;
-    int i = 0;
-    while (i < changes.size()) {
-      long atMs = changes.get(i).atMs();
+    int next = 0;
+    while (next < changes.size()) {
+      long atMs = changes.get(next).atMs();
       boolean freed = false;
-      while (i < changes.size() && changes.get(i).atMs() == atMs) {
-        Resources change = changes.get(i).resources();
+      while (next < changes.size() && changes.get(next).atMs() == atMs) {
+        Resources change = changes.get(next).resources();
         freed |= change.cores() > 0;
         free = free.plus(change);
-        i++;
+        next++;
       }
-      if (freed && free.fits(need) && (!reservedLater || staysFree(i, free, atMs + runMs, need))) {
+      if (freed
+          && free.fits(need)
+          && (!reservedLater || staysFree(next, free, atMs + runMs, need))) {
         return atMs;
       }
     }
