--- a/src/main/java/dev/windbend/shard/CapacityProvisioner.java
+++ b/src/main/java/dev/windbend/shard/CapacityProvisioner.java
@@ -147,7 +147,7 @@
         state
             .fleet()
             .scaleOut(state.catalog().type(kind.type()), kind.zone(), kind.spot(), machines);
-        state.zones().scaledOut(kind.zone(), machines);
+        state.zones().recordScaleOut(kind.zone(), machines);
       }
     }
   }
--- a/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -173,28 +173,28 @@
    * task must not be stopped.
    */
   private static long lostRunTimeMs(Placement task, long nowMs) {
-    boolean stateUnknown = task.inherited() && !task.seen();
-    if (task.stopping() || stateUnknown) {
+    boolean stateUnknown = task.inherited() && !task.reported();
+    if (task.stopRequested() || stateUnknown) {
       return NOT_STOPPABLE;
     }
-    long runTimeMs = task.runningMs() < 0 ? 0 : nowMs - task.runningMs();
-    long checkpointIntervalMs = Units.toMs(task.job().spec().checkpointS());
+    long runTimeMs = task.runningSinceMs() < 0 ? 0 : nowMs - task.runningSinceMs();
+    long checkpointIntervalMs = Units.toMs(task.job().spec().checkpointIntervalSeconds());
     return checkpointIntervalMs > 0 ? runTimeMs % checkpointIntervalMs : runTimeMs;
   }
 
   /** When the task is expected to end (monotonic clock, ms). */
   private long expectedEndMs(Placement task, MachineType type, long nowMs) {
-    if (task.stopping()) {
+    if (task.stopRequested()) {
       return nowMs + Units.toMs(task.stopGraceS()) + MIN_EXPECTED_DELAY_MS;
     }
     double estimatedRunTimeSeconds = deadlines.estimatedRunTimeSeconds(task.job());
-    if (task.runningMs() < 0) {
+    if (task.runningSinceMs() < 0) {
       double fetchSeconds =
           task.job().spec().imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, type.fetchGbPerSecond());
       return task.placedMs() + Units.toMs(estimatedRunTimeSeconds + fetchSeconds);
     }
-    double runTimeSeconds = Units.toSeconds(nowMs - task.runningMs());
-    return task.runningMs()
+    double runTimeSeconds = Units.toSeconds(nowMs - task.runningSinceMs());
+    return task.runningSinceMs()
         + Units.toMs(RunTimeEstimates.correctedSeconds(estimatedRunTimeSeconds, runTimeSeconds));
   }
 }
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -340,7 +340,7 @@
   private static void reserve(Machine machine, int toShard) {
     machine.reserveForShard(toShard);
     machine.tasks().values().stream()
-        .filter(placement -> placement.job().spec().checkpointS() > 0)
+        .filter(placement -> placement.job().spec().checkpointIntervalSeconds() > 0)
         .forEach(MachineTransfers::stopGracefully);
   }
 
@@ -348,7 +348,7 @@
    * Stops a task with a grace period of 1 s more than its job specifies for writing a checkpoint.
    */
   static void stopGracefully(Placement placement) {
-    placement.stop(placement.job().spec().saveS() + 1);
+    placement.requestStop(placement.job().spec().checkpointSaveSeconds() + 1);
   }
 
   /**
@@ -361,7 +361,10 @@
     for (Placement placement : machine.tasks().values()) {
       JobSpec spec = placement.job().spec();
       lost +=
-          spec.cores() * (spec.checkpointS() > 0 ? 1 : Math.max(1, nowMs - placement.placedMs()));
+          spec.cores()
+              * (spec.checkpointIntervalSeconds() > 0
+                  ? 1
+                  : Math.max(1, nowMs - placement.placedMs()));
     }
     return lost;
   }
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -92,6 +92,6 @@
   }
 
   private void checkMachines(long now) {
-    components.health.check(now, leaseValidSinceMs, components.zones.availability()::evacuates);
+    components.health.check(now, leaseValidSinceMs, components.zones.availability()::isEvacuated);
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardFailover.java
+++ b/src/main/java/dev/windbend/shard/ShardFailover.java
@@ -72,8 +72,8 @@
 
   private void restoreJobs(long now) {
     SortedMap<String, JsonNode> entries =
-        pages.restore(replica.withPrefix(JobRecord.pages(leadership.shard())));
-    for (VersionedValue record : replica.withPrefix(JobRecord.LIVE).values()) {
+        pages.restore(replica.withPrefix(JobRecord.pagesPrefix(leadership.shard())));
+    for (VersionedValue record : replica.withPrefix(JobRecord.LIVE_PREFIX).values()) {
       jobs.restore(record, entries, now);
     }
     pages.finishRestore();
--- a/src/main/java/dev/windbend/shard/ShardMachines.java
+++ b/src/main/java/dev/windbend/shard/ShardMachines.java
@@ -86,8 +86,8 @@
     zones.machineGone(machine);
     for (Placement placement : List.copyOf(machine.tasks().values())) {
       machine.remove(placement, now);
-      placement.job().gone(placement);
-      registry.touched(placement.job());
+      placement.job().confirmTerminated(placement);
+      registry.markChanged(placement.job());
     }
     scheduling.requestCycle();
   }
--- a/src/main/java/dev/windbend/shard/ShardServices.java
+++ b/src/main/java/dev/windbend/shard/ShardServices.java
@@ -93,7 +93,7 @@
 
   private PagedStore newPages() {
     return new PagedStore(
-        JobRecord.pages(leadership.shard()),
+        JobRecord.pagesPrefix(leadership.shard()),
         context.deployment().store().maxValueBytes(),
         context.coordination().store().maxWritesPerTransaction());
   }
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -196,8 +196,8 @@
   /** What has not started there never will: without this it would stay placed for ever. */
   private static void stopUnstartedPlacements(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
-      if (!placement.seen() && !placement.inherited()) {
-        placement.stop(0);
+      if (!placement.reported() && !placement.inherited()) {
+        placement.requestStop(0);
       }
     }
   }
@@ -205,11 +205,11 @@
   /** Tasks that can save a checkpoint do so in time; others may still end before the recall. */
   private void stopCheckpointingTasks(Machine machine, long nowMs) {
     for (Placement placement : machine.tasks().values()) {
-      double saveS = placement.job().spec().saveS();
-      if (placement.job().spec().checkpointS() > 0
+      double saveS = placement.job().spec().checkpointSaveSeconds();
+      if (placement.job().spec().checkpointIntervalSeconds() > 0
           && nowMs + RECALL_MARGIN_MS + saveS * 1000 + 2 * timing.heartbeatMs()
               >= machine.recallAtMs()) {
-        placement.stop(saveS + 1);
+        placement.requestStop(saveS + 1);
       }
     }
   }
@@ -299,7 +299,7 @@
   /** A start may go out to it. */
   private static boolean hasPendingStart(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
-      if (!placement.seen() && placement.job().startable(placement)) {
+      if (!placement.reported() && placement.job().mayStart(placement)) {
         return true;
       }
     }
@@ -310,9 +310,9 @@
   private static boolean hasPendingWrite(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
       if (!placement.inherited()
-          && !placement.seen()
-          && !placement.stopping()
-          && !placement.job().startable(placement)) {
+          && !placement.reported()
+          && !placement.stopRequested()
+          && !placement.job().mayStart(placement)) {
         return true;
       }
     }
@@ -334,7 +334,7 @@
   }
 
   private static boolean mayBeOnMachine(Placement placement) {
-    return placement.seen() || placement.inherited() || placement.sentSequence() >= 0;
+    return placement.reported() || placement.inherited() || placement.startSentSequence() >= 0;
   }
 
   private void sendStops(Machine machine, List<Command> stops) {
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -84,10 +84,10 @@
 
   private void recordReportedState(
       Machine machine, Placement placement, TaskState reported, long nowMs) {
-    placement.recordSeen();
+    placement.recordReported();
     if (reported.exited()) {
       recordExit(machine, placement, reported, nowMs);
-    } else if (reported.running() && placement.runningMs() < 0) {
+    } else if (reported.running() && placement.runningSinceMs() < 0) {
       placement.recordRunning(nowMs);
       machine.recordImage(events.imageIndex(placement.job().spec().image()));
     }
@@ -119,7 +119,7 @@
 
   private void remove(Machine machine, Placement placement, long nowMs) {
     machine.remove(placement, nowMs);
-    placement.job().gone(placement);
+    placement.job().confirmTerminated(placement);
     events.jobChanged(placement.job());
   }
 
@@ -130,13 +130,13 @@
   private void completeAbandonedAttempt(TaskState reported, long nowMs) {
     Job job = findJob(reported.task());
     int task = taskIndex(reported.task());
-    if (job == null || !hasTask(job, task) || job.isDone(task)) {
+    if (job == null || !hasTask(job, task) || job.isCompleted(task)) {
       return;
     }
     job.complete(task, nowMs);
     Placement otherAttempt = job.placement(task);
     if (otherAttempt != null) {
-      otherAttempt.stop(0);
+      otherAttempt.requestStop(0);
     }
     events.jobChanged(job);
   }
@@ -148,27 +148,27 @@
    * the response that carried it was used or discarded.
    */
   private static boolean isConfirmedTerminated(Placement placement, Heartbeat heartbeat) {
-    return placement.seen()
+    return placement.reported()
         || placement.inherited()
-        || (placement.stopping() && startSentBefore(placement, heartbeat));
+        || (placement.stopRequested() && startSentBefore(placement, heartbeat));
   }
 
   /** The start answered an earlier heartbeat of this or an earlier incarnation. */
   private static boolean startSentBefore(Placement placement, Heartbeat heartbeat) {
-    return placement.sentIncarnation() < heartbeat.incarnation()
+    return placement.startSentIncarnation() < heartbeat.incarnation()
         || startSentBeforeInIncarnation(placement, heartbeat);
   }
 
   private static boolean startSentBeforeInIncarnation(Placement placement, Heartbeat heartbeat) {
-    return placement.sentIncarnation() == heartbeat.incarnation()
-        && placement.sentSequence() < heartbeat.sequence();
+    return placement.startSentIncarnation() == heartbeat.incarnation()
+        && placement.startSentSequence() < heartbeat.sequence();
   }
 
   /** A start went out in the response to an earlier heartbeat, and this one does not list it. */
   boolean hasMissingStart(Machine machine, Heartbeat heartbeat) {
     for (Placement placement : machine.tasks().values()) {
-      if (!placement.seen()
-          && !placement.stopping()
+      if (!placement.reported()
+          && !placement.stopRequested()
           && startSentBeforeInIncarnation(placement, heartbeat)
           && !heartbeat.lists(placement.taskName(), placement.attempt())) {
         return true;
@@ -201,7 +201,7 @@
     Placement placement = machine.tasks().get(reported.task());
     if (placement == null || placement.attempt() != reported.attempt()) {
       commands.add(Command.stop(reported.task(), reported.attempt(), 0));
-    } else if (placement.stopping()
+    } else if (placement.stopRequested()
         && (!reported.savingCheckpoint() || placement.stopGraceS() == 0)) {
       commands.add(Command.stop(reported.task(), reported.attempt(), placement.stopGraceS()));
     }
@@ -214,7 +214,7 @@
   List<Command> commandsWithStarts(Machine machine, Heartbeat heartbeat) {
     List<Command> commands = commandsWithoutStarts(machine, heartbeat);
     for (Placement placement : machine.tasks().values()) {
-      if (!placement.seen() && placement.job().startable(placement)) {
+      if (!placement.reported() && placement.job().mayStart(placement)) {
         String taskName = placement.taskName();
         if (!heartbeat.lists(taskName, placement.attempt())) {
           placement.recordStartSent(heartbeat.incarnation(), heartbeat.sequence());
@@ -250,7 +250,7 @@
     }
     Job job = findJob(reported.task());
     int task = taskIndex(reported.task());
-    return job == null || !hasTask(job, task) || job.doneRecorded(task);
+    return job == null || !hasTask(job, task) || job.completionRecorded(task);
   }
 
   private static boolean hasTask(Job job, int task) {
--- a/src/test/java/dev/windbend/machine/FleetTest.java
+++ b/src/test/java/dev/windbend/machine/FleetTest.java
@@ -57,7 +57,7 @@
 
   FleetTest() {
     catalog.start();
-    loop.waiting.clear();
+    loop.pendingTasks.clear();
   }
 
   private void respond(
@@ -90,7 +90,7 @@
 
   private void advance(long ms) {
     loop.nowMs += ms;
-    loop.fire();
+    loop.runPendingTasks();
     fleet.processPending();
   }
 
--- a/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
+++ b/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
@@ -9,7 +9,7 @@
 import dev.windbend.plan.Resources;
 import dev.windbend.plan.SchedulingDecision;
 import dev.windbend.plan.Snapshot;
-import dev.windbend.zone.EvacuationPlan.Lost;
+import dev.windbend.zone.EvacuationPlan.LostMachine;
 import dev.windbend.zone.EvacuationPlan.Task;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import java.util.ArrayList;
@@ -29,17 +29,17 @@
   private static final long NOW = 1_000_000;
   private static final long BOOT_MS = 30_000;
 
-  private static Lost machine(String name, long leaseInMs, Task... tasks) {
-    return new Lost(name, NOW + leaseInMs, List.of(tasks));
+  private static LostMachine machine(String name, long leaseInMs, Task... tasks) {
+    return new LostMachine(name, NOW + leaseInMs, List.of(tasks));
   }
 
   private static Task task(int rank, long dueInMs, long remainingMs, long unsavedMs) {
     return new Task(rank, NOW + dueInMs, remainingMs, unsavedMs, 1, false);
   }
 
-  private static List<String> giveUp(Lost... machines) {
-    return EvacuationPlan.giveUp(List.of(machines), BOOT_MS, NOW).stream()
-        .map(Lost::machine)
+  private static List<String> giveUp(LostMachine... machines) {
+    return EvacuationPlan.machinesToScaleIn(List.of(machines), BOOT_MS, NOW).stream()
+        .map(LostMachine::machine)
         .toList();
   }
 
@@ -161,11 +161,11 @@
   /** Half of 4,000 machines: the order costs one sort, whatever the number of tasks. */
   @Test
   void ordersHalfOfAFleetOfFourThousand() {
-    List<Lost> lost = new ArrayList<>();
+    List<LostMachine> lost = new ArrayList<>();
     for (int i = 0; i < 2_000; i++) {
       lost.add(machine("m%04d".formatted(i), 0, task(i % 4, 1_000L * (i % 7), 10_000, 0)));
     }
-    List<Lost> order = EvacuationPlan.giveUp(lost, BOOT_MS, NOW);
+    List<LostMachine> order = EvacuationPlan.machinesToScaleIn(lost, BOOT_MS, NOW);
     assertThat(order).hasSize(2_000);
     assertThat(order.stream().map(l -> l.tasks().get(0).rank())).isSorted();
   }
--- a/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
@@ -99,10 +99,10 @@
   @Test
   void namesMetrics() {
     ZoneMetrics metrics = new ZoneMetrics();
-    metrics.runsAgain(Urgency.PRODUCTION, 1);
-    metrics.runsAgain(Urgency.URGENT, 1);
-    metrics.runsAgain(Urgency.STANDARD, 1);
-    metrics.runsAgain(Urgency.IDLE, 1);
+    metrics.recordJobRestarted(Urgency.PRODUCTION, 1);
+    metrics.recordJobRestarted(Urgency.URGENT, 1);
+    metrics.recordJobRestarted(Urgency.STANDARD, 1);
+    metrics.recordJobRestarted(Urgency.IDLE, 1);
     assertThat(metrics.values().keySet())
         .containsExactlyInAnyOrder(
             "windbend.zone.losses",
@@ -131,11 +131,11 @@
   @Test
   void countsUnderTheRightNames() {
     ZoneMetrics metrics = new ZoneMetrics();
-    metrics.lost(true);
-    metrics.lost(false);
-    metrics.lost(false);
-    metrics.evacuated(4);
-    metrics.takenBack(5);
+    metrics.recordLoss(true);
+    metrics.recordLoss(false);
+    metrics.recordLoss(false);
+    metrics.recordEvacuatedMachines(4);
+    metrics.recordReadmittedMachines(5);
     assertThat(metrics.values())
         .containsEntry("windbend.zone.losses", 3.0)
         .containsEntry("windbend.zone.relapses", 1.0)
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -62,7 +62,7 @@
 
         @Override
         public void machineTerminated(Machine machine) {
-          monitor.gone(machine);
+          monitor.machineTerminated(machine);
         }
 
         @Override
@@ -89,19 +89,19 @@
         }
 
         @Override
-        public long estimateMs(Job job) {
+        public long estimatedRunTimeMs(Job job) {
           return 60_000;
         }
 
         @Override
-        public long bootMs() {
+        public long maxBootMs() {
           return 5_000;
         }
       };
 
   ZoneMonitorTest() {
     catalog.start();
-    loop.waiting.clear();
+    loop.pendingTasks.clear();
     monitor = monitor();
     MachineIndex index = new MachineIndex();
     for (int rental = 0; rental < RENTALS; rental++) {
@@ -125,16 +125,16 @@
   private ZoneMonitor monitor(ZonePolicy policy) {
     ZoneMonitor made =
         new ZoneMonitor(
-            new ZoneMonitor.Place(0, 2, "a", REPORT_S, LEASE_S),
+            new ZoneMonitor.Config(0, 2, "a", REPORT_S, LEASE_S),
             policy,
             loop,
             fleet,
             health,
             jobs,
             times,
-            new ZoneMonitor.Records(stored::get, this::write),
+            new ZoneMonitor.RecordStore(stored::get, this::write),
             metrics);
-    made.takeOver(catalog.zones());
+    made.recover(catalog.zones());
     return made;
   }
 
@@ -166,9 +166,9 @@
     int number = 0;
     for (Machine m : fleet.machines()) {
       if (m.zone() == zone) {
-        Job job = TestJobs.job(number, URGENCIES.get(number++ % URGENCIES.size()));
+        Job job = TestJobs.createJob(number, URGENCIES.get(number++ % URGENCIES.size()));
         var placement = job.place(0, m.name(), loop.nowMs, 7, 1);
-        placement.recordSeen();
+        placement.recordReported();
         placement.recordRunning(loop.nowMs - ranMs);
         m.add(placement);
       }
@@ -200,9 +200,9 @@
       for (int zone : reporting) {
         report(zone);
       }
-      loop.fire();
-      monitor.look(loop.nowMs, 0);
-      health.check(loop.nowMs, 0, monitor::evacuates);
+      loop.runPendingTasks();
+      monitor.check(loop.nowMs, 0);
+      health.check(loop.nowMs, 0, monitor::isEvacuated);
       fleet.processPending();
     }
   }
@@ -246,7 +246,7 @@
     pass(4_000, 0, 1);
     busy(1, 50_000);
     pass(8_000, 0);
-    assertThat(monitor.evacuates(1)).isTrue();
+    assertThat(monitor.isEvacuated(1)).isTrue();
     pass(11_500, 0, 1);
     assertThat(returned).isEmpty();
     List<Long> open = new ArrayList<>();
@@ -277,9 +277,9 @@
     JsonNode tree = Json.read(record.getBytes(StandardCharsets.UTF_8), JsonNode.class);
     stored.put(ZoneRecord.key(0, "b"), new VersionedValue(tree, 5));
     monitor = monitor();
-    ZoneStatus b = monitor.status().get(1);
+    ZoneStatus b = monitor.statuses().get(1);
     assertThat(b.state()).isEqualTo(state);
-    assertThat(b.returnInS()).isEqualTo(returnInS);
+    assertThat(b.minReturnInSeconds()).isEqualTo(returnInS);
   }
 
   /** One zone alone is watched: its former record keeps no silent machine from being given back. */
@@ -290,9 +290,9 @@
     monitor =
         monitor(
             new ZonePolicy(true, List.of("b"), 3_000, 2_000, 10_000, 80_000, 100_000, 1, 5_000));
-    assertThat(monitor.evacuates(1)).isFalse();
+    assertThat(monitor.isEvacuated(1)).isFalse();
     assertThat(monitor.scaleOutLimit(1)).isEqualTo(Integer.MAX_VALUE);
-    assertThat(monitor.status()).isEmpty();
+    assertThat(monitor.statuses()).isEmpty();
   }
 
   /** A controller that hears nobody, as one that is cut off itself, judges nobody. */
@@ -300,7 +300,7 @@
   void whoHearsNobodyJudgesNobody() {
     pass(4_000, 0, 1);
     pass(10_000);
-    assertThat(monitor.evacuates(0) || monitor.evacuates(1)).isFalse();
+    assertThat(monitor.isEvacuated(0) || monitor.isEvacuated(1)).isFalse();
   }
 
   /**
@@ -316,6 +316,6 @@
           .forEach(m -> report(m, m.confirmedUnderToken()));
       pass(TICK_MS);
     }
-    assertThat(monitor.status()).allMatch(z -> z.state() == ZoneState.HEALTHY);
+    assertThat(monitor.statuses()).allMatch(z -> z.state() == ZoneState.HEALTHY);
   }
 }
--- a/src/test/java/dev/windbend/zone/ZoneTrackerTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneTrackerTest.java
@@ -22,7 +22,7 @@
   private static final ZoneEvidence WELL = new ZoneEvidence(10, 0, 0, false);
   private static final ZoneEvidence LOST = new ZoneEvidence(1, 9, 0, false);
 
-  private final ZoneTracker tracker = new ZoneTracker(POLICY, 0);
+  private final ZoneStateMachine tracker = new ZoneStateMachine(POLICY, 0);
   private long nowMs;
 
   private void pass(ZoneEvidence evidence, long forMs) {
@@ -81,7 +81,7 @@
     List<Long> backoffs = new ArrayList<>();
     for (int loss = 0; loss < 5; loss++) {
       pass(LOST, 4_000);
-      backoffs.add(tracker.returnNotBeforeMs() - tracker.sinceMs());
+      backoffs.add(tracker.earliestReturnMs() - tracker.stateSinceMs());
       pass(WELL, 95_000);
     }
     assertThat(backoffs).containsExactly(10_000L, 20_000L, 40_000L, 80_000L, 80_000L);
@@ -123,7 +123,7 @@
    */
   @Property(tries = 400, shrinking = ShrinkingMode.BOUNDED)
   void neverOscillatesBeyondItsBound(@ForAll("evidence") List<ZoneEvidence> schedule) {
-    ZoneTracker any = new ZoneTracker(POLICY, 0);
+    ZoneStateMachine any = new ZoneStateMachine(POLICY, 0);
     long now = 0;
     long lostMs = 0;
     ZoneState before = any.state();
@@ -141,7 +141,7 @@
         assertThat(now - lostMs).isGreaterThanOrEqualTo(POLICY.backoffMs(any.losses()));
       }
       if (any.losses() < lossesBefore) {
-        assertThat(now - any.sinceMs()).isGreaterThanOrEqualTo(POLICY.decayMs());
+        assertThat(now - any.stateSinceMs()).isGreaterThanOrEqualTo(POLICY.backoffDecayMs());
       }
       before = after;
     }
@@ -150,19 +150,20 @@
   /** The ramp gives no more machines in any time than its fastest rate and its bucket allow. */
   @Property(tries = 200)
   void theRampIsBounded(@ForAll("gaps") List<Integer> gapsMs) {
-    ReturnRamp ramp = new ReturnRamp(POLICY);
+    ReturnRateLimiter ramp = new ReturnRateLimiter(POLICY);
     ramp.restart(0);
     long now = 0;
     long taken = 0;
     for (int gapMs : gapsMs) {
       now += gapMs;
       ramp.advance(now);
-      int some = ramp.available();
-      ramp.take(some);
+      int some = ramp.availableMachines();
+      ramp.consume(some);
       taken += some;
-      long doublings = now / POLICY.widenMs();
+      long doublings = now / POLICY.rateDoublingMs();
       double most =
-          POLICY.returnPerSecond() * Math.pow(2, (double) doublings) * (now / 1_000.0 + 2) + 1;
+          POLICY.initialReturnPerSecond() * Math.pow(2, (double) doublings) * (now / 1_000.0 + 2)
+              + 1;
       assertThat((double) taken).isLessThanOrEqualTo(most);
     }
   }
