--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -94,7 +94,7 @@
     }
   }
 
-  private void checkMachines(long now) {
-    components.health.check(now, leaseValidSinceMs, components.zones.availability()::isEvacuated);
+  private void checkMachines(long nowMs) {
+    components.health.check(nowMs, leaseValidSinceMs, components.zones.availability()::isEvacuated);
   }
 }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -232,9 +232,9 @@
   private void place(
       SchedulingDecision decision, long nowMs, List<Job> jobs, List<Machine> machines) {
     Set<Job> changed = new LinkedHashSet<>();
-    for (SchedulingDecision.PlacedTask place : decision.placements()) {
-      Job job = jobs.get(place.job());
-      Machine machine = machines.get(place.machine());
+    for (SchedulingDecision.PlacedTask placed : decision.placements()) {
+      Job job = jobs.get(placed.job());
+      Machine machine = machines.get(placed.machine());
       machine.add(
           job.place(job.nextWaitingTask(), machine.name(), nowMs, state.token(), cycleCount));
       changed.add(job);
--- a/src/main/java/dev/windbend/shard/ShardFailover.java
+++ b/src/main/java/dev/windbend/shard/ShardFailover.java
@@ -76,7 +76,7 @@
     SortedMap<String, JsonNode> entries =
         pages.restore(replica.withPrefix(JobRecord.pagesPrefix(leadership.shard())));
     for (VersionedValue record : replica.withPrefix(JobRecord.LIVE_PREFIX).values()) {
-      jobs.restore(record, entries, now);
+      jobs.restore(record, entries, nowMs);
     }
     pages.finishRestore();
   }
--- a/src/main/java/dev/windbend/shard/ShardJobs.java
+++ b/src/main/java/dev/windbend/shard/ShardJobs.java
@@ -64,7 +64,8 @@
       if (machine != null) {
         machine.add(placement);
       } else {
-        // The machine's record goes only once the cloud has confirmed its end, or it is empty.
+        // A machine's record is deleted only once the cloud has confirmed the machine's termination
+        // or the machine is empty, so the task is not running.
         job.confirmTerminated(placement);
       }
     }
--- a/src/main/java/dev/windbend/shard/ShardMachines.java
+++ b/src/main/java/dev/windbend/shard/ShardMachines.java
@@ -93,7 +93,7 @@
     long nowMs = loop.nowMs();
     zones.machineGone(machine);
     for (Placement placement : List.copyOf(machine.tasks().values())) {
-      machine.remove(placement, now);
+      machine.remove(placement, nowMs);
       placement.job().confirmTerminated(placement);
       registry.markChanged(placement.job());
     }
--- a/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
+++ b/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
@@ -91,7 +91,7 @@
     grant(0, 7);
     advance(RENEWAL_MS);
     respond(1, 503, "{}");
-    assertThat(loop.pendingTasks).as("one timer only").hasSize(1);
+    assertThat(loop.pendingTasks).as("one renewal timer").hasSize(1);
     advance(300);
     assertThat(httpClient.paths).containsExactly("/holds", "/holds/7/renew", "/holds/7/renew");
   }
