--- a/src/main/java/dev/windbend/machine/CloudClient.java
+++ b/src/main/java/dev/windbend/machine/CloudClient.java
@@ -145,16 +145,16 @@
         "/hosts?limit=" + MAX_PAGE_ENTRIES + (afterName == null ? "" : "&from=" + afterName),
         null,
         reply -> {
-          Optional<CloudMessages.InstancePage> listing =
+          Optional<CloudMessages.InstancePage> instancePage =
               read(reply, CloudMessages.InstancePage.class)
                   .filter(page -> page.instances() != null);
-          if (listing.isEmpty()) {
+          if (instancePage.isEmpty()) {
             done.accept(Optional.empty());
             return;
           }
-          List<CloudMessages.Instance> page = listing.get().instances();
+          List<CloudMessages.Instance> page = instancePage.get().instances();
           listed.addAll(page);
-          if (listing.get().hasMore() && !page.isEmpty()) {
+          if (instancePage.get().hasMore() && !page.isEmpty()) {
             listPage(page.get(page.size() - 1).name(), listed, done);
           } else {
             done.accept(Optional.of(listed));
--- a/src/main/java/dev/windbend/machine/Fleet.java
+++ b/src/main/java/dev/windbend/machine/Fleet.java
@@ -152,8 +152,8 @@
     if (closed || !listener.mayAct()) {
       return;
     }
-    scaleOut.processPending();
-    scaleIn.processPending();
+    scaleOut.sendPending();
+    scaleIn.sendNextBatch();
   }
 
   /**
--- a/src/main/java/dev/windbend/machine/FleetRecords.java
+++ b/src/main/java/dev/windbend/machine/FleetRecords.java
@@ -55,7 +55,7 @@
     }
     for (String machineName : record.machines()) {
       if (index.isCurrentRecord(request.key, machineName)
-          && !leftSince(machineName, request.fence)) {
+          && !removedSince(machineName, request.fence)) {
         restoreMachine(machineName, request, inherited);
       }
     }
@@ -67,15 +67,15 @@
   }
 
   /** Whether it left this shard under this fence or a later one. */
-  private boolean leftSince(String machineName, long fence) {
+  private boolean removedSince(String machineName, long fence) {
     return formerMachineFences.containsKey(machineName)
         && formerMachineFences.getLong(machineName) >= fence;
   }
 
   private void restoreMachine(String machineName, ScaleOutRequest request, boolean inherited) {
-    Machine former = machines.get(machineName);
-    if (former != null) {
-      remove(former);
+    Machine previous = machines.get(machineName);
+    if (previous != null) {
+      remove(previous);
     }
     Machine machine = addMachine(machineName, request, loop.nowMs());
     machine.completeRecordWrite();
--- a/src/main/java/dev/windbend/machine/ScaleIn.java
+++ b/src/main/java/dev/windbend/machine/ScaleIn.java
@@ -61,7 +61,7 @@
   }
 
   /** Calls the cloud for the next batch, unless a call is in progress. */
-  void processPending() {
+  void sendNextBatch() {
     if (callInProgress || terminating.isEmpty()) {
       return;
     }
--- a/src/main/java/dev/windbend/machine/ScaleOut.java
+++ b/src/main/java/dev/windbend/machine/ScaleOut.java
@@ -111,7 +111,7 @@
   }
 
   /** Calls the cloud for requests that are on record and have no answer. */
-  void processPending() {
+  void sendPending() {
     for (ScaleOutRequest request : List.copyOf(records.requests())) {
       if (request.answered || !request.recorded() || request.callInProgress) {
         continue;
