--- a/src/main/java/dev/windbend/peer/CancellationBroadcaster.java
+++ b/src/main/java/dev/windbend/peer/CancellationBroadcaster.java
@@ -13,17 +13,17 @@
 import java.util.Objects;
 
 /**
- * Sends cancellations that this controller has confirmed to all others at once, so that a leader
- * whose replica lags starts no task of such a job any more. Best effort: a message that is lost is
- * made up for by the replica.
+ * Sends confirmed cancellations to all other controllers immediately, so that a leader whose
+ * replica lags starts no further tasks of a cancelled job. Delivery is best effort: the replica
+ * later supplies any cancellation whose message is lost.
  */
 public final class CancellationBroadcaster {
-  /** Where controllers take one another's confirmed cancellations, by POST. */
+  /** Path at which controllers accept confirmed cancellations of other controllers, by POST. */
   public static final String PATH = "/peer/cancelled";
 
   private static final long CALL_TIMEOUT_MS = 900;
 
-  /** Cancellations that come within this time are sent together. */
+  /** Minimum interval between two batches; cancellations confirmed within it are sent together. */
   private static final long BATCH_INTERVAL_MS = 50;
 
   private final EventLoop loop;
@@ -34,10 +34,10 @@
   private long nextBatchMs = Long.MIN_VALUE / 2;
 
   /**
-   * A broadcaster to the controllers at these addresses.
+   * Creates a broadcaster to the other controllers.
    *
-   * @param addresses the other controllers, as host and port
-   * @param cancellations takes what the others send
+   * @param addresses addresses of the other controllers, as host and port
+   * @param cancellations receives the cancellations that other controllers send
    */
   public CancellationBroadcaster(
       EventLoop loop, HttpClient httpClient, List<String> addresses, Cancellations cancellations) {
@@ -47,7 +47,7 @@
     this.cancellations = cancellations;
   }
 
-  /** Sends the cancellation to all other controllers. */
+  /** Queues the cancellation for the next batch to all other controllers. */
   public void broadcast(Cancelled cancelled) {
     if (addresses.isEmpty()) {
       return;
@@ -55,7 +55,8 @@
     if (unsent.isEmpty()) {
       loop.after(Math.max(0, nextBatchMs - loop.nowMs()), this::sendBatch);
     }
-    // Others learn of what is over the bound by the replica's next change, or when they ask.
+    // The other controllers receive cancellations above the limit with the next update of their
+    // replica, or in response to a status request.
     if (unsent.size() < Cancellations.MAX_LISTED) {
       unsent.add(cancelled);
     }
@@ -70,7 +71,10 @@
     }
   }
 
-  /** Takes cancellations that another controller has confirmed; 400 if malformed. */
+  /**
+   * Records cancellations that another controller has confirmed. Responds with status 400 if the
+   * request is malformed.
+   */
   public ServerResponse handle(ServerRequest request) {
     PeerMessages.ConfirmedCancellations message =
         Json.read(request.body(), PeerMessages.ConfirmedCancellations.class);
--- a/src/main/java/dev/windbend/peer/MachineRequester.java
+++ b/src/main/java/dev/windbend/peer/MachineRequester.java
@@ -2,13 +2,13 @@
 
 import java.util.function.Consumer;
 
-/** Asks the leaders of the other shards for machines. */
+/** Requests machines from the leaders of the other shards. */
 public interface MachineRequester {
   /**
-   * Asks them one after the other until the request is met.
+   * Asks the leaders one after another until the request is met or every leader has been asked.
    *
    * @param shard the shard that lacks machines
-   * @param onComplete called once with what is coming of all together
+   * @param onComplete called once with the sum of all replies
    */
   void request(
       int shard,
--- a/src/main/java/dev/windbend/peer/MachineTransferClient.java
+++ b/src/main/java/dev/windbend/peer/MachineTransferClient.java
@@ -13,11 +13,12 @@
 import java.util.function.IntFunction;
 
 /**
- * Asks the other shards' leaders for machines, one after the other. The machines themselves change
- * hands by their records in the state service, so a lost or repeated message does no harm.
+ * Requests machines from the leaders of the other shards, one after another. The transfer of a
+ * machine itself is decided by its record in the state service, so a lost or repeated message is
+ * harmless.
  */
 public final class MachineTransferClient implements MachineRequester {
-  /** Where a controller takes requests of other controllers. */
+  /** Path at which a controller accepts transfer requests of other controllers, by POST. */
   public static final String PATH = "/peer/lend";
 
   private static final long CALL_TIMEOUT_MS = 400;
@@ -31,18 +32,18 @@
   /** The shards that this controller leads. */
   public interface LocalShards {
     /**
-     * Transfers machines of one shard to another one.
+     * Transfers machines from one shard to another.
      *
-     * @return null: this controller doesn't lead the shard {@code from}
+     * @return null if this controller does not lead the shard {@code from}
      */
     Reply transfer(int from, int to, Request request);
   }
 
   /**
-   * Makes a client that asks other controllers, and local shards directly.
+   * Creates a client that sends requests to other controllers and calls local shards directly.
    *
-   * @param leaderOf the name of a shard's leader; null: none is known
-   * @param addresses by name of the controller
+   * @param leaderOf returns the name of a shard's leader; null if none is known
+   * @param addresses addresses of the other controllers, by controller name
    */
   public MachineTransferClient(
       HttpClient httpClient,
@@ -95,7 +96,10 @@
         });
   }
 
-  /** Answers a request of another controller: 400 if it is malformed, else 200 with the reply. */
+  /**
+   * Handles a request of another controller. Responds with status 400 if the request is malformed,
+   * otherwise with status 200 and the reply.
+   */
   public void handle(ServerRequest request, Consumer<ServerResponse> done) {
     RoutedRequest routed = Json.read(request.body(), RoutedRequest.class);
     if (routed == null || !routed.valid(shardCount)) {
--- a/src/main/java/dev/windbend/peer/MachineTransferMessages.java
+++ b/src/main/java/dev/windbend/peer/MachineTransferMessages.java
@@ -4,18 +4,19 @@
 import dev.windbend.machine.MachineMessages.TaskRequirements;
 
 /**
- * Messages by which a shard that lacks machines asks the leaders of the other shards for some. They
- * announce transfers only: a machine changes its shard by its record in the state service.
+ * Messages with which a shard that lacks machines requests some from the leaders of the other
+ * shards. The messages only announce transfers: the record of a machine in the state service
+ * determines the shard that it belongs to.
  */
 public final class MachineTransferMessages {
   private MachineTransferMessages() {}
 
   /**
-   * A request on its way to the leader of another shard.
+   * A request addressed to the leader of another shard.
    *
    * @param from the shard that is asked for machines
    * @param to the shard that lacks machines
-   * @param request what it lacks
+   * @param request the machines that the requesting shard lacks
    */
   record RoutedRequest(
       @JsonProperty("from") int from,
@@ -27,12 +28,13 @@
   }
 
   /**
-   * What a shard asks of the leaders of other shards.
+   * A shard's request for machines.
    *
-   * @param count machines that it lacks
-   * @param guaranteeShare the share of its teams' guaranteed cores that it has; 1 or more: all of
-   *     them, or the cloud has more machines
-   * @param overdue machines that it gets even if tasks must be evicted from them first; null: none
+   * @param count number of machines that the shard lacks
+   * @param guaranteeShare fraction of its teams' guaranteed cores that the shard has; 1 or more if
+   *     it has all of them, or if the cloud has more machines available
+   * @param overdue tasks for which machines are transferred even if running tasks must be evicted
+   *     first; null if there are none
    */
   public record Request(
       @JsonProperty("count") int count,
@@ -40,18 +42,18 @@
       @JsonProperty("overdue") OverdueTasks overdue) {
 
     /**
-     * Whether the reply leaves no overdue task without a machine.
+     * Whether the reply covers the machines for all overdue tasks.
      *
-     * @return false as well if the request names no overdue tasks
+     * @return false also if the request contains no overdue tasks
      */
     public boolean overdueServed(Reply reply) {
       return overdue != null && reply.overdueCount() >= overdue.count();
     }
 
     /**
-     * What is left to ask of other leaders after such a reply.
+     * Returns the part of the request that the reply leaves unmet.
      *
-     * @return null: nothing
+     * @return null if the request is met
      */
     public Request remaining(Reply reply) {
       int remainingCount = Math.max(0, count - reply.count());
@@ -66,25 +68,26 @@
   }
 
   /**
-   * Tasks that have waited for so long that they get machines with room for them in any case.
+   * Tasks that have waited beyond the limit after which machines with capacity for them are
+   * transferred unconditionally.
    *
-   * @param task the one that has waited for longest
-   * @param count machines that let all of them start
+   * @param task requirements of the task that has waited longest
+   * @param count number of machines on which all of the tasks can start
    */
   public record OverdueTasks(
       @JsonProperty("task") TaskRequirements task, @JsonProperty("count") int count) {}
 
   /**
-   * What a leader answers.
+   * A leader's reply to a request for machines.
    *
-   * @param count machines that are coming
-   * @param overdueCount those of them that the overdue task may run on
+   * @param count number of machines to be transferred
+   * @param overdueCount number of those machines on which the overdue task may run
    */
   public record Reply(@JsonProperty("count") int count, @JsonProperty("overdue") int overdueCount) {
-    /** No machine is coming. */
+    /** A reply without machines. */
     public static final Reply NONE = new Reply(0, 0);
 
-    /** Both replies together; a negative count of the other one counts as none. */
+    /** Returns the sum of both replies; negative counts of the other reply are treated as 0. */
     public Reply plus(Reply other) {
       return new Reply(
           count + Math.max(0, other.count), overdueCount + Math.max(0, other.overdueCount));
--- a/src/main/java/dev/windbend/peer/PeerMessages.java
+++ b/src/main/java/dev/windbend/peer/PeerMessages.java
@@ -4,23 +4,24 @@
 import dev.windbend.job.Cancellations.Cancelled;
 import java.util.List;
 
-/** What controllers say to one another about the state service and cancellations. */
+/** Messages between controllers about the state service and cancellations. */
 final class PeerMessages {
   private PeerMessages() {}
 
   /**
-   * Asks whether the state service serves the controller asked.
+   * Asks another controller whether the state service serves it.
    *
-   * @param knownUpTo the asker knows of all cancellations up to this revision
+   * @param knownUpTo revision up to which the sender knows all cancellations
    */
   record StoreStatusRequest(@JsonProperty("known_up_to") long knownUpTo) {}
 
   /**
-   * Answers that.
+   * Response to a {@link StoreStatusRequest}.
    *
-   * @param lastServedMsAgo how long ago a call was sent that the state service answered
-   * @param cancelled all jobs of which users may have been told that they are cancelled, beyond
-   *     what the asker knows; null: not known
+   * @param lastServedMsAgo milliseconds since the sending of the newest call that the state service
+   *     answered
+   * @param cancelled all jobs whose cancellation may have been confirmed to users, after the
+   *     revision in the request; null if not known completely
    */
   record StoreStatus(
       @JsonProperty("answered_ms_ago") long lastServedMsAgo,
--- a/src/main/java/dev/windbend/peer/StoreOutageDetector.java
+++ b/src/main/java/dev/windbend/peer/StoreOutageDetector.java
@@ -12,29 +12,33 @@
 import java.util.List;
 
 /**
- * While the state service fails this controller, asks the others whether it serves them: a failing
- * call alone does not tell an outage of the service from a partition that cuts this controller off.
- * Bounds for how long workers may be kept without the state service.
+ * Distinguishes an outage of the state service from a partition that isolates this controller. A
+ * failed call alone does not show which of the two occurred, so while calls to the state service
+ * fail, this controller asks the other controllers whether the service answers them. The detector
+ * also limits how long workers' leases may be renewed without the state service.
  */
 public final class StoreOutageDetector {
-  /** Where controllers ask one another, by POST. */
+  /** Path at which controllers answer status requests of other controllers, by POST. */
   public static final String PATH = "/peer/store";
 
-  /** Failing for no longer than this is no outage. */
+  /** Failures that last no longer than this are not treated as an outage. */
   private static final long OUTAGE_THRESHOLD_MS = 700;
 
   private static final long POLL_INTERVAL_MS = 1_000;
   private static final long CALL_TIMEOUT_MS = 900;
 
-  /** Another controller that was served within this time is being served. */
+  /**
+   * The state service is considered to serve another controller if it answered that controller
+   * within this time.
+   */
   private static final long SERVED_RECENTLY_MS = 1_500;
 
-  /** An answer of another controller counts for this long. */
+  /** Time for which the status of another controller is considered current. */
   private static final long STATUS_VALID_MS = 2 * POLL_INTERVAL_MS + SERVED_RECENTLY_MS;
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
-  /** Until a worker sees that its lease has expired, and its tasks are killed. */
+  /** Maximum time for a worker to detect the expiry of its lease and kill its tasks. */
   private static final long KILL_DELAY_MS = 900;
 
   private static final double MS_PER_SECOND = 1_000;
@@ -49,17 +53,17 @@
   private long lastStatusMs = NEVER_MS;
 
   /**
-   * For each other controller, when the newest request was sent to which it answered with all
-   * cancellations that its users know of and this controller did not.
+   * For each other controller, when the newest status request was sent to which that controller
+   * responded with all cancellations confirmed to its users and unknown to this controller.
    */
   private final long[] cancellationsKnownMs;
 
   /**
-   * A detector that asks nobody until it is started.
+   * Creates a detector that sends no requests until it is started.
    *
-   * @param addresses the other controllers, as host and port
-   * @param leaseRenewalWindowMs {@link #leaseRenewalWindowMs(double, double)}
-   * @param cancellations what this controller knows of cancellations; takes what others answer
+   * @param addresses addresses of the other controllers, as host and port
+   * @param leaseRenewalWindowMs result of {@link #leaseRenewalWindowMs(double, double)}
+   * @param cancellations cancellations known to this controller; receives those reported by others
    */
   public StoreOutageDetector(
       EventLoop loop,
@@ -79,13 +83,17 @@
   }
 
   /**
-   * For how many milliseconds after all cancellations were known workers may be kept by heartbeat
-   * responses without commands, so that their leases expire before the tasks of a cancelled job
-   * have to be gone. A job cancelled right then must have no task {@code cancelSeconds} later; the
-   * last response keeps a lease for {@code leaseSeconds} from when its heartbeat was sent, which
-   * was before; clocks drift, and the kill takes its time. Nothing else counts: how long a
-   * heartbeat, a response or a question to another controller took is within, as all count from
-   * when they were sent. Not above 0: workers are not kept at all.
+   * Computes how long heartbeat responses without commands may renew workers' leases, in
+   * milliseconds since this controller last knew all cancellations. The limit makes the leases
+   * expire before the tasks of a cancelled job must have terminated.
+   *
+   * <p>A job cancelled at the start of the window must have no task {@code cancelSeconds} later.
+   * The last response extends a lease to {@code leaseSeconds} after its heartbeat was sent, which
+   * is before the window ends. Clock drift and the time to kill the tasks are subtracted. Delays of
+   * heartbeats, responses and status requests need no allowance, because all times count from
+   * sending.
+   *
+   * @return 0 or less if leases must never be renewed this way
    */
   public static long leaseRenewalWindowMs(double leaseSeconds, double cancelSeconds) {
     return (long)
@@ -95,25 +103,35 @@
         - KILL_DELAY_MS;
   }
 
-  /** Asks the others from now on, again and again while the state service fails. */
+  /**
+   * Starts to request the status of the other controllers periodically while calls to the state
+   * service fail.
+   */
   public void start() {
     loop.every(POLL_INTERVAL_MS, this::pollPeers);
   }
 
-  /** Another controller was served a moment ago, while this one was not: it is no outage. */
+  /**
+   * Whether the state service recently served another controller while it failed this one, which
+   * rules out a general outage.
+   */
   public boolean anyPeerServed() {
     return store.failingForMs() > OUTAGE_THRESHOLD_MS
         && loop.nowMs() - peerServedMs < STATUS_VALID_MS;
   }
 
   /**
-   * Whether workers may be kept by heartbeat responses without commands though it can't be known
-   * what other controllers do. Controllers that are cut off together hear one another and may take
-   * it for a general outage, while the rest accept cancellations. So it is bounded, whoever is
-   * heard, from when all cancellations were known last: when the watch that was answered last was
-   * sent, or when the newest requests were sent to which every other controller answered with all
-   * cancellations that its users know of and this one did not. That is a general outage, and all
-   * work goes on through it.
+   * Whether heartbeat responses without commands may renew workers' leases although this controller
+   * cannot know what other controllers do. Always true without other controllers; false while the
+   * state service serves another controller.
+   *
+   * <p>Controllers inside one partition reach one another and may mistake the partition for a
+   * general outage, while the controllers outside accept cancellations. Renewal is therefore
+   * limited to a fixed window after this controller last knew all cancellations, whichever
+   * controllers respond. That time is the later of two: the sending of the watch request that was
+   * answered last, and the sending of the newest status requests to which every other controller
+   * responded with all cancellations confirmed to its users and unknown to this controller. In a
+   * general outage every controller responds, the window keeps moving and tasks continue to run.
    */
   public boolean mayRenewWorkerLeases() {
     if (addresses.isEmpty()) {
@@ -125,14 +143,14 @@
             <= leaseRenewalWindowMs;
   }
 
-  /** Neither the state service nor any other controller answers. */
+  /** Whether neither the state service nor any other controller answers. */
   public boolean isolated() {
     return store.failingForMs() > STATUS_VALID_MS
         && !addresses.isEmpty()
         && loop.nowMs() - lastStatusMs >= STATUS_VALID_MS;
   }
 
-  /** Answers another controller's request; 400 if malformed. */
+  /** Responds to a status request of another controller; status 400 if the request is malformed. */
   public ServerResponse handle(ServerRequest request) {
     PeerMessages.StoreStatusRequest message =
         Json.read(request.body(), PeerMessages.StoreStatusRequest.class);
--- a/src/main/java/dev/windbend/worker/DirectStopClient.java
+++ b/src/main/java/dev/windbend/worker/DirectStopClient.java
@@ -8,20 +8,29 @@
 import java.util.List;
 
 /**
- * Has workers stop the tasks of cancelled jobs at once, instead of with the response to their next
- * heartbeat: that comes seconds later, and not at all to a worker that reaches no controller. It
- * needs no lease and may land late: an attempt of a cancelled job is never wanted again, and the
- * token fences it. Nothing relies on it; what is lost or discarded here the next response repeats.
+ * Sends stop commands for tasks of cancelled jobs directly to workers. The response to the next
+ * heartbeat would carry them seconds later, and would never reach a worker that has lost contact
+ * with all controllers.
+ *
+ * <p>A direct stop requires no valid leader lease and may arrive late: no attempt of a cancelled
+ * job is needed again, and the fencing token protects against a stale sender. Delivery is best
+ * effort: the next heartbeat response repeats each stop that is lost or discarded here.
  */
 public final class DirectStopClient {
   static final String PATH = "/commands";
   private static final long CALL_TIMEOUT_MS = 2_000;
   private static final int MAX_CALLS_IN_PROGRESS = 12;
 
-  /** One stop for each machine of a fleet twice as large as 4,000: a huge array is cancelled. */
+  /**
+   * Allows one stop per machine for 8,000 machines, twice a fleet of 4,000: cancelling a large
+   * array job can stop a task on every machine.
+   */
   private static final int MAX_QUEUED = 8_000;
 
-  /** What has waited for longer is discarded: the worker has had a response since. */
+  /**
+   * Longest time in the queue, one heartbeat interval. Older entries are discarded, because a
+   * heartbeat response has carried the stops in the meantime.
+   */
   private final long maxQueueTimeMs;
 
   private final EventLoop loop;
@@ -33,7 +42,7 @@
       String address, WorkerMessages.DirectCommands commands, long expiresMs) {}
 
   /**
-   * A client with an empty queue.
+   * Creates a client with an empty queue.
    *
    * @param heartbeatSeconds interval of the workers' heartbeats
    */
--- a/src/main/java/dev/windbend/worker/ExitCause.java
+++ b/src/main/java/dev/windbend/worker/ExitCause.java
@@ -1,17 +1,17 @@
 package dev.windbend.worker;
 
-/** Why a task has exited, as its worker says. */
+/** Reason for the exit of a task, as reported by its worker. */
 enum ExitCause {
-  /** It ended with success. */
+  /** The task succeeded. */
   COMPLETED,
-  /** It ended with an error. */
+  /** The task failed with an error. */
   FAILED,
-  /** The worker refused its start: the machine lacks the resources. */
+  /** The worker rejected the start: the machine has insufficient free resources. */
   INSUFFICIENT_RESOURCES,
-  /** The worker refused its start: another attempt of the task is on the machine. */
+  /** The worker rejected the start: another attempt of the task is on the machine. */
   OTHER_ATTEMPT_PRESENT,
-  /** The worker refused its start: the job or the task is not known to it as submitted. */
+  /** The worker rejected the start: it does not know the job or the task as submitted. */
   UNKNOWN_JOB,
-  /** It was stopped as ordered, or its cause is missing or not known here. */
+  /** The task was stopped by command, or the reported cause is missing or unrecognized. */
   STOPPED
 }
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -20,13 +20,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes the heartbeats of a shard's workers, and responds to each at once, or as soon as there is
- * something to do for the worker.
+ * Handles the heartbeats of a shard's workers. A response is sent immediately, or held until there
+ * is a command for the worker or a time limit expires.
  */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-  /** The cloud may take a machine away so much earlier than it said. */
+  /** The cloud may reclaim a machine this much earlier than announced. */
   private static final long RECALL_MARGIN_MS = 1_000;
 
   private final EventLoop loop;
@@ -39,26 +39,31 @@
   private final HeartbeatTiming timing;
   private final HeldHeartbeats heldHeartbeats;
 
-  /** Whether this controller leads the shard. */
+  /** Tells what this controller may do as leader of the shard. */
   public interface Leadership {
-    /** It certainly does, so it may give orders. */
+    /** Whether this controller is certain to lead the shard and may therefore send commands. */
     boolean mayAct();
 
-    /** Though it can't be sure that it does, no other controller could use the workers now. */
+    /**
+     * Whether heartbeat responses may renew workers' leases although this controller may no longer
+     * lead the shard. True while no other controller could use the workers.
+     */
     boolean mayRenewWorkerLeases();
   }
 
-  /** Has scheduling cycles run. */
+  /** Triggers scheduling cycles. */
   public interface SchedulingTrigger {
-    /** Capacity was freed, or a machine leaves: a cycle follows soon. */
+    /**
+     * Requests a cycle in the near future, after capacity was freed or a machine began to leave.
+     */
     void requestCycle();
 
-    /** A cycle runs at once, unless one has just been: then soon. */
+    /** Runs a cycle immediately, or requests one in the near future if a cycle has just run. */
     void runCycleNow();
   }
 
   /**
-   * A handler for the workers of one shard.
+   * Creates a handler for the workers of one shard.
    *
    * @param token fencing token under which this controller leads the shard
    */
@@ -82,15 +87,15 @@
     this.heldHeartbeats = new HeldHeartbeats(loop);
   }
 
-  /** Refuses the heartbeats whose responses wait. */
+  /** Answers all held heartbeats with status 503. */
   public void close() {
     heldHeartbeats.close();
   }
 
   /**
-   * Takes one heartbeat.
+   * Handles one heartbeat.
    *
-   * @param responseCallback takes the response, at once or later
+   * @param responseCallback receives the response, immediately or later
    */
   public void handle(Heartbeat heartbeat, Consumer<ServerResponse> responseCallback) {
     Machine machine = fleet.find(heartbeat.machine());
@@ -100,8 +105,8 @@
     }
     long nowMs = loop.nowMs();
     if (!machine.liveness().isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
-      // A late copy, or held back by the network: older than what we know, and nobody waits for the
-      // response. It proves nothing and renews nothing.
+      // A duplicate, or a heartbeat delayed by the network. It is older than the recorded state and
+      // its sender no longer waits for the response, so it neither confirms nor renews anything.
       responseCallback.accept(restrictedResponse(machine, heartbeat));
       return;
     }
@@ -118,12 +123,17 @@
     respondOrHold(machine, heartbeat, responseCallback);
   }
 
-  /** Whether the machine is ours, and its worker has seen no token above the one we use for it. */
+  /**
+   * Whether the machine belongs to this shard and its worker has seen no token above the one that
+   * this controller uses for the machine.
+   */
   private boolean accepts(Machine machine, Heartbeat heartbeat) {
     return machine != null && heartbeat.token() <= machine.token(token);
   }
 
-  /** The worker has given up on the response that waits: a newer heartbeat has come. */
+  /**
+   * Answers the held heartbeat that a newer one replaces; the worker has abandoned that request.
+   */
   private void discardHeld(Machine machine) {
     HeldHeartbeat held = heldHeartbeats.release(machine);
     if (held != null) {
@@ -154,9 +164,12 @@
   }
 
   /**
-   * Whether our responses reach it: one gives it our token, and a start shows in the next
-   * heartbeat. A machine that keeps sending heartbeats but shows neither gets no more work and is
-   * returned. Its incarnation ends too, as no response renews its lease.
+   * Records whether the worker received earlier responses. A response passes the current token to
+   * the worker, and a start sent in a response makes the task appear in the next heartbeat. A
+   * machine whose heartbeats show a missed response gets no new tasks and is eventually returned to
+   * the cloud. A worker that receives no responses also loses its lease and begins a new
+   * incarnation, so a new incarnation shortly after a confirmed heartbeat counts as a missed
+   * response.
    */
   private void recordResponseDelivery(
       Machine machine, Heartbeat heartbeat, long machineToken, long nowMs) {
@@ -193,7 +206,10 @@
     }
   }
 
-  /** What has not started there never will: without this it would stay placed for ever. */
+  /**
+   * Stops placements whose tasks have not started on a cordoned machine. The machine gets no more
+   * starts, so these tasks would otherwise remain placed indefinitely.
+   */
   private static void stopUnstartedPlacements(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
       if (!placement.seen() && !placement.inherited()) {
@@ -202,7 +218,10 @@
     }
   }
 
-  /** Tasks that can save a checkpoint do so in time; others may still end before the recall. */
+  /**
+   * Stops tasks that can save a checkpoint early enough to save it before the recall. Other tasks
+   * continue, because they may finish before the recall.
+   */
   private void stopCheckpointingTasks(Machine machine, long nowMs) {
     for (Placement placement : machine.tasks().values()) {
       double saveS = placement.job().spec().saveS();
@@ -223,7 +242,8 @@
     } else if (hasFreeCapacity(machine)
         && reconciler.commandsWithoutStarts(machine, heartbeat).isEmpty()
         && !hasPendingStart(machine)) {
-      // With room and nothing to do, it gets new work at once instead of at its next heartbeat.
+      // A machine with free capacity and no pending command receives a newly placed task without
+      // waiting for its next heartbeat.
       HeldHeartbeat held =
           new HeldHeartbeat(machine, heartbeat, Awaited.TASK_PLACEMENT, responseCallback);
       heldHeartbeats.hold(held, timing.idleHoldMs(), this::respond);
@@ -258,11 +278,15 @@
   }
 
   /**
-   * Unsure of our lease, or of what is on the machine, we only keep workers' leases alive, and stop
-   * tasks of cancelled jobs: nobody takes a lease's expiry for proof, and a successor's token is
-   * higher. Not if others are served, so that workers find them, and not for longer than {@link
-   * Leadership#mayRenewWorkerLeases} allows. To be asked when the response goes out, as it may have
-   * waited.
+   * Builds the response for a controller that cannot confirm its leadership, or the tasks on the
+   * machine. The response renews the worker's lease and stops tasks of cancelled jobs; it carries
+   * no other command.
+   *
+   * <p>Renewing is safe: no controller treats the expiry of a worker's lease as proof that its
+   * tasks have terminated, and the next leader has a higher token. The response is an error that
+   * renews nothing while the state service serves other controllers, so that workers find those
+   * controllers, and once the limit set by {@link Leadership#mayRenewWorkerLeases} has passed. The
+   * response is built when it is sent, because the situation may change while a heartbeat is held.
    */
   private ServerResponse restrictedResponse(Machine machine, Heartbeat heartbeat) {
     ResponseKind kind =
@@ -296,7 +320,7 @@
         && machine.freeCores() >= 1;
   }
 
-  /** A start may go out to it. */
+  /** Whether the machine has a placed task whose start may be sent now. */
   private static boolean hasPendingStart(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
       if (!placement.seen() && placement.job().startable(placement)) {
@@ -306,7 +330,7 @@
     return false;
   }
 
-  /** A start may go out to it as soon as its placement is written. */
+  /** Whether the machine has a placed task whose start may be sent once its placement is stored. */
   private static boolean hasPendingWrite(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
       if (!placement.inherited()
@@ -319,7 +343,10 @@
     return false;
   }
 
-  /** A job was cancelled: stops go to its workers at once, in responses that wait or directly. */
+  /**
+   * Sends stops for all tasks of a cancelled job immediately, in the response to a held heartbeat
+   * where there is one and by direct command elsewhere.
+   */
   public void stopTasks(Job cancelledJob) {
     Map<Machine, List<Command>> stops = new LinkedHashMap<>();
     for (Placement placement : cancelledJob.placements()) {
@@ -346,7 +373,7 @@
     }
   }
 
-  /** Something was written or placed: responses that waited for it go out. */
+  /** Sends the held responses that have become ready after a placement or a completed write. */
   public void respondToHeldHeartbeats() {
     heldHeartbeats.releaseIf(HeartbeatHandler::isReadyToRespond, this::respond);
   }
--- a/src/main/java/dev/windbend/worker/HeartbeatReader.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatReader.java
@@ -11,17 +11,17 @@
 import java.util.List;
 
 /**
- * Reads workers' heartbeats token by token. Heartbeats are most of what a controller receives, and
- * right after its start they all come at once, while the code that maps JSON to records by
- * reflection is not compiled yet. Unknown fields are ignored, and a missing field is the same as
- * null.
+ * Parses workers' heartbeats with a streaming parser. Heartbeats are most of the requests that a
+ * controller receives. Directly after its start they arrive all at once, while the reflective
+ * mapping from JSON to records is not yet compiled by the JIT. Unknown fields are ignored, and a
+ * missing field is read as null.
  */
 public final class HeartbeatReader {
   private static final JsonFactory FACTORY = new JsonFactory();
 
   private HeartbeatReader() {}
 
-  /** The heartbeat in these bytes; null if they do not hold a valid one. */
+  /** Parses a heartbeat; returns null if the bytes do not contain a valid one. */
   public static Heartbeat read(byte[] bytes) {
     try (JsonParser parser = FACTORY.createParser(bytes)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -34,7 +34,7 @@
     }
   }
 
-  /** The fields of one heartbeat, as far as they have been read. */
+  /** The fields of one heartbeat that have been read. */
   private static final class HeartbeatFields {
     private String machine;
     private String address;
@@ -131,7 +131,7 @@
 
   private static void requireToken(boolean expected, JsonParser parser) throws IOException {
     if (!expected) {
-      throw new JsonParseException(parser, "unexpected " + parser.currentToken());
+      throw new JsonParseException(parser, "unexpected JSON token " + parser.currentToken());
     }
   }
 }
--- a/src/main/java/dev/windbend/worker/HeartbeatTiming.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatTiming.java
@@ -1,20 +1,25 @@
 package dev.windbend.worker;
 
 /**
- * Intervals that rule heartbeats and their responses.
+ * Intervals that govern heartbeats and their responses.
  *
  * @param heartbeatMs interval of a worker's heartbeats
- * @param leaseMs how long after the last renewal a worker's lease expires
- * @param idleHoldMs how long the response to a worker with nothing to do waits for work
+ * @param leaseMs time from the last renewal of a worker's lease until it expires
+ * @param idleHoldMs maximum time for which the response to a worker without pending commands is
+ *     held
  */
 public record HeartbeatTiming(long heartbeatMs, long leaseMs, long idleHoldMs) {
-  /** A worker discards a response after 4 s; this leaves time for the way and a slow controller. */
+  /**
+   * Maximum time for which a response is held. A worker discards a response after 4 s; the
+   * difference allows for network latency and a slow controller.
+   */
   static final long MAX_HOLD_MS = 2_600;
 
   /**
-   * The timing that the deployment sets.
+   * Creates the timing from the settings.
    *
-   * @param idleHoldFraction part of the heartbeat interval for which a response waits for work
+   * @param idleHoldFraction fraction of the heartbeat interval for which a response is held until a
+   *     task is placed
    */
   public static HeartbeatTiming of(
       double heartbeatSeconds, double leaseSeconds, double idleHoldFraction) {
--- a/src/main/java/dev/windbend/worker/HeldHeartbeats.java
+++ b/src/main/java/dev/windbend/worker/HeldHeartbeats.java
@@ -11,20 +11,23 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Heartbeats whose responses wait for a write, or for work: at most one of each machine. */
+/**
+ * Heartbeats whose responses are held until a write completes or a task is placed; at most one per
+ * machine.
+ */
 final class HeldHeartbeats {
   private final EventLoop loop;
   private final Map<Machine, HeldHeartbeat> byMachine = new LinkedHashMap<>();
 
-  /** What a held response waits for. */
+  /** The event that a held response waits for. */
   enum Awaited {
-    /** The placements on the machine being written, so that their starts may go out. */
+    /** Storage of the machine's placements, after which the starts may be sent. */
     PLACEMENT_WRITE,
-    /** A task being placed on the machine, which has nothing to do. */
+    /** Placement of a task on the machine, which has no pending command. */
     TASK_PLACEMENT
   }
 
-  /** A heartbeat whose response waits. */
+  /** A heartbeat whose response is held. */
   record HeldHeartbeat(
       Machine machine,
       WorkerMessages.Heartbeat heartbeat,
@@ -35,7 +38,10 @@
     this.loop = loop;
   }
 
-  /** Holds a response for so long at most, after which the heartbeat goes to the callback. */
+  /**
+   * Holds a heartbeat until it is released; after {@code holdMs} it is passed to the callback
+   * instead.
+   */
   void hold(HeldHeartbeat held, long holdMs, Consumer<HeldHeartbeat> onExpiry) {
     byMachine.put(held.machine(), held);
     loop.after(
@@ -47,12 +53,12 @@
         });
   }
 
-  /** Holds the machine's heartbeat no more; null: it held none. */
+  /** Releases the machine's held heartbeat; returns null if there is none. */
   HeldHeartbeat release(Machine machine) {
     return byMachine.remove(machine);
   }
 
-  /** Passes on the heartbeats that are ready now, in the order in which they came. */
+  /** Releases the heartbeats that are ready, in order of arrival. */
   void releaseIf(Predicate<HeldHeartbeat> isReady, Consumer<HeldHeartbeat> respond) {
     if (byMachine.isEmpty()) {
       return;
@@ -64,14 +70,14 @@
       }
     }
     for (HeldHeartbeat held : releasable) {
-      // A response sent meanwhile may have released it.
+      // A response sent earlier in this loop may have released the heartbeat.
       if (byMachine.remove(held.machine(), held)) {
         respond.accept(held);
       }
     }
   }
 
-  /** Refuses all that are held. */
+  /** Answers all held heartbeats with status 503 and releases them. */
   void close() {
     byMachine
         .values()
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -14,50 +14,61 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the tasks that a heartbeat lists with those placed on the machine: takes in what
- * became of them, and makes the orders that turn the listed tasks into the wanted ones.
+ * Reconciles the tasks that a heartbeat reports with the tasks placed on the machine: records their
+ * state changes, and builds the commands that bring the machine to the desired state.
  */
 public final class TaskReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
 
-  /** How long a machine gets no starts after it refused one because it is in use. */
+  /**
+   * How long a machine gets no starts after it rejected one for lack of resources or because of
+   * another attempt.
+   */
   private static final long START_REFUSED_BACKOFF_MS = 3_000;
 
-  /** How long a job is deferred after a worker refused its start as unknown. */
+  /** How long a job is deferred after a worker rejected its start as unknown. */
   private static final long JOB_UNKNOWN_BACKOFF_MS = 3_000;
 
   private final TaskEvents events;
 
-  /** Hears what became of tasks, and tells of the jobs that they belong to. */
+  /** Receives the results of tasks, and looks up the jobs that they belong to. */
   public interface TaskEvents {
-    /** Null if it is not a live job of this shard. */
+    /** Returns the job; null if it is not a live job of this shard. */
     Job findJob(String uid);
 
-    /** Finally cancelled, as far as this controller knows; whoever leads the shard now. */
+    /**
+     * Whether this controller knows the job to be irrevocably cancelled, regardless of which
+     * controller leads its shard.
+     */
     boolean isCancelled(String uid);
 
-    /** The job differs from what is stored of it, and is to be written. */
+    /** The job differs from its stored record and must be written. */
     void jobChanged(Job job);
 
-    /** The task has ended with success. */
+    /**
+     * The task succeeded.
+     *
+     * @param nowMs monotonic clock
+     */
     void taskCompleted(Placement placement, long nowMs);
 
-    /** The task has ended with an error. */
+    /** The task failed with an error on this machine. */
     void taskFailed(Placement placement, Machine machine);
 
-    /** The index of an image, by which machines remember what they hold. */
+    /** Returns the index of an image, which identifies it in the list of images on a machine. */
     int imageIndex(String name);
   }
 
-  /** A reconciler that tells this listener what became of tasks. */
+  /** Creates a reconciler that reports to this listener. */
   public TaskReconciler(TaskEvents events) {
     this.events = events;
   }
 
   /**
-   * Takes in a heartbeat that is newer than all before and came under our token.
+   * Updates placements from a heartbeat that is newer than all earlier ones and carries the current
+   * token.
    *
-   * @param nowMs steady clock
+   * @param nowMs monotonic clock
    */
   public void reconcile(Machine machine, Heartbeat heartbeat, long nowMs) {
     Set<Placement> reportedPlacements = new HashSet<>();
@@ -111,7 +122,7 @@
           machine.refuseStartsUntil(nowMs + START_REFUSED_BACKOFF_MS);
       case UNKNOWN_JOB -> placement.job().deferUntil(nowMs + JOB_UNKNOWN_BACKOFF_MS);
       case STOPPED -> {
-        // The task is pending again.
+        // Removing the placement makes the task pending again.
       }
     }
     remove(machine, placement, nowMs);
@@ -124,8 +135,8 @@
   }
 
   /**
-   * An attempt that had been given up has completed: that counts all the same, and another attempt
-   * is needed no more.
+   * Records the completion of an attempt that was previously abandoned. The task counts as
+   * completed, and another attempt of it is stopped.
    */
   private void completeAbandonedAttempt(TaskState reported, long nowMs) {
     Job job = findJob(reported.task());
@@ -142,10 +153,11 @@
   }
 
   /**
-   * The heartbeat lacks the attempt. It is gone if it was there before, or if it came from a former
-   * leader: no start of theirs can be executed any more, as the worker has seen our token. A start
-   * of ours may only be written off when it is not wanted any more and the heartbeat was sent after
-   * the response that carried it was used or discarded.
+   * Whether an attempt that is missing from the heartbeat is confirmed terminated. That holds if an
+   * earlier heartbeat reported the attempt, or if a previous leader placed it: the worker has seen
+   * the current token and no longer executes starts under an older one. A start sent under the
+   * current token is confirmed terminated only if the attempt is being stopped and the heartbeat
+   * was sent after the response with the start was processed or discarded.
    */
   private static boolean isConfirmedTerminated(Placement placement, Heartbeat heartbeat) {
     return placement.seen()
@@ -153,7 +165,10 @@
         || (placement.stopping() && startSentBefore(placement, heartbeat));
   }
 
-  /** The start answered an earlier heartbeat of this or an earlier incarnation. */
+  /**
+   * Whether the start was sent in response to an earlier heartbeat of this or an earlier
+   * incarnation.
+   */
   private static boolean startSentBefore(Placement placement, Heartbeat heartbeat) {
     return placement.sentIncarnation() < heartbeat.incarnation()
         || startSentBeforeInIncarnation(placement, heartbeat);
@@ -164,7 +179,10 @@
         && placement.sentSequence() < heartbeat.sequence();
   }
 
-  /** A start went out in the response to an earlier heartbeat, and this one does not list it. */
+  /**
+   * Whether the heartbeat lacks a task whose start was sent in response to an earlier heartbeat of
+   * the same incarnation.
+   */
   boolean hasMissingStart(Machine machine, Heartbeat heartbeat) {
     for (Placement placement : machine.tasks().values()) {
       if (!placement.seen()
@@ -178,8 +196,8 @@
   }
 
   /**
-   * Orders that take away what is not wanted: stops first, then acknowledgements of exits, each in
-   * the order in which the heartbeat lists the tasks.
+   * Builds the stops and acknowledgements for the reported tasks. Stops come first, then
+   * acknowledgements of exits, each in the order of the heartbeat's task list.
    */
   List<Command> commandsWithoutStarts(Machine machine, Heartbeat heartbeat) {
     List<Command> commands = new ArrayList<>();
@@ -208,8 +226,8 @@
   }
 
   /**
-   * Orders that make the listed tasks the wanted ones. The starts come last, and are recorded as
-   * sent in the response to this heartbeat.
+   * Builds all commands that bring the machine to the desired state. Starts come last and are
+   * recorded as sent in the response to this heartbeat.
    */
   List<Command> commandsWithStarts(Machine machine, Heartbeat heartbeat) {
     List<Command> commands = commandsWithoutStarts(machine, heartbeat);
@@ -226,9 +244,10 @@
   }
 
   /**
-   * Stops for all listed tasks of cancelled jobs. They need no lease: they are right whoever leads
-   * the shard, and without them a leader that is unsure through an outage would keep such a task
-   * alive, by renewing its machine's lease, for longer than {@code cancel_s}.
+   * Builds stops for all reported tasks of cancelled jobs. These stops require no valid leader
+   * lease, because they are correct whichever controller leads the shard. Without them, a leader
+   * that cannot confirm its lease during an outage would renew the machine's lease and let such a
+   * task run for longer than {@code cancel_s}.
    */
   List<Command> stopsForCancelledTasks(Heartbeat heartbeat) {
     List<Command> stops = new ArrayList<>();
@@ -243,7 +262,10 @@
     return stops;
   }
 
-  /** The worker keeps a completed task's exit until the record says that it is completed. */
+  /**
+   * Whether the exit may be acknowledged. The worker must report the exit of a completed task until
+   * the stored record contains the completion.
+   */
   private boolean mayAcknowledge(TaskState reported) {
     if (reported.exitCause() != ExitCause.COMPLETED) {
       return true;
@@ -262,7 +284,7 @@
     return slash < 0 ? null : events.findJob(taskName.substring(0, slash));
   }
 
-  /** Index of the task in its job; -1: the name has none. */
+  /** Index of the task in its job; -1 if the name contains none. */
   private static int taskIndex(String taskName) {
     try {
       return Integer.parseInt(taskName.substring(taskName.lastIndexOf('/') + 1));
--- a/src/main/java/dev/windbend/worker/WorkerMessages.java
+++ b/src/main/java/dev/windbend/worker/WorkerMessages.java
@@ -3,23 +3,23 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
-/** The workers' wire format. */
+/** Messages exchanged with workers. The JSON field names are the wire format. */
 public final class WorkerMessages {
   private WorkerMessages() {}
 
   /**
-   * A worker's heartbeat, with the status of its tasks.
+   * A worker's heartbeat, with the state of its tasks.
    *
    * @param machine name that the cloud gave the machine
-   * @param address where the worker takes direct commands; null: nowhere
+   * @param address address at which the worker accepts direct commands; null if it accepts none
    * @param machineType name of the machine type
    * @param zone name of the zone
    * @param spot whether the machine is a spot instance
-   * @param incarnation incarnation of the worker, from 1: grows with each of its sessions
+   * @param incarnation incarnation of the worker, from 1; increases with each of its sessions
    * @param sequence sequence number of the heartbeat within the incarnation
    * @param token highest fencing token that the worker has seen
-   * @param recallS seconds until the cloud takes the machine away; null: no notice
-   * @param tasks the tasks on the machine, with those that have exited and are not acknowledged
+   * @param recallS seconds until the cloud reclaims the machine; null if no recall is announced
+   * @param tasks tasks on the machine, including exited tasks whose exit is not yet acknowledged
    */
   public record Heartbeat(
       @JsonProperty("truck") String machine,
@@ -32,7 +32,7 @@
       @JsonProperty("baton") long token,
       @JsonProperty("recall_s") Double recallS,
       @JsonProperty("drops") List<TaskState> tasks) {
-    /** Whether all that a heartbeat must have is there. */
+    /** Whether all required fields are present and within their bounds. */
     public boolean valid() {
       return machine != null
           && machineType != null
@@ -44,7 +44,7 @@
           && tasks.stream().allMatch(t -> t != null && t.task() != null && t.state() != null);
     }
 
-    /** Whether it lists this attempt of a task. */
+    /** Whether the heartbeat reports this attempt of a task. */
     boolean lists(String taskName, long attempt) {
       for (TaskState reported : tasks) {
         if (reported.attempt() == attempt && reported.task().equals(taskName)) {
@@ -56,13 +56,13 @@
   }
 
   /**
-   * How a task stands on a machine.
+   * State of a task on a machine.
    *
-   * @param task name: uid of the job, a slash, index of the task in the job
+   * @param task name of the task: uid of the job, a slash, and the index of the task in the job
    * @param attempt number of the attempt
-   * @param state where in its life the task is
-   * @param cause why it has exited; null: it has not
-   * @param checkpointSaved whether it saved a checkpoint before it exited; null: not known
+   * @param state lifecycle state, for instance {@code running} or {@code exited}
+   * @param cause reason for the exit; null if the task has not exited
+   * @param checkpointSaved whether the task saved a checkpoint before it exited; null if unknown
    */
   public record TaskState(
       @JsonProperty("drop") String task,
@@ -95,20 +95,20 @@
   }
 
   /**
-   * Response to a heartbeat; it renews the worker's lease.
+   * Response to a heartbeat; renews the worker's lease.
    *
-   * @param token fencing token: the worker obeys no lower one any more
-   * @param commands carried out in this order
+   * @param token fencing token; the worker rejects lower tokens from then on
+   * @param commands commands, executed in list order
    */
   public record HeartbeatResponse(
       @JsonProperty("baton") long token, @JsonProperty("orders") List<Command> commands) {}
 
   /**
-   * Sent straight to a worker; it renews no lease.
+   * Commands sent directly to a worker; renew no lease.
    *
-   * @param token fencing token: the worker obeys no lower one
-   * @param incarnation incarnation of the worker that it is meant for
-   * @param commands carried out in this order
+   * @param token fencing token; the worker rejects the commands if it has seen a higher one
+   * @param incarnation incarnation of the worker that the commands are addressed to
+   * @param commands commands, executed in list order
    */
   record DirectCommands(
       @JsonProperty("baton") long token,
@@ -116,12 +116,13 @@
       @JsonProperty("orders") List<Command> commands) {}
 
   /**
-   * What a worker is to do with one attempt of a task.
+   * A command to a worker concerning one attempt of a task.
    *
-   * @param action start, stop, or acknowledgement of an exit
+   * @param action start, stop or acknowledgement of an exit, as its name on the wire
    * @param task name of the task
    * @param attempt number of the attempt
-   * @param graceS seconds that a task that is stopped may use to save a checkpoint; null: no stop
+   * @param graceS seconds allowed for saving a checkpoint before the task is stopped; null if the
+   *     command is not a stop
    */
   public record Command(
       @JsonProperty("order") String action,
@@ -136,16 +137,16 @@
       return new Command("kill", task, attempt, graceS);
     }
 
-    /** The worker need not report the exited task any more. */
+    /** Confirms the exit of a task, so that the worker stops reporting it. */
     static Command acknowledgeExit(String task, long attempt) {
       return new Command("reap", task, attempt, null);
     }
   }
 
   /**
-   * Response to a heartbeat that belongs to another controller.
+   * Response to a heartbeat whose shard is led by another controller.
    *
-   * @param leader name of that controller; null: not known
+   * @param leader name of that controller; null if unknown
    */
   public record LeaderRedirect(@JsonProperty("dispatcher") String leader) {}
 }
--- a/src/main/java/dev/windbend/worker/package-info.java
+++ b/src/main/java/dev/windbend/worker/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Workers, the agents on the machines: reads their heartbeats, reconciles the tasks they report
- * with the tasks that are placed there, and responds with the orders that make up the difference.
+ * Communication with workers, the agents on the machines. The package parses heartbeats, reconciles
+ * the reported tasks with the tasks placed on each machine, and responds with commands that bring
+ * the machine to the desired state.
  */
 package dev.windbend.worker;
--- a/src/test/java/dev/windbend/peer/PeerMessagesTest.java
+++ b/src/test/java/dev/windbend/peer/PeerMessagesTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Messages between nodes: a node of another version may be at the other end. */
+/** Checks the JSON of messages between controllers, which may run different versions. */
 class PeerMessagesTest {
   static Stream<Arguments> messages() {
     return Stream.of(
         arguments(
-            "question about the state service",
+            "status request for the state service",
             new PeerMessages.StoreStatusRequest(41),
             "{\"known_up_to\":41}"),
         arguments(
-            "answer about the state service",
+            "status of the state service",
             new PeerMessages.StoreStatus(250, List.of(new Cancelled("wk-000412", 42))),
             """
             {"answered_ms_ago":250,"cancelled":[{"job":"wk-000412","revision":42}]}"""),
         arguments(
-            "answer about the state service that can't tell cancellations",
+            "status of the state service, cancellations unknown",
             new PeerMessages.StoreStatus(250, null),
             """
             {"answered_ms_ago":250}"""),
@@ -38,7 +38,7 @@
             """
             {"cancelled":[{"job":"wk-000412","revision":42},{"job":"wk-000413","revision":43}]}"""),
         arguments(
-            "question for machines",
+            "request for machines",
             new MachineTransferMessages.RoutedRequest(
                 1,
                 2,
@@ -54,7 +54,7 @@
             "task":{"cores":8.5,"cards":1.25,"ram":64.0,"types":["g8","t4"],"zones":["a"],
             "spot":true},"count":3}}}"""),
         arguments(
-            "question for machines, a task that may run anywhere",
+            "request for machines, overdue task without type or zone constraints",
             new MachineTransferMessages.RoutedRequest(
                 0,
                 1,
@@ -67,18 +67,18 @@
             {"from":0,"to":1,"request":{"count":0,"has":1.0,"overdue":{
             "task":{"cores":1.0,"cards":0.0,"ram":1.0,"spot":false},"count":1}}}"""),
         arguments(
-            "question for machines, no task is overdue",
+            "request for machines, no overdue tasks",
             new MachineTransferMessages.RoutedRequest(
                 0, 1, new MachineTransferMessages.Request(5, 0.5, null)),
             """
             {"from":0,"to":1,"request":{"count":5,"has":0.5}}"""),
         arguments(
-            "answer about machines",
+            "reply to a request for machines",
             new MachineTransferMessages.Reply(4, 1),
             """
             {"count":4,"overdue":1}"""),
         arguments(
-            "answer about machines: none",
+            "reply to a request for machines, none transferred",
             MachineTransferMessages.Reply.NONE,
             """
             {"count":0,"overdue":0}"""));
--- a/src/test/java/dev/windbend/peer/StoreOutageDetectorTest.java
+++ b/src/test/java/dev/windbend/peer/StoreOutageDetectorTest.java
@@ -6,17 +6,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class StoreOutageDetectorTest {
-  /** Steady clocks of different machines drift apart by so much. */
+  /** Maximum relative drift between the monotonic clocks of different machines. */
   private static final double CLOCK_DRIFT = 0.0005;
 
-  /** A worker looks at its lease now and then, and a kill takes its time. */
+  /**
+   * Time for a worker to detect the expiry of its lease, which it checks periodically, and to kill
+   * its tasks.
+   */
   private static final double KILL_DELAY_S = 0.5;
 
   /**
-   * A job is cancelled right after we knew of all cancellations; the last answer goes out as late
-   * as may be, to a report sent just then. Its tasks are gone in time all the same.
+   * Guards against tasks of a cancelled job that outlive the cancellation deadline. The worst case:
+   * a job is cancelled directly after this controller knew all cancellations, and the last response
+   * is sent at the end of the window, to a heartbeat sent at the same time.
    */
-  @ParameterizedTest(name = "report {0} s, lease {1} s, cancellation {2} s")
+  @ParameterizedTest(name = "heartbeat {0} s, lease {1} s, cancellation {2} s")
   @CsvSource({
     "3, 30, 50, 19020",
     "6, 30, 50, 19020",
@@ -24,7 +28,7 @@
     "4, 22, 42, 19036",
     "6, 60, 70, 8970",
     "1, 10, 11.5, 578",
-    // Barely longer than a lease: then nothing is kept, whoever vouches.
+    // Deadline barely longer than a lease, or shorter: leases are never renewed.
     "3, 30, 30.9, -61",
     "3, 30, 30, -959",
     "3, 30, 20, -10949"
--- a/src/test/java/dev/windbend/worker/DirectStopClientTest.java
+++ b/src/test/java/dev/windbend/worker/DirectStopClientTest.java
@@ -16,7 +16,7 @@
   private final ManualHttpClient httpClient = new ManualHttpClient();
   private final DirectStopClient client = new DirectStopClient(loop, httpClient, 3);
 
-  /** Answers all calls, and those that follow. */
+  /** Replies to all calls, including those that follow a reply. */
   private void replyToAll(ClientResponse reply) {
     for (int call = 0; call < httpClient.calls.size(); call++) {
       httpClient.calls.get(call).accept(reply);
@@ -30,11 +30,14 @@
     }
   }
 
-  /** The tasks of one job may be on every machine of the largest fleet. */
+  /**
+   * Guards against discarding stops when the tasks of one job run on every machine of a fleet of
+   * 4,000.
+   */
   @Test
   void sendsOneStopToEveryMachineOfLargeFleet() {
     cancelHugeArray();
-    assertThat(httpClient.addresses).as("few at once").hasSize(MAX_CALLS_IN_PROGRESS);
+    assertThat(httpClient.addresses).as("calls in progress").hasSize(MAX_CALLS_IN_PROGRESS);
     replyToAll(new ClientResponse(200, new byte[0]));
     assertThat(httpClient.addresses).doesNotHaveDuplicates().hasSize(FLEET_SIZE);
   }
--- a/src/test/java/dev/windbend/worker/HeartbeatReaderTest.java
+++ b/src/test/java/dev/windbend/worker/HeartbeatReaderTest.java
@@ -16,7 +16,7 @@
     return json.replace("HEAD", HEAD).getBytes(StandardCharsets.UTF_8);
   }
 
-  /** The records' own mapping says what each of these means. */
+  /** The streaming parser must return the same heartbeat as the reflective mapping to records. */
   @ParameterizedTest
   @ValueSource(
       strings = {
--- a/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
+++ b/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Messages from and to workers. */
+/** Checks the JSON of the messages exchanged with workers. */
 class WorkerMessagesTest {
   static Stream<Arguments> messages() {
     return Stream.of(
@@ -36,14 +36,14 @@
             "drops":[{"drop":"wk-000412/3","run":2,"status":"running"},
             {"drop":"wk-000398/0","run":5,"status":"exited","cause":"halted","saved":true}]}"""),
         arguments(
-            "heartbeat without what may be missing",
+            "heartbeat without optional fields",
             new WorkerMessages.Heartbeat(
                 "host-000231", null, "g8", "a", false, 3, 0, 0, null, List.of()),
             """
             {"truck":"host-000231","rig":"g8","yard":"a","standby":false,
             "shift":3,"tally":0,"baton":0,"drops":[]}"""),
         arguments(
-            "response to a report",
+            "response to a heartbeat",
             new WorkerMessages.HeartbeatResponse(
                 41,
                 List.of(
@@ -56,7 +56,7 @@
             {"order":"kill","drop":"wk-000377/1","run":1,"wind_down_s":10.0},
             {"order":"reap","drop":"wk-000398/0","run":3}]}"""),
         arguments(
-            "response to a report, no orders",
+            "response to a heartbeat, no commands",
             new WorkerMessages.HeartbeatResponse(9_007_199_254_740_993L, List.of()),
             """
             {"baton":9007199254740993,"orders":[]}"""),
@@ -68,11 +68,12 @@
             {"baton":41,"shift":7,
             "orders":[{"order":"kill","drop":"wk-000377/1","run":1,"wind_down_s":0.0}]}"""),
         arguments(
-            "response that names another node",
+            "redirect with a known leader",
             new WorkerMessages.LeaderRedirect("mast-2"),
             """
             {"dispatcher":"mast-2"}"""),
-        arguments("response that names no node", new WorkerMessages.LeaderRedirect(null), "{}"));
+        arguments(
+            "redirect without a known leader", new WorkerMessages.LeaderRedirect(null), "{}"));
   }
 
   @ParameterizedTest(name = "{0}")
