--- a/src/main/java/dev/windbend/peer/MachineTransferMessages.java
+++ b/src/main/java/dev/windbend/peer/MachineTransferMessages.java
@@ -81,7 +81,8 @@
    * A leader's reply to a request for machines.
    *
    * @param count number of machines to be transferred
-   * @param overdueCount number of those machines on which the overdue task may run
+   * @param overdueCount number of machines to be transferred on which the overdue task may run,
+   *     including those from which tasks are evicted for it
    */
   public record Reply(@JsonProperty("count") int count, @JsonProperty("overdue") int overdueCount) {
     /** A reply without machines. */
--- a/src/main/java/dev/windbend/peer/PeerMessages.java
+++ b/src/main/java/dev/windbend/peer/PeerMessages.java
@@ -18,10 +18,10 @@
   /**
    * Response to a {@link StoreStatusRequest}.
    *
-   * @param lastServedMsAgo milliseconds since the sending of the newest call that the state service
-   *     answered
-   * @param cancelled all jobs whose cancellation may have been confirmed to users, after the
-   *     revision in the request; null if not known completely
+   * @param lastServedMsAgo milliseconds since the newest call that the state service answered was
+   *     sent
+   * @param cancelled all jobs that the sender may have confirmed as cancelled to users after the
+   *     revision in the request; null if no complete list is available
    */
   record StoreStatus(
       @JsonProperty("answered_ms_ago") long lastServedMsAgo,
--- a/src/main/java/dev/windbend/peer/StoreOutageDetector.java
+++ b/src/main/java/dev/windbend/peer/StoreOutageDetector.java
@@ -38,7 +38,10 @@
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
-  /** Maximum time for a worker to detect the expiry of its lease and kill its tasks. */
+  /**
+   * Allowance for the time that a worker needs to detect the expiry of its lease and kill its
+   * tasks.
+   */
   private static final long KILL_DELAY_MS = 900;
 
   private static final double MS_PER_SECOND = 1_000;
--- a/src/main/java/dev/windbend/worker/DirectStopClient.java
+++ b/src/main/java/dev/windbend/worker/DirectStopClient.java
@@ -22,14 +22,14 @@
   private static final int MAX_CALLS_IN_PROGRESS = 12;
 
   /**
-   * Allows one stop per machine for 8,000 machines, twice a fleet of 4,000: cancelling a large
-   * array job can stop a task on every machine.
+   * Limit of the queue: one stop per machine for twice a fleet of 4,000 machines. Cancelling a
+   * large array job can require a stop on every machine.
    */
   private static final int MAX_QUEUED = 8_000;
 
   /**
-   * Longest time in the queue, one heartbeat interval. Older entries are discarded, because a
-   * heartbeat response has carried the stops in the meantime.
+   * Maximum time in the queue, one heartbeat interval. Older entries are discarded, because the
+   * worker has received a heartbeat response since.
    */
   private final long maxQueueTimeMs;
 
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -39,7 +39,7 @@
   private final HeartbeatTiming timing;
   private final HeldHeartbeats heldHeartbeats;
 
-  /** Tells what this controller may do as leader of the shard. */
+  /** Actions permitted to this controller as leader of the shard. */
   public interface Leadership {
     /** Whether this controller is certain to lead the shard and may therefore send commands. */
     boolean mayAct();
@@ -110,7 +110,7 @@
       responseCallback.accept(restrictedResponse(machine, heartbeat));
       return;
     }
-    discardHeld(machine);
+    respondToSuperseded(machine);
     recordLiveness(machine, heartbeat, nowMs);
     if (!machine.confirmedUnderToken() || !leadership.mayAct()) {
       if (leadership.mayAct()) {
@@ -132,9 +132,10 @@
   }
 
   /**
-   * Answers the held heartbeat that a newer one replaces; the worker has abandoned that request.
+   * Responds to the held heartbeat of the machine, if any, when a newer heartbeat replaces it. The
+   * worker no longer waits for that response.
    */
-  private void discardHeld(Machine machine) {
+  private void respondToSuperseded(Machine machine) {
     HeldHeartbeat held = heldHeartbeats.release(machine);
     if (held != null) {
       held.responseCallback().accept(restrictedResponse(machine, held.heartbeat()));
@@ -219,8 +220,8 @@
   }
 
   /**
-   * Stops tasks that can save a checkpoint early enough to save it before the recall. Other tasks
-   * continue, because they may finish before the recall.
+   * Stops each task that can save a checkpoint once the time left before the recall is only just
+   * sufficient to save it. Other tasks continue, because they may finish before the recall.
    */
   private void stopCheckpointingTasks(Machine machine, long nowMs) {
     for (Placement placement : machine.tasks().values()) {
--- a/src/main/java/dev/windbend/worker/HeartbeatReader.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatReader.java
@@ -12,9 +12,9 @@
 
 /**
  * Parses workers' heartbeats with a streaming parser. Heartbeats are most of the requests that a
- * controller receives. Directly after its start they arrive all at once, while the reflective
- * mapping from JSON to records is not yet compiled by the JIT. Unknown fields are ignored, and a
- * missing field is read as null.
+ * controller receives. When a controller starts, the heartbeats of all workers arrive at once,
+ * before the JIT has compiled the reflective mapping from JSON to records. Unknown fields are
+ * ignored, and a missing field is read as null.
  */
 public final class HeartbeatReader {
   private static final JsonFactory FACTORY = new JsonFactory();
--- a/src/main/java/dev/windbend/worker/HeldHeartbeats.java
+++ b/src/main/java/dev/windbend/worker/HeldHeartbeats.java
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Holds a heartbeat until it is released; after {@code holdMs} it is passed to the callback
-   * instead.
+   * Holds a heartbeat until it is released, or until {@code holdMs} have passed; in the latter case
+   * the callback receives the heartbeat.
    */
   void hold(HeldHeartbeat held, long holdMs, Consumer<HeldHeartbeat> onExpiry) {
     byMachine.put(held.machine(), held);
@@ -58,7 +58,9 @@
     return byMachine.remove(machine);
   }
 
-  /** Releases the heartbeats that are ready, in order of arrival. */
+  /**
+   * Releases the heartbeats that are ready, in order of arrival, and passes them to the callback.
+   */
   void releaseIf(Predicate<HeldHeartbeat> isReady, Consumer<HeldHeartbeat> respond) {
     if (byMachine.isEmpty()) {
       return;
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -55,7 +55,7 @@
     /** The task failed with an error on this machine. */
     void taskFailed(Placement placement, Machine machine);
 
-    /** Returns the index of an image, which identifies it in the list of images on a machine. */
+    /** Returns the dense index of an image, under which a machine records it. */
     int imageIndex(String name);
   }
 
--- a/src/main/java/dev/windbend/worker/WorkerMessages.java
+++ b/src/main/java/dev/windbend/worker/WorkerMessages.java
@@ -95,7 +95,7 @@
   }
 
   /**
-   * Response to a heartbeat; renews the worker's lease.
+   * Response to a heartbeat. It renews the worker's lease.
    *
    * @param token fencing token; the worker rejects lower tokens from then on
    * @param commands commands, executed in list order
@@ -104,9 +104,10 @@
       @JsonProperty("baton") long token, @JsonProperty("orders") List<Command> commands) {}
 
   /**
-   * Commands sent directly to a worker; renew no lease.
+   * Commands sent directly to a worker. They do not renew its lease.
    *
-   * @param token fencing token; the worker rejects the commands if it has seen a higher one
+   * @param token fencing token; the worker rejects the commands if it has seen a higher token, and
+   *     rejects lower tokens from then on
    * @param incarnation incarnation of the worker that the commands are addressed to
    * @param commands commands, executed in list order
    */
@@ -118,7 +119,8 @@
   /**
    * A command to a worker concerning one attempt of a task.
    *
-   * @param action start, stop or acknowledgement of an exit, as its name on the wire
+   * @param action name of the command on the wire: start, stop ("kill") or acknowledgement of an
+   *     exit ("reap")
    * @param task name of the task
    * @param attempt number of the attempt
    * @param graceS seconds allowed for saving a checkpoint before the task is stopped; null if the
--- a/src/test/java/dev/windbend/peer/StoreOutageDetectorTest.java
+++ b/src/test/java/dev/windbend/peer/StoreOutageDetectorTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class StoreOutageDetectorTest {
-  /** Maximum relative drift between the monotonic clocks of different machines. */
+  /** Assumed relative drift between the monotonic clocks of different machines. */
   private static final double CLOCK_DRIFT = 0.0005;
 
   /**
