--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -10,7 +10,7 @@
 import dev.windbend.peer.CancellationBroadcaster;
 import dev.windbend.peer.MachineTransferClient;
 import dev.windbend.peer.StoreOutageDetector;
-import dev.windbend.plan.Estimates;
+import dev.windbend.plan.RunTimeEstimates;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.HttpClient;
 import dev.windbend.runtime.HttpStatus;
@@ -172,7 +172,7 @@
         new ShardContext.Coordination(
             store, replica, election, outageDetector, cancellations, transfers),
         new ShardContext.MachineServices(cloud, catalog, machines, directStops, new NameIndex()),
-        new Estimates(),
+        new RunTimeEstimates(),
         new ShardContext.ZoneServices(settings.zone(), zoneMetrics));
   }
 
--- a/src/main/java/dev/windbend/job/Job.java
+++ b/src/main/java/dev/windbend/job/Job.java
@@ -492,7 +492,7 @@
     }
 
     @Override
-    public boolean ownsKey(String k) {
+    public boolean dependsOn(String k) {
       return k.equals(key);
     }
 
--- a/src/main/java/dev/windbend/machine/OrphanedMachines.java
+++ b/src/main/java/dev/windbend/machine/OrphanedMachines.java
@@ -86,7 +86,7 @@
             return;
           }
           page.items().forEach(item -> exclude(item, open, recorded));
-          String next = page.nextFrom();
+          String next = page.nextStartAfter();
           if (next != null) {
             searchPage(next, open, recorded);
             return;
--- a/src/main/java/dev/windbend/machine/ScaleOutRequest.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRequest.java
@@ -177,7 +177,7 @@
   }
 
   @Override
-  public boolean ownsKey(String changedKey) {
+  public boolean dependsOn(String changedKey) {
     return changedKey.equals(key);
   }
 }
--- a/src/main/java/dev/windbend/machine/TransferRecord.java
+++ b/src/main/java/dev/windbend/machine/TransferRecord.java
@@ -20,7 +20,7 @@
   }
 
   @Override
-  protected boolean changed() {
+  protected boolean hasUnstoredChange() {
     return !written;
   }
 
--- a/src/main/java/dev/windbend/overload/ConcurrencyLimiter.java
+++ b/src/main/java/dev/windbend/overload/ConcurrencyLimiter.java
@@ -20,7 +20,7 @@
   private static final int INITIAL_LIMIT = 40;
   private static final int MIN_LIMIT = 8;
   private static final int MAX_LIMIT = 200;
-  private static final double SUBMISSIONS_SHARE = 0.7;
+  private static final double MAX_SUBMISSION_SHARE = 0.7;
   private static final int RETRY_AFTER_SECONDS = 1;
 
   private final EventLoop loop;
@@ -58,7 +58,7 @@
    * @param done takes the response; called exactly once, now or later
    */
   public void handle(ServerRequest request, Consumer<ServerResponse> done) {
-    if (inProgress >= limit.getLimit() * (isSubmission.test(request) ? SUBMISSIONS_SHARE : 1)) {
+    if (inProgress >= limit.getLimit() * (isSubmission.test(request) ? MAX_SUBMISSION_SHARE : 1)) {
       done.accept(ServerResponse.retryAfter(RETRY_AFTER_SECONDS));
       return;
     }
--- a/src/main/java/dev/windbend/peer/StoreOutageDetector.java
+++ b/src/main/java/dev/windbend/peer/StoreOutageDetector.java
@@ -163,7 +163,7 @@
     return ServerResponse.of(
         HttpStatus.OK,
         new PeerMessages.StoreStatus(
-            loop.nowMs() - store.lastServedSentMs(), cancellations.since(message.knownUpTo())));
+            loop.nowMs() - store.lastAnsweredSentMs(), cancellations.since(message.knownUpTo())));
   }
 
   private void pollPeers() {
--- a/src/main/java/dev/windbend/plan/SoonFreeMachines.java
+++ b/src/main/java/dev/windbend/plan/AdvanceReservations.java
@@ -6,10 +6,10 @@
  * Has tasks queue behind machines that are free soon enough, which are reserved for them (paper,
  * Algorithm 1, lines 18 to 25).
  */
-final class SoonFreeMachines {
+final class AdvanceReservations {
   private final CycleState state;
 
-  SoonFreeMachines(CycleState state) {
+  AdvanceReservations(CycleState state) {
     this.state = state;
   }
 
@@ -24,13 +24,13 @@
     PendingJob job = cursor.job();
     long latestStartMs = job.objectives().dueMs() - cursor.estimateMs();
     long untilMs = orInTime ? Math.max(byMs, latestStartMs) : byMs;
-    if (state.exhausted().contains(cursor.resources(), untilMs)) {
+    if (state.unavailableSizes().contains(cursor.resources(), untilMs)) {
       return;
     }
     PriorityQueue<Candidate> candidates = new PriorityQueue<>(Candidate.BEST_FIRST);
-    boolean allSearched = !cursor.zoneBound();
+    boolean allSearched = !cursor.constrainedByZones();
     for (MachineReservations machine : state.machines()) {
-      if (cursor.left() <= keep) {
+      if (cursor.unassignedTasks() <= keep) {
         return;
       }
       if (cursor.mayUse(machine)) {
@@ -40,8 +40,8 @@
       }
     }
     reserveBest(candidates, cursor, keep, byMs, orInTime);
-    if (cursor.left() > keep && allSearched && untilMs == byMs) {
-      state.exhausted().add(cursor.resources(), byMs);
+    if (cursor.unassignedTasks() > keep && allSearched && untilMs == byMs) {
+      state.unavailableSizes().add(cursor.resources(), byMs);
     }
   }
 
@@ -51,15 +51,15 @@
       int keep,
       long byMs,
       boolean orInTime) {
-    while (cursor.left() > keep && !candidates.isEmpty()) {
+    while (cursor.unassignedTasks() > keep && !candidates.isEmpty()) {
       Candidate candidate = candidates.poll();
       MachineReservations machine = candidate.machine();
       if (cursor.mayUse(machine)) {
         if (!machine.up()) {
-          state.lacks(cursor.resources().cores());
+          state.addCoresAwaitingMachines(cursor.resources().cores());
         }
-        state.trace().expects(cursor, DecisionTrace.Outlook.SOON_FREE_MACHINE);
-        state.reserve(cursor, machine, candidate.atMs());
+        state.trace().recordOutlook(cursor, DecisionTrace.Outlook.SOON_FREE_MACHINE);
+        state.reserve(cursor, machine, candidate.startMs());
         addCandidate(candidates, cursor.job(), machine, byMs, orInTime);
       }
     }
@@ -71,14 +71,14 @@
       MachineReservations machine,
       long byMs,
       boolean orInTime) {
-    state.examined(1);
+    state.addMachinesExamined(1);
     PendingJob.Requirements task = job.requirements();
     long runMs = machine.runMs(task);
     long freeMs = machine.firstFitMs(runMs, task.resources());
     boolean inTime =
         orInTime && freeMs < Long.MAX_VALUE && freeMs + runMs <= job.objectives().dueMs();
     if (freeMs <= byMs || inTime) {
-      candidates.add(Candidate.later(machine, (double) freeMs, freeMs));
+      candidates.add(Candidate.startingAt(machine, (double) freeMs, freeMs));
     }
   }
 }
--- a/src/main/java/dev/windbend/plan/BinPacking.java
+++ b/src/main/java/dev/windbend/plan/BinPacking.java
@@ -27,7 +27,7 @@
    */
   void place(JobCursor cursor, int keep, double maxExtensionCost) {
     List<Candidate> candidates = new ArrayList<>();
-    state.examined(state.machines().size());
+    state.addMachinesExamined(state.machines().size());
     for (MachineReservations machine : state.machines()) {
       if (state.mayStart(cursor, machine)) {
         addCandidate(candidates, cursor, machine, maxExtensionCost);
@@ -35,13 +35,13 @@
     }
     candidates.sort(Candidate.BEST_FIRST);
     for (Candidate candidate : candidates) {
-      if (candidate.atMs() == Candidate.NOW) {
+      if (candidate.startMs() == Candidate.NOW) {
         fill(cursor, keep, candidate.machine());
-      } else if (cursor.left() > keep && cursor.mayUse(candidate.machine())) {
-        state.trace().met(cursor, DecisionTrace.Obstacle.MACHINE_WITH_IMAGE_PREFERRED);
-        state.reserve(cursor, candidate.machine(), candidate.atMs());
+      } else if (cursor.unassignedTasks() > keep && cursor.mayUse(candidate.machine())) {
+        state.trace().recordObstacle(cursor, DecisionTrace.Obstacle.MACHINE_WITH_IMAGE_PREFERRED);
+        state.reserve(cursor, candidate.machine(), candidate.startMs());
       }
-      if (cursor.left() <= keep) {
+      if (cursor.unassignedTasks() <= keep) {
         return;
       }
     }
@@ -52,21 +52,22 @@
       JobCursor cursor,
       MachineReservations machine,
       double maxExtensionCost) {
-    traceReservedAhead(cursor, machine);
+    traceReservationConflict(cursor, machine);
     PendingJob.Requirements task = cursor.job().requirements();
     long fetchMs = machine.fetchMs(task);
     if (machine.freeNow().fits(task.resources())
         && machine.fitsNow(task.estimateMs() + fetchMs, task.resources())) {
       if (extensionCost(task, machine) <= maxExtensionCost) {
-        candidates.add(Candidate.now(machine, score.startingNow(machine, fetchMs)));
+        candidates.add(Candidate.startingNow(machine, score.scoreImmediateStart(machine, fetchMs)));
       } else {
-        state.trace().met(cursor, DecisionTrace.Obstacle.EXTENSION_COST);
+        state.trace().recordObstacle(cursor, DecisionTrace.Obstacle.EXTENSION_COST);
       }
     } else if (fetchMs == 0 && mayWaitForImage(cursor.job())) {
       long freeMs = machine.firstFitMs(task.estimateMs(), task.resources());
       long waitMs = freeMs - state.nowMs();
-      if (waitMs < task.imageGb() * MS_PER_SECOND / machine.kind().fetchGbPerSecond()) {
-        candidates.add(Candidate.later(machine, score.startingIn(machine, waitMs), freeMs));
+      if (waitMs < task.imageGb() * MS_PER_SECOND / machine.attributes().fetchGbPerSecond()) {
+        candidates.add(
+            Candidate.startingAt(machine, score.scoreDelayedStart(machine, waitMs), freeMs));
       }
     }
   }
@@ -79,22 +80,22 @@
   private void fill(JobCursor cursor, int keep, MachineReservations machine) {
     PendingJob.Requirements task = cursor.job().requirements();
     long runMs = machine.runMs(task);
-    while (cursor.left() > keep
+    while (cursor.unassignedTasks() > keep
         && cursor.mayUse(machine)
         && machine.fitsNow(runMs, task.resources())) {
       state.place(cursor, machine);
     }
-    if (cursor.left() > keep) {
-      traceReservedAhead(cursor, machine);
+    if (cursor.unassignedTasks() > keep) {
+      traceReservationConflict(cursor, machine);
     }
   }
 
-  private void traceReservedAhead(JobCursor cursor, MachineReservations machine) {
+  private void traceReservationConflict(JobCursor cursor, MachineReservations machine) {
     PendingJob.Requirements task = cursor.job().requirements();
     if (state.trace().enabled()
         && machine.freeNow().fits(task.resources())
         && !machine.fitsNow(machine.runMs(task), task.resources())) {
-      state.trace().met(cursor, DecisionTrace.Obstacle.RESERVED_AHEAD);
+      state.trace().recordObstacle(cursor, DecisionTrace.Obstacle.RESERVED_AHEAD);
     }
   }
 
@@ -102,6 +103,6 @@
   private double extensionCost(PendingJob.Requirements task, MachineReservations machine) {
     MachineCapacity capacity = machine.capacity();
     long pastMs = state.nowMs() + task.estimateMs() - capacity.lifetime().paidUntilMs();
-    return pastMs <= 0 ? 0 : capacity.kind().pricePerHour() * pastMs;
+    return pastMs <= 0 ? 0 : capacity.attributes().pricePerHour() * pastMs;
   }
 }
--- a/src/main/java/dev/windbend/plan/CycleState.java
+++ b/src/main/java/dev/windbend/plan/CycleState.java
@@ -9,12 +9,12 @@
   private final List<MachineReservations> machines;
   private final double[] usedCores;
   private final double[] usedGpus;
-  private final List<SchedulingDecision.Place> placements = new ArrayList<>();
-  private final List<SchedulingDecision.Preempt> preemptions = new ArrayList<>();
-  private final ExhaustedSizes exhausted = new ExhaustedSizes();
+  private final List<SchedulingDecision.PlacedTask> placements = new ArrayList<>();
+  private final List<SchedulingDecision.PreemptedTask> preemptions = new ArrayList<>();
+  private final UnavailableSizes unavailableSizes = new UnavailableSizes();
   private final DecisionTrace trace;
   private final DisplacedPrecedence displacedPrecedence;
-  private double lackingCores;
+  private double coresAwaitingMachines;
   private int machinesExamined;
 
   CycleState(Snapshot snapshot, DecisionTrace trace) {
@@ -47,37 +47,37 @@
   }
 
   /** A job has been served, after all of higher priority. */
-  void served(JobCursor cursor) {
-    displacedPrecedence.served(cursor);
+  void recordServed(JobCursor cursor) {
+    displacedPrecedence.recordServed(cursor);
   }
 
-  ExhaustedSizes exhausted() {
-    return exhausted;
+  UnavailableSizes unavailableSizes() {
+    return unavailableSizes;
   }
 
-  List<SchedulingDecision.Place> placements() {
+  List<SchedulingDecision.PlacedTask> placements() {
     return placements;
   }
 
-  List<SchedulingDecision.Preempt> preemptions() {
+  List<SchedulingDecision.PreemptedTask> preemptions() {
     return preemptions;
   }
 
-  double lackingCores() {
-    return lackingCores;
+  double coresAwaitingMachines() {
+    return coresAwaitingMachines;
   }
 
   int machinesExamined() {
     return machinesExamined;
   }
 
-  void examined(int count) {
+  void addMachinesExamined(int count) {
     machinesExamined += count;
   }
 
   /** Tasks with so many cores wait for machines that are not up. */
-  void lacks(double cores) {
-    lackingCores += cores;
+  void addCoresAwaitingMachines(double cores) {
+    coresAwaitingMachines += cores;
   }
 
   /** How many more of the job's tasks its team's quota allows. */
@@ -94,8 +94,8 @@
     if (!machine.up() || !cursor.mayUse(machine)) {
       return false;
     }
-    if (displacedPrecedence.bars(cursor, machine)) {
-      trace.met(cursor, DecisionTrace.Obstacle.HIGHER_DISPLACED_TASK);
+    if (displacedPrecedence.blocks(cursor, machine)) {
+      trace.recordObstacle(cursor, DecisionTrace.Obstacle.HIGHER_DISPLACED_TASK);
       return false;
     }
     return true;
@@ -108,27 +108,27 @@
     machine.reserve(atMs, machine.runMs(job.requirements()), need);
     usedCores[job.team()] += need.cores();
     usedGpus[job.team()] += need.gpus();
-    cursor.assigned(machine);
+    cursor.recordAssignment(machine);
   }
 
   /** Starts the job's next task. */
   void place(JobCursor cursor, MachineReservations machine) {
     reserve(cursor, machine, nowMs());
-    cursor.startedOn(machine);
-    placements.add(new SchedulingDecision.Place(cursor.index(), machine.index()));
+    cursor.recordStart(machine);
+    placements.add(new SchedulingDecision.PlacedTask(cursor.index(), machine.index()));
   }
 
   /** Stops a running task, which counts for its team's quota until it is proved gone. */
   void preempt(MachineReservations machine, int task) {
     machine.preempt(task);
-    preemptions.add(new SchedulingDecision.Preempt(machine.index(), task));
+    preemptions.add(new SchedulingDecision.PreemptedTask(machine.index(), task));
   }
 
   /** Adds a machine that the cycle requests of the cloud. */
   MachineReservations addRequested(InstanceOffer offer) {
     MachineReservations machine = new MachineReservations(offer, nowMs());
     machines.add(machine);
-    exhausted.clear();
+    unavailableSizes.clear();
     return machine;
   }
 }
--- a/src/main/java/dev/windbend/plan/Deadlines.java
+++ b/src/main/java/dev/windbend/plan/Deadline.java
@@ -5,9 +5,9 @@
  * is hopeless; serving it before one that still can would only make both late.
  *
  * @param dueSeconds from submission
- * @param hopeless whether it can't be met either
+ * @param unattainable whether it can't be met either
  */
-public record Deadlines(double dueSeconds, boolean hopeless) {
+public record Deadline(double dueSeconds, boolean unattainable) {
 
   /**
    * The next limit that can still be met, else the last.
@@ -16,12 +16,13 @@
    * @param ageSeconds time since submission
    * @param estimateSeconds how long the job runs, as estimated
    */
-  public static Deadlines next(double[] limitsSeconds, double ageSeconds, double estimateSeconds) {
+  public static Deadline nextAttainable(
+      double[] limitsSeconds, double ageSeconds, double estimateSeconds) {
     for (double limitSeconds : limitsSeconds) {
       if (ageSeconds + estimateSeconds <= limitSeconds) {
-        return new Deadlines(limitSeconds, false);
+        return new Deadline(limitSeconds, false);
       }
     }
-    return new Deadlines(limitsSeconds[limitsSeconds.length - 1], true);
+    return new Deadline(limitsSeconds[limitsSeconds.length - 1], true);
   }
 }
--- a/src/main/java/dev/windbend/plan/DecisionTrace.java
+++ b/src/main/java/dev/windbend/plan/DecisionTrace.java
@@ -66,19 +66,19 @@
     return enabled;
   }
 
-  void met(JobCursor cursor, Obstacle obstacle) {
+  void recordObstacle(JobCursor cursor, Obstacle obstacle) {
     if (enabled) {
-      of(cursor).obstacles.add(obstacle);
+      entryFor(cursor).obstacles.add(obstacle);
     }
   }
 
-  void expects(JobCursor cursor, Outlook outlook) {
+  void recordOutlook(JobCursor cursor, Outlook outlook) {
     if (enabled) {
-      of(cursor).outlooks.add(outlook);
+      entryFor(cursor).outlooks.add(outlook);
     }
   }
 
-  private LeftWaiting of(JobCursor cursor) {
+  private LeftWaiting entryFor(JobCursor cursor) {
     return byJob.computeIfAbsent(
         cursor.index(),
         job -> new LeftWaiting(job, EnumSet.noneOf(Obstacle.class), EnumSet.noneOf(Outlook.class)));
@@ -90,7 +90,7 @@
       return List.of();
     }
     int[] left = snapshot.jobs().stream().mapToInt(job -> job.progress().waiting()).toArray();
-    for (SchedulingDecision.Place placed : decision.placements()) {
+    for (SchedulingDecision.PlacedTask placed : decision.placements()) {
       left[placed.job()]--;
     }
     return byJob.values().stream().filter(waiting -> left[waiting.job()] > 0).toList();
--- a/src/main/java/dev/windbend/plan/DisplacedPrecedence.java
+++ b/src/main/java/dev/windbend/plan/DisplacedPrecedence.java
@@ -13,11 +13,11 @@
   private final List<MachineReservations> machines;
 
   /** By index of the machine, for those that waiting tasks may use. */
-  private final Int2ObjectOpenHashMap<List<Waiting>> waitingByMachine =
+  private final Int2ObjectOpenHashMap<List<WaitingTask>> waitingByMachine =
       new Int2ObjectOpenHashMap<>();
 
   /** Tasks of this rank and size wait. */
-  private record Waiting(int rank, Resources size) {
+  private record WaitingTask(int rank, Resources size) {
     boolean precedes(int lowerRank, Resources room) {
       return rank < lowerRank && room.fits(size);
     }
@@ -29,15 +29,15 @@
 
   /** Whether jobs like this one have precedence: displaced, and in time for one of their limits. */
   static boolean appliesTo(PendingJob job) {
-    return job.progress().displaced() && !job.objectives().hopeless();
+    return job.progress().displaced() && !job.objectives().unattainable();
   }
 
   /** The job has been served, after all of higher priority; some of its tasks may wait. */
-  void served(JobCursor cursor) {
+  void recordServed(JobCursor cursor) {
     if (!appliesTo(cursor.job()) || !cursor.leftWaiting()) {
       return;
     }
-    Waiting waiting = new Waiting(cursor.job().rank(), cursor.resources());
+    WaitingTask waiting = new WaitingTask(cursor.job().rank(), cursor.resources());
     for (MachineReservations machine : machines) {
       if (machine.up() && cursor.mayStartOn(machine)) {
         add(machine.index(), waiting);
@@ -45,9 +45,9 @@
     }
   }
 
-  private void add(int machine, Waiting waiting) {
-    List<Waiting> known = waitingByMachine.computeIfAbsent(machine, key -> new ArrayList<>(1));
-    for (Waiting other : known) {
+  private void add(int machine, WaitingTask waiting) {
+    List<WaitingTask> known = waitingByMachine.computeIfAbsent(machine, key -> new ArrayList<>(1));
+    for (WaitingTask other : known) {
       if (other.rank() <= waiting.rank() && waiting.size().fits(other.size())) {
         return;
       }
@@ -56,11 +56,11 @@
   }
 
   /** Whether the job's tasks have to leave the machine to a waiting task. */
-  boolean bars(JobCursor cursor, MachineReservations machine) {
+  boolean blocks(JobCursor cursor, MachineReservations machine) {
     if (waitingByMachine.isEmpty() || !cursor.job().progress().displaced()) {
       return false;
     }
-    for (Waiting waiting : waitingByMachine.getOrDefault(machine.index(), List.of())) {
+    for (WaitingTask waiting : waitingByMachine.getOrDefault(machine.index(), List.of())) {
       if (waiting.precedes(cursor.job().rank(), cursor.resources())) {
         return true;
       }
--- a/src/main/java/dev/windbend/plan/JobCursor.java
+++ b/src/main/java/dev/windbend/plan/JobCursor.java
@@ -12,8 +12,8 @@
   /** Of the tasks that have a place, without reservations. */
   private final ZoneCounts startedZones;
 
-  private int left;
-  private int started;
+  private int unassignedTasks;
+  private int startedTasks;
   private boolean leftWaiting;
 
   JobCursor(PendingJob job, int index) {
@@ -22,7 +22,7 @@
     this.constraints = job.constraints();
     this.assignedZones = new ZoneCounts(job);
     this.startedZones = new ZoneCounts(job);
-    this.left = job.progress().waiting();
+    this.unassignedTasks = job.progress().waiting();
   }
 
   PendingJob job() {
@@ -35,8 +35,8 @@
   }
 
   /** Tasks that have neither a place nor a reservation yet. */
-  int left() {
-    return left;
+  int unassignedTasks() {
+    return unassignedTasks;
   }
 
   Resources resources() {
@@ -48,27 +48,27 @@
   }
 
   /** Whether the zones of its other tasks bind the next one. */
-  boolean zoneBound() {
-    return assignedZones.bind();
+  boolean constrainedByZones() {
+    return assignedZones.constrainNext();
   }
 
   /** Whether the next task may run on this kind of machine: constraints and anti-affinity. */
-  boolean mayUse(InstanceKind kind) {
+  boolean mayUse(MachineAttributes kind) {
     return allows(kind, assignedZones);
   }
 
   /** Whether the next task may run on the machine, if it has capacity. */
   boolean mayUse(MachineReservations machine) {
-    return mayUse(machine.kind()) && !avoids(machine);
+    return mayUse(machine.attributes()) && !avoids(machine);
   }
 
   /** The same, were it to start now: reservations bind no zone. */
   boolean mayStartOn(MachineReservations machine) {
-    return allows(machine.kind(), startedZones) && !avoids(machine);
+    return allows(machine.attributes(), startedZones) && !avoids(machine);
   }
 
-  private boolean allows(InstanceKind kind, ZoneCounts zones) {
-    return constraints.allows(kind) && zones.allowNext(kind.zone());
+  private boolean allows(MachineAttributes kind, ZoneCounts zones) {
+    return constraints.allows(kind) && zones.allowsNext(kind.zone());
   }
 
   private boolean avoids(MachineReservations machine) {
@@ -76,24 +76,24 @@
   }
 
   /** The next task is placed on the machine, or has a reservation there. */
-  void assigned(MachineReservations machine) {
-    assignedZones.add(machine.kind().zone());
-    left--;
+  void recordAssignment(MachineReservations machine) {
+    assignedZones.add(machine.attributes().zone());
+    unassignedTasks--;
   }
 
   /** The task assigned last starts now. */
-  void startedOn(MachineReservations machine) {
-    startedZones.add(machine.kind().zone());
-    started++;
+  void recordStart(MachineReservations machine) {
+    startedZones.add(machine.attributes().zone());
+    startedTasks++;
   }
 
   /** Tasks that start now. */
-  int started() {
-    return started;
+  int startedTasks() {
+    return startedTasks;
   }
 
   /** Tasks that the team's quota allows were not started. */
-  void leaveWaiting() {
+  void markLeftWaiting() {
     leftWaiting = true;
   }
 
@@ -103,7 +103,7 @@
   }
 
   /** The tasks that are left but so many are given up for this cycle. */
-  void giveUpDownTo(int keep) {
-    left = keep;
+  void setUnassignedTasks(int keep) {
+    unassignedTasks = keep;
   }
 }
--- a/src/main/java/dev/windbend/plan/JobOrder.java
+++ b/src/main/java/dev/windbend/plan/JobOrder.java
@@ -5,7 +5,7 @@
 /** In which order a cycle serves jobs. */
 final class JobOrder {
   /** A job must begin within four minutes of its submission; at half of that it goes first. */
-  private static final long MUST_BEGIN_AGE_MS = 120_000;
+  private static final long MUST_START_AGE_MS = 120_000;
 
   /** Older jobs have waited for long. */
   private static final long LONG_WAITING_AGE_MS = 240_000;
@@ -20,7 +20,7 @@
    */
   static final Comparator<JobCursor> MOST_URGENT_FIRST =
       Comparator.<JobCursor>comparingInt(cursor -> cursor.job().rank())
-          .thenComparing(cursor -> cursor.job().objectives().hopeless())
+          .thenComparing(cursor -> cursor.job().objectives().unattainable())
           .thenComparing(cursor -> !cursor.job().progress().displaced())
           .thenComparingLong(JobOrder::dueMsIfDisplaced)
           .thenComparingLong(JobOrder::latestStartMsIfDisplaced)
@@ -45,8 +45,8 @@
     return job.progress().waiting() > 0 && job.constraints().notBeforeMs() <= nowMs;
   }
 
-  static boolean mustBegin(PendingJob job) {
-    return !job.progress().begun() && job.progress().ageMs() >= MUST_BEGIN_AGE_MS;
+  static boolean mustStart(PendingJob job) {
+    return !job.progress().everStarted() && job.progress().ageMs() >= MUST_START_AGE_MS;
   }
 
   static boolean longWaiting(PendingJob job) {
--- a/src/main/java/dev/windbend/plan/InstanceKind.java
+++ b/src/main/java/dev/windbend/plan/MachineAttributes.java
@@ -9,5 +9,5 @@
  * @param pricePerHour what it costs
  * @param fetchGbPerSecond how fast it fetches images; not above 0: at once
  */
-public record InstanceKind(
+public record MachineAttributes(
     int type, int zone, boolean spot, double pricePerHour, double fetchGbPerSecond) {}
--- a/src/main/java/dev/windbend/plan/MachineCapacity.java
+++ b/src/main/java/dev/windbend/plan/MachineCapacity.java
@@ -6,7 +6,7 @@
 /**
  * A machine as a cycle sees it: what is free now if it is up, else all of it from a time on.
  *
- * @param kind type, zone and price
+ * @param attributes type, zone and price
  * @param up whether tasks can be placed on it now
  * @param nextResponseMs how long until it can be told to start or stop a task
  * @param readyMs when it should be up, if it isn't
@@ -16,7 +16,7 @@
  * @param running its tasks
  */
 public record MachineCapacity(
-    InstanceKind kind,
+    MachineAttributes attributes,
     boolean up,
     long nextResponseMs,
     long readyMs,
--- a/src/main/java/dev/windbend/plan/MachineReservations.java
+++ b/src/main/java/dev/windbend/plan/MachineReservations.java
@@ -13,17 +13,17 @@
   private static final double MS_PER_SECOND = 1_000;
 
   /** A change of what is free. */
-  private record Change(long atMs, Resources resources) {}
+  private record CapacityChange(long atMs, Resources resources) {}
 
   private final long nowMs;
   private final int index;
-  private final InstanceKind kind;
+  private final MachineAttributes attributes;
 
   /** Null: a machine that the cycle requests. */
   private final MachineCapacity capacity;
 
   /** In order of time. */
-  private final List<Change> changes = new ArrayList<>();
+  private final List<CapacityChange> changes = new ArrayList<>();
 
   /** Null: no task of the machine is preempted. */
   private IntOpenHashSet preempted;
@@ -37,7 +37,7 @@
   MachineReservations(MachineCapacity capacity, int index, long nowMs) {
     this.capacity = capacity;
     this.index = index;
-    this.kind = capacity.kind();
+    this.attributes = capacity.attributes();
     this.nowMs = nowMs;
     if (capacity.up()) {
       this.freeNow = capacity.free();
@@ -53,14 +53,14 @@
   MachineReservations(InstanceOffer offer, long nowMs) {
     this.capacity = null;
     this.index = NOT_IN_SNAPSHOT;
-    this.kind = offer.kind();
+    this.attributes = offer.attributes();
     this.nowMs = nowMs;
     this.freeNow = Resources.NONE;
     addChange(nowMs + offer.bootMs(), offer.capacity());
   }
 
-  InstanceKind kind() {
-    return kind;
+  MachineAttributes attributes() {
+    return attributes;
   }
 
   /** The machine's place in the snapshot; only those of the snapshot have one. */
@@ -95,9 +95,9 @@
   /** How long the machine takes to fetch a job's image; 0: it has it. */
   long fetchMs(PendingJob.Requirements task) {
     return (capacity != null && capacity.images().contains(task.image()))
-            || kind.fetchGbPerSecond() <= 0
+            || attributes.fetchGbPerSecond() <= 0
         ? 0
-        : (long) (MS_PER_SECOND * task.imageGb() / kind.fetchGbPerSecond());
+        : (long) (MS_PER_SECOND * task.imageGb() / attributes.fetchGbPerSecond());
   }
 
   /** How long a task takes on the machine, as estimated, with the fetch of its image. */
@@ -114,7 +114,7 @@
     while (position > 0 && changes.get(position - 1).atMs() > atMs) {
       position--;
     }
-    changes.add(position, new Change(atMs, resources));
+    changes.add(position, new CapacityChange(atMs, resources));
   }
 
   /** Whether so much is free from now on for the given time. */
@@ -126,27 +126,27 @@
     Resources free = freeAtFrom;
     for (int i = from; i < changes.size() && changes.get(i).atMs() < untilMs; i++) {
       free = free.plus(changes.get(i).resources());
-      if (lastOfItsTime(i) && !free.fits(need)) {
+      if (isLastAtItsTime(i) && !free.fits(need)) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean lastOfItsTime(int change) {
+  private boolean isLastAtItsTime(int change) {
     return change + 1 == changes.size()
         || changes.get(change + 1).atMs() > changes.get(change).atMs();
   }
 
   /** What is free all through the given time from now on. */
-  Resources leastFree(long runMs) {
+  Resources minFree(long runMs) {
     Resources free = freeNow;
     Resources least = freeNow;
     for (int i = 0;
         reservedLater && i < changes.size() && changes.get(i).atMs() < nowMs + runMs;
         i++) {
       free = free.plus(changes.get(i).resources());
-      if (lastOfItsTime(i)) {
+      if (isLastAtItsTime(i)) {
         least = least.min(free);
       }
     }
@@ -196,7 +196,7 @@
       preempted = new IntOpenHashSet();
     }
     preempted.add(task);
-    changes.remove(new Change(endMs(running), running.resources()));
+    changes.remove(new CapacityChange(endMs(running), running.resources()));
     freeNow = freeNow.plus(running.resources());
   }
 }
--- a/src/main/java/dev/windbend/plan/PendingJob.java
+++ b/src/main/java/dev/windbend/plan/PendingJob.java
@@ -56,7 +56,7 @@
     }
 
     /** Whether tasks may run on this kind of machine, their other tasks left aside. */
-    public boolean allows(InstanceKind kind) {
+    public boolean allows(MachineAttributes kind) {
       return allowsType(kind.type()) && (zone < 0 || zone == kind.zone()) && (spot || !kind.spot());
     }
   }
@@ -68,7 +68,7 @@
    * @param waiting those that wait
    * @param placedPerZone those that are placed, by zone, if constraints go by them
    * @param ageMs time since the job's submission
-   * @param begun whether a task of it was ever started
+   * @param everStarted whether a task of it was ever started
    * @param starved no task was placed for so long that one goes first, whatever that costs
    * @param displaced tasks lost their machine with a zone
    */
@@ -77,7 +77,7 @@
       int waiting,
       int[] placedPerZone,
       long ageMs,
-      boolean begun,
+      boolean everStarted,
       boolean starved,
       boolean displaced) {}
 
@@ -85,12 +85,12 @@
    * When the job should start and end.
    *
    * @param dueMs the next of its deadlines that it can still meet
-   * @param hopeless it can meet none
+   * @param unattainable it can meet none
    * @param guaranteed it is within its team's guarantee together with the team's earlier jobs, and
    *     is to start promptly
    * @param startByMs until then an early start counts
    */
-  public record Objectives(long dueMs, boolean hopeless, boolean guaranteed, long startByMs) {}
+  public record Objectives(long dueMs, boolean unattainable, boolean guaranteed, long startByMs) {}
 
   /** The work that waits, in core milliseconds. */
   double waitingWork() {
--- a/src/main/java/dev/windbend/plan/Planner.java
+++ b/src/main/java/dev/windbend/plan/Planner.java
@@ -13,22 +13,22 @@
  */
 public final class Planner {
   /** Of a job that must begin one task in so many goes first. */
-  private static final int MUST_BEGIN_DIVISOR = 8;
+  private static final int MUST_START_DIVISOR = 8;
 
   private final Snapshot snapshot;
   private final CycleState state;
   private final BinPacking binPacking;
-  private final SoonFreeMachines soonFree;
+  private final AdvanceReservations advanceReservations;
   private final Preemption preemption;
-  private final ScaleOut scaleOut;
+  private final ScaleOutPlanner scaleOutPlanner;
 
   private Planner(Snapshot snapshot, DecisionTrace trace) {
     this.snapshot = snapshot;
     this.state = new CycleState(snapshot, trace);
     this.binPacking = new BinPacking(state);
-    this.soonFree = new SoonFreeMachines(state);
+    this.advanceReservations = new AdvanceReservations(state);
     this.preemption = new Preemption(state);
-    this.scaleOut = new ScaleOut(state);
+    this.scaleOutPlanner = new ScaleOutPlanner(state);
   }
 
   /** Decides what a cycle does; the same for the same snapshot. */
@@ -45,23 +45,23 @@
     List<JobCursor> cursors = eligibleJobs();
     cursors.sort(JobOrder.OLDEST_FIRST);
     placeOneTaskOfStarvedJobs(cursors);
-    beginJobs(cursors);
+    startJobsThatMustStart(cursors);
     if (snapshot.oldestFirst()) {
       serveLongWaitingJobs(cursors);
     }
     cursors.sort(JobOrder.MOST_URGENT_FIRST);
     for (JobCursor cursor : cursors) {
-      serve(cursor, cursor.left());
-      state.served(cursor);
+      serve(cursor, cursor.unassignedTasks());
+      state.recordServed(cursor);
     }
-    ScaleIn scaleIn = new ScaleIn(state);
+    ScaleInPlanner scaleIn = new ScaleInPlanner(state);
     return new SchedulingDecision(
         state.preemptions(),
         state.placements(),
-        scaleOut.requests(),
-        scaleIn.idle(),
-        scaleIn.release(),
-        state.lackingCores(),
+        scaleOutPlanner.requests(),
+        scaleIn.idleMachines(),
+        scaleIn.machinesToRelease(),
+        state.coresAwaitingMachines(),
         state.machinesExamined());
   }
 
@@ -79,15 +79,15 @@
   private void placeOneTaskOfStarvedJobs(List<JobCursor> cursors) {
     for (JobCursor cursor : cursors) {
       if (cursor.job().progress().starved() && state.tasksWithinQuota(cursor.job()) > 0) {
-        binPacking.place(cursor, cursor.left() - 1, Double.POSITIVE_INFINITY);
+        binPacking.place(cursor, cursor.unassignedTasks() - 1, Double.POSITIVE_INFINITY);
       }
     }
   }
 
-  private void beginJobs(List<JobCursor> cursors) {
+  private void startJobsThatMustStart(List<JobCursor> cursors) {
     for (JobCursor cursor : cursors) {
-      if (JobOrder.mustBegin(cursor.job())) {
-        serve(cursor, 1 + (cursor.job().progress().waiting() - 1) / MUST_BEGIN_DIVISOR);
+      if (JobOrder.mustStart(cursor.job())) {
+        serve(cursor, 1 + (cursor.job().progress().waiting() - 1) / MUST_START_DIVISOR);
       }
     }
   }
@@ -95,22 +95,22 @@
   private void serveLongWaitingJobs(List<JobCursor> cursors) {
     for (JobCursor cursor : cursors) {
       if (JobOrder.longWaiting(cursor.job())) {
-        serve(cursor, cursor.left());
+        serve(cursor, cursor.unassignedTasks());
       }
     }
   }
 
   /** Serves at most so many of a job's tasks. */
   private void serve(JobCursor cursor, int maxTasks) {
-    int wanted = Math.min(cursor.left(), maxTasks);
+    int wanted = Math.min(cursor.unassignedTasks(), maxTasks);
     int withinQuota = Math.min(wanted, state.tasksWithinQuota(cursor.job()));
     if (withinQuota < wanted) {
-      state.trace().met(cursor, DecisionTrace.Obstacle.QUOTA);
+      state.trace().recordObstacle(cursor, DecisionTrace.Obstacle.QUOTA);
     }
-    int startedBefore = cursor.started();
-    startOrReserve(cursor, cursor.left() - withinQuota);
-    if (cursor.started() < startedBefore + withinQuota) {
-      cursor.leaveWaiting();
+    int startedBefore = cursor.startedTasks();
+    startOrReserve(cursor, cursor.unassignedTasks() - withinQuota);
+    if (cursor.startedTasks() < startedBefore + withinQuota) {
+      cursor.markLeftWaiting();
     }
   }
 
@@ -122,25 +122,26 @@
   private void startOrReserve(JobCursor cursor, int keep) {
     PendingJob job = cursor.job();
     binPacking.place(cursor, keep, maxExtensionCost(job));
-    if (cursor.left() > keep && preemption.possibleFor(job)) {
-      soonFree.reserve(cursor, keep, patienceEndsMs(job), false);
+    if (cursor.unassignedTasks() > keep && preemption.possibleFor(job)) {
+      advanceReservations.reserve(cursor, keep, preemptionWaitEndMs(job), false);
       preemption.place(cursor, keep);
     }
-    if (cursor.left() <= keep) {
+    if (cursor.unassignedTasks() <= keep) {
       return;
     }
-    long bootMs = scaleOut.bootMs(job);
-    boolean prompt = job.objectives().guaranteed() || JobOrder.mustBegin(job);
+    long bootMs = scaleOutPlanner.bootMs(job);
+    boolean prompt = job.objectives().guaranteed() || JobOrder.mustStart(job);
     if (slackAllowsWaiting(job, bootMs) && !prompt) {
-      state.trace().expects(cursor, DecisionTrace.Outlook.POSTPONED);
+      state.trace().recordOutlook(cursor, DecisionTrace.Outlook.POSTPONED);
       return;
     }
-    soonFree.reserve(cursor, keep, snapshot.nowMs() + bootMs, !prompt);
-    scaleOut.request(cursor, keep);
-    if (cursor.left() > keep) {
-      state.trace().expects(cursor, DecisionTrace.Outlook.NOTHING_IN_TIME);
-      state.lacks((cursor.left() - keep) * cursor.resources().cores());
-      cursor.giveUpDownTo(keep);
+    advanceReservations.reserve(cursor, keep, snapshot.nowMs() + bootMs, !prompt);
+    scaleOutPlanner.request(cursor, keep);
+    if (cursor.unassignedTasks() > keep) {
+      state.trace().recordOutlook(cursor, DecisionTrace.Outlook.NOTHING_IN_TIME);
+      state.addCoresAwaitingMachines(
+          (cursor.unassignedTasks() - keep) * cursor.resources().cores());
+      cursor.setUnassignedTasks(keep);
     }
   }
 
@@ -148,22 +149,22 @@
   private double maxExtensionCost(PendingJob job) {
     return DisplacedPrecedence.appliesTo(job)
         ? Double.POSITIVE_INFINITY
-        : scaleOut.costOfNewMachine(job);
+        : scaleOutPlanner.costOfNewMachine(job);
   }
 
   /**
    * Until when free capacity is waited for rather than preempted. What is free after the time to
    * start by is no help while that can still be kept.
    */
-  private long patienceEndsMs(PendingJob job) {
+  private long preemptionWaitEndMs(PendingJob job) {
     long startByMs = job.objectives().startByMs();
-    long patienceEndsMs = snapshot.nowMs() + snapshot.limits().patienceMs();
+    long patienceEndsMs = snapshot.nowMs() + snapshot.limits().preemptionWaitMs();
     return snapshot.nowMs() < startByMs ? Math.min(patienceEndsMs, startByMs) : patienceEndsMs;
   }
 
   private boolean slackAllowsWaiting(PendingJob job, long bootMs) {
     long estimateMs = job.requirements().estimateMs();
     long slackMs = job.objectives().dueMs() - snapshot.nowMs() - estimateMs - bootMs;
-    return slackMs > estimateMs + snapshot.limits().periodMs();
+    return slackMs > estimateMs + snapshot.limits().cyclePeriodMs();
   }
 }
--- a/src/main/java/dev/windbend/plan/Preemption.java
+++ b/src/main/java/dev/windbend/plan/Preemption.java
@@ -45,18 +45,18 @@
   void place(JobCursor cursor, int keep) {
     PriorityQueue<Candidate> candidates = new PriorityQueue<>(Candidate.BEST_FIRST);
     for (MachineReservations machine : state.machines()) {
-      if (cursor.left() > keep && state.mayStart(cursor, machine)) {
+      if (cursor.unassignedTasks() > keep && state.mayStart(cursor, machine)) {
         addCandidate(candidates, cursor, machine);
       }
     }
-    while (cursor.left() > keep && !candidates.isEmpty()) {
+    while (cursor.unassignedTasks() > keep && !candidates.isEmpty()) {
       Candidate candidate = candidates.poll();
       MachineReservations machine = candidate.machine();
       if (cursor.mayUse(machine)) {
         for (int victim : candidate.victims()) {
           state.preempt(machine, victim);
         }
-        state.exhausted().clear();
+        state.unavailableSizes().clear();
         state.place(cursor, machine);
         addCandidate(candidates, cursor, machine);
       }
@@ -66,7 +66,7 @@
   /** Chooses the tasks of which the least work is lost, as few as make enough capacity. */
   private void addCandidate(
       PriorityQueue<Candidate> candidates, JobCursor cursor, MachineReservations machine) {
-    state.examined(1);
+    state.addMachinesExamined(1);
     PendingJob job = cursor.job();
     List<RunningTask> running = machine.capacity().running();
     List<Integer> preemptible = preemptible(job, machine);
@@ -75,7 +75,7 @@
     }
     preemptible.sort(Comparator.comparingDouble(i -> running.get(i).lostWork()));
     Resources need = job.requirements().resources();
-    Resources free = machine.leastFree(job.requirements().estimateMs());
+    Resources free = machine.minFree(job.requirements().estimateMs());
     double lostWork = startDelayMs(job, machine) * need.cores();
     List<Integer> victims = new ArrayList<>();
     for (int task : preemptible) {
@@ -90,7 +90,7 @@
     if (free.fits(need) && lostWork < gainedWork) {
       candidates.add(Candidate.preempting(machine, lostWork, victims));
     } else if (free.fits(need)) {
-      state.trace().met(cursor, DecisionTrace.Obstacle.PREEMPTION_LOSS);
+      state.trace().recordObstacle(cursor, DecisionTrace.Obstacle.PREEMPTION_LOSS);
     }
   }
 
--- a/src/main/java/dev/windbend/plan/Estimates.java
+++ b/src/main/java/dev/windbend/plan/RunTimeEstimates.java
@@ -7,30 +7,30 @@
  * Recent Average (paper, section 4.1): the mean run time of the last two finished tasks of the same
  * user, else the user's own figure. A "user" is a team's kind of jobs here: a team has several.
  */
-public final class Estimates {
-  private static final double NONE = -1;
-  private static final double MIN_SECONDS = 1;
+public final class RunTimeEstimates {
+  private static final double NO_RUN_TIME = -1;
+  private static final double MIN_ESTIMATE_SECONDS = 1;
 
-  private final Map<String, RunTimes> recent = new HashMap<>();
+  private final Map<String, RunTimes> recentByUser = new HashMap<>();
 
   /** The last two run times of a user. */
   private static final class RunTimes {
-    private double previousSeconds = NONE;
-    private double lastSeconds = NONE;
+    private double previousSeconds = NO_RUN_TIME;
+    private double lastSeconds = NO_RUN_TIME;
   }
 
   /** A task of the user has finished after running for so long. */
   public void recordRunTime(String user, double runSeconds) {
-    RunTimes times = recent.computeIfAbsent(user, key -> new RunTimes());
+    RunTimes times = recentByUser.computeIfAbsent(user, key -> new RunTimes());
     times.previousSeconds = times.lastSeconds;
     times.lastSeconds = runSeconds;
   }
 
   /** How long a task runs, in seconds; the user's own figure until two tasks have finished. */
-  public double estimateSeconds(String user, double ownFigureSeconds) {
-    RunTimes times = recent.get(user);
+  public double estimateSeconds(String user, double declaredSeconds) {
+    RunTimes times = recentByUser.get(user);
     return times == null || times.previousSeconds < 0
-        ? ownFigureSeconds
+        ? declaredSeconds
         : (times.previousSeconds + times.lastSeconds) / 2;
   }
 
@@ -39,7 +39,7 @@
    * it (paper, section 4.2).
    */
   public static double correctedSeconds(double estimateSeconds, double elapsedSeconds) {
-    double corrected = Math.max(MIN_SECONDS, estimateSeconds);
+    double corrected = Math.max(MIN_ESTIMATE_SECONDS, estimateSeconds);
     while (corrected < elapsedSeconds) {
       corrected *= 2;
     }
--- a/src/main/java/dev/windbend/plan/ScaleIn.java
+++ b/src/main/java/dev/windbend/plan/ScaleInPlanner.java
@@ -8,39 +8,39 @@
  * Idle machines that no task is reserved on: at the end of their paid block they go, those beyond
  * the reserve before it.
  */
-final class ScaleIn {
+final class ScaleInPlanner {
   private static final Comparator<MachineReservations> MOST_EXPENSIVE_FIRST =
-      Comparator.comparingDouble(machine -> -machine.kind().pricePerHour());
+      Comparator.comparingDouble(machine -> -machine.attributes().pricePerHour());
 
   private final Snapshot snapshot;
-  private final List<MachineReservations> idle = new ArrayList<>();
+  private final List<MachineReservations> idleMachines = new ArrayList<>();
 
-  ScaleIn(CycleState state) {
+  ScaleInPlanner(CycleState state) {
     this.snapshot = state.snapshot();
     for (MachineReservations machine : state.machines()) {
       if (machine.up() && machine.capacity().lifetime().idle() && !machine.reserved()) {
-        idle.add(machine);
+        idleMachines.add(machine);
       }
     }
   }
 
   /** Indices of the idle machines, in the snapshot's order. */
-  List<Integer> idle() {
+  List<Integer> idleMachines() {
     List<Integer> indices = new ArrayList<>();
-    for (MachineReservations machine : idle) {
+    for (MachineReservations machine : idleMachines) {
       indices.add(machine.index());
     }
     return indices;
   }
 
   /** Indices of those to give back to the cloud. */
-  List<Integer> release() {
+  List<Integer> machinesToRelease() {
     List<Integer> released = new ArrayList<>();
     double coresBeyondReserve = -snapshot.reserveCores();
-    for (MachineReservations machine : idle) {
+    for (MachineReservations machine : idleMachines) {
       coresBeyondReserve += machine.freeNow().cores();
     }
-    List<MachineReservations> candidates = new ArrayList<>(idle);
+    List<MachineReservations> candidates = new ArrayList<>(idleMachines);
     candidates.sort(MOST_EXPENSIVE_FIRST);
     for (MachineReservations machine : candidates) {
       MachineCapacity.Lifetime lifetime = machine.capacity().lifetime();
--- a/src/main/java/dev/windbend/plan/ScaleOut.java
+++ b/src/main/java/dev/windbend/plan/ScaleOutPlanner.java
@@ -4,36 +4,36 @@
 import java.util.List;
 
 /** Requests machines of the cloud for tasks that nothing else is free for in time. */
-final class ScaleOut {
+final class ScaleOutPlanner {
   private static final int NO_OFFER = -1;
 
   private final CycleState state;
   private final List<InstanceOffer> offers;
 
   /** By offer. */
-  private final int[] requested;
+  private final int[] requestedByOffer;
 
   /** Machines before this cycle, by zone. */
   private final int[] machinesInZone;
 
   private int requestedMachines;
 
-  ScaleOut(CycleState state) {
+  ScaleOutPlanner(CycleState state) {
     this.state = state;
     this.offers = state.snapshot().offers();
-    this.requested = new int[offers.size()];
+    this.requestedByOffer = new int[offers.size()];
     this.machinesInZone = machinesInZone();
   }
 
   private int[] machinesInZone() {
     int zones = 0;
     for (InstanceOffer offer : offers) {
-      zones = Math.max(zones, offer.kind().zone() + 1);
+      zones = Math.max(zones, offer.attributes().zone() + 1);
     }
     int[] count = new int[zones];
     for (MachineReservations machine : state.machines()) {
-      if (machine.kind().zone() < zones) {
-        count[machine.kind().zone()]++;
+      if (machine.attributes().zone() < zones) {
+        count[machine.attributes().zone()]++;
       }
     }
     return count;
@@ -43,7 +43,7 @@
   long bootMs(PendingJob job) {
     long bootMs = 0;
     for (InstanceOffer offer : offers) {
-      if (job.constraints().allowsType(offer.kind().type())) {
+      if (job.constraints().allowsType(offer.attributes().type())) {
         bootMs = Math.max(bootMs, offer.bootMs());
       }
     }
@@ -56,10 +56,10 @@
     double least = Double.POSITIVE_INFINITY;
     for (InstanceOffer offer : offers) {
       if (offer.available()
-          && job.constraints().allows(offer.kind())
+          && job.constraints().allows(offer.attributes())
           && offer.capacity().fits(task.resources())
           && state.nowMs() + offer.bootMs() + task.estimateMs() <= job.objectives().dueMs()) {
-        double cost = offer.kind().pricePerHour() * (task.estimateMs() + offer.bootMs());
+        double cost = offer.attributes().pricePerHour() * (task.estimateMs() + offer.bootMs());
         least = Math.min(least, cost);
       }
     }
@@ -73,22 +73,22 @@
    */
   void request(JobCursor cursor, int keep) {
     int maxMachines = state.snapshot().limits().maxNewMachines();
-    while (cursor.left() > keep && requestedMachines < maxMachines) {
+    while (cursor.unassignedTasks() > keep && requestedMachines < maxMachines) {
       int cheapest = cheapestOffer(cursor);
       if (cheapest == NO_OFFER) {
         return;
       }
       InstanceOffer offer = offers.get(cheapest);
       requestedMachines++;
-      requested[cheapest]++;
+      requestedByOffer[cheapest]++;
       MachineReservations machine = state.addRequested(offer);
       long readyMs = state.nowMs() + offer.bootMs();
       for (int places = offer.capacity().timesFits(cursor.resources());
-          places > 0 && cursor.left() > keep && cursor.mayUse(machine);
+          places > 0 && cursor.unassignedTasks() > keep && cursor.mayUse(machine);
           places--) {
-        state.trace().expects(cursor, DecisionTrace.Outlook.NEW_MACHINE);
+        state.trace().recordOutlook(cursor, DecisionTrace.Outlook.NEW_MACHINE);
         state.reserve(cursor, machine, readyMs);
-        state.lacks(cursor.resources().cores());
+        state.addCoresAwaitingMachines(cursor.resources().cores());
       }
     }
   }
@@ -103,26 +103,27 @@
       InstanceOffer offer = offers.get(i);
       if (offer.available()
           && offer.capacity().fits(cursor.resources())
-          && cursor.mayUse(offer.kind())
-          && (cheapest == NO_OFFER || better(offer.kind(), offers.get(cheapest).kind()))) {
+          && cursor.mayUse(offer.attributes())
+          && (cheapest == NO_OFFER
+              || isPreferred(offer.attributes(), offers.get(cheapest).attributes()))) {
         cheapest = i;
       }
     }
     return cheapest;
   }
 
-  private boolean better(InstanceKind kind, InstanceKind best) {
+  private boolean isPreferred(MachineAttributes kind, MachineAttributes best) {
     return kind.pricePerHour() < best.pricePerHour()
         || (kind.pricePerHour() == best.pricePerHour()
             && machinesInZone[kind.zone()] < machinesInZone[best.zone()]);
   }
 
   /** What the cycle requests, in the order of the offers. */
-  List<SchedulingDecision.ScaleOut> requests() {
-    List<SchedulingDecision.ScaleOut> requests = new ArrayList<>();
-    for (int i = 0; i < requested.length; i++) {
-      if (requested[i] > 0) {
-        requests.add(new SchedulingDecision.ScaleOut(i, requested[i]));
+  List<SchedulingDecision.RequestedMachines> requests() {
+    List<SchedulingDecision.RequestedMachines> requests = new ArrayList<>();
+    for (int i = 0; i < requestedByOffer.length; i++) {
+      if (requestedByOffer[i] > 0) {
+        requests.add(new SchedulingDecision.RequestedMachines(i, requestedByOffer[i]));
       }
     }
     return requests;
--- a/src/main/java/dev/windbend/plan/SchedulingDecision.java
+++ b/src/main/java/dev/windbend/plan/SchedulingDecision.java
@@ -8,19 +8,19 @@
  * @param preemptions tasks to stop for more urgent ones, before any placement
  * @param placements tasks to start
  * @param scaleOuts machines to request of the cloud
- * @param idle machines that are idle and not reserved
+ * @param idleMachines machines that are idle and not reserved
  * @param scaleIns those of them to give back to the cloud
- * @param lackingCores cores of tasks that wait for machines that are not up yet, or that the cloud
- *     doesn't offer
+ * @param coresAwaitingMachines cores of tasks that wait for machines that are not up yet, or that
+ *     the cloud doesn't offer
  * @param machinesExamined how often a machine was examined for a job, which is what a cycle costs
  */
 public record SchedulingDecision(
-    List<Preempt> preemptions,
-    List<Place> placements,
-    List<ScaleOut> scaleOuts,
-    List<Integer> idle,
+    List<PreemptedTask> preemptions,
+    List<PlacedTask> placements,
+    List<RequestedMachines> scaleOuts,
+    List<Integer> idleMachines,
     List<Integer> scaleIns,
-    double lackingCores,
+    double coresAwaitingMachines,
     int machinesExamined) {
 
   /**
@@ -29,7 +29,7 @@
    * @param job the job's index
    * @param machine the machine's index
    */
-  public record Place(int job, int machine) {}
+  public record PlacedTask(int job, int machine) {}
 
   /**
    * A running task makes way.
@@ -37,7 +37,7 @@
    * @param machine the machine's index
    * @param task the task's index on its machine
    */
-  public record Preempt(int machine, int task) {}
+  public record PreemptedTask(int machine, int task) {}
 
   /**
    * Machines to request of the cloud.
@@ -45,5 +45,5 @@
    * @param offer the offer's index
    * @param count how many
    */
-  public record ScaleOut(int offer, int count) {}
+  public record RequestedMachines(int offer, int count) {}
 }
--- a/src/main/java/dev/windbend/plan/Snapshot.java
+++ b/src/main/java/dev/windbend/plan/Snapshot.java
@@ -28,11 +28,11 @@
   /**
    * What bounds a cycle's decisions.
    *
-   * @param periodMs longest time until the next cycle
-   * @param patienceMs what is free within this time is waited for rather than preempted
+   * @param cyclePeriodMs longest time until the next cycle
+   * @param preemptionWaitMs what is free within this time is waited for rather than preempted
    * @param maxNewMachines how many machines the cycle may request of the cloud
    */
-  public record Limits(long periodMs, long patienceMs, int maxNewMachines) {}
+  public record Limits(long cyclePeriodMs, long preemptionWaitMs, int maxNewMachines) {}
 
   /**
    * A team's quota and what its tasks use, those included that are not proved gone.
--- a/src/main/java/dev/windbend/plan/ExhaustedSizes.java
+++ b/src/main/java/dev/windbend/plan/UnavailableSizes.java
@@ -7,18 +7,18 @@
  * Sizes of tasks that no machine gets free for in time. What one job was searched for in vain need
  * not be searched for again by another job of at least its size.
  */
-final class ExhaustedSizes {
-  private final List<Exhausted> all = new ArrayList<>();
+final class UnavailableSizes {
+  private final List<UnavailableSize> sizes = new ArrayList<>();
 
   /** Nothing of this size gets free before that time. */
-  private record Exhausted(Resources size, long untilMs) {}
+  private record UnavailableSize(Resources size, long untilMs) {}
 
   void add(Resources size, long untilMs) {
-    all.add(new Exhausted(size, untilMs));
+    sizes.add(new UnavailableSize(size, untilMs));
   }
 
   boolean contains(Resources need, long untilMs) {
-    for (Exhausted exhausted : all) {
+    for (UnavailableSize exhausted : sizes) {
       if (need.fits(exhausted.size) && untilMs <= exhausted.untilMs) {
         return true;
       }
@@ -28,6 +28,6 @@
 
   /** There is capacity that was not there before. */
   void clear() {
-    all.clear();
+    sizes.clear();
   }
 }
--- a/src/main/java/dev/windbend/plan/ZoneCounts.java
+++ b/src/main/java/dev/windbend/plan/ZoneCounts.java
@@ -31,11 +31,11 @@
   }
 
   /** Whether the counted tasks bind the next one. */
-  boolean bind() {
+  boolean constrainNext() {
     return spread || colocationZone != NO_ZONE;
   }
 
-  boolean allowNext(int zone) {
+  boolean allowsNext(int zone) {
     return (colocationZone == NO_ZONE || colocationZone == zone)
         && (!spread || perZone[zone] + 1 <= maxPerZoneIfSpread);
   }
--- a/src/main/java/dev/windbend/shard/CapacityProvisioner.java
+++ b/src/main/java/dev/windbend/shard/CapacityProvisioner.java
@@ -4,8 +4,8 @@
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineType;
 import dev.windbend.peer.MachineTransferMessages;
-import dev.windbend.plan.InstanceKind;
 import dev.windbend.plan.InstanceOffer;
+import dev.windbend.plan.MachineAttributes;
 import dev.windbend.plan.Resources;
 import dev.windbend.plan.SchedulingDecision;
 import dev.windbend.runtime.EventLoop;
@@ -61,7 +61,8 @@
     boolean available =
         !state.fleet().isRefused(type.index(), zone, spot) && state.zones().scaleOutLimit(zone) > 0;
     double price = spot ? type.spotPrice() : type.price();
-    InstanceKind kind = new InstanceKind(type.index(), zone, spot, price, type.fetchGbPerS());
+    MachineAttributes kind =
+        new MachineAttributes(type.index(), zone, spot, price, type.fetchGbPerS());
     offers.add(new InstanceOffer(kind, capacity, Units.toMs(type.bootS()), available));
   }
 
@@ -82,9 +83,9 @@
         mayRequest && transfers.mayRequestForOverdue()
             ? starvedJobs.tasksWithoutCapacity(nowMs).orElse(null)
             : null;
-    if (mayRequest && (decision.lackingCores() > 0 || starvedTasks != null)) {
+    if (mayRequest && (decision.coresAwaitingMachines() > 0 || starvedTasks != null)) {
       transfers.request(
-          decision.lackingCores(),
+          decision.coresAwaitingMachines(),
           state.catalog().largestCores(),
           !state.fleet().anyRefused(),
           starvedTasks,
@@ -103,7 +104,7 @@
    *     cloud
    */
   private void scaleOut(
-      List<SchedulingDecision.ScaleOut> requests,
+      List<SchedulingDecision.RequestedMachines> requests,
       List<InstanceOffer> offers,
       int incomingMachines) {
     long nowMs = loop.nowMs();
@@ -114,8 +115,8 @@
     }
     lastScaleOutMs = nowMs;
     int machinesFromTransfers = incomingMachines;
-    for (SchedulingDecision.ScaleOut request : requests) {
-      InstanceKind kind = offers.get(request.offer()).kind();
+    for (SchedulingDecision.RequestedMachines request : requests) {
+      MachineAttributes kind = offers.get(request.offer()).attributes();
       int machines =
           Math.min(
               state.zones().scaleOutLimit(kind.zone()),
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -3,8 +3,8 @@
 import dev.windbend.job.Job;
 import dev.windbend.machine.MachineType;
 import dev.windbend.machine.MachineTypeCatalog;
-import dev.windbend.plan.Deadlines;
-import dev.windbend.plan.Estimates;
+import dev.windbend.plan.Deadline;
+import dev.windbend.plan.RunTimeEstimates;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.zone.ZoneMonitor;
 
@@ -16,14 +16,14 @@
   private final MachineTypeCatalog catalog;
   private final DeploymentSpec deployment;
   private final Policy policy;
-  private final Estimates estimates;
+  private final RunTimeEstimates estimates;
 
   JobDeadlines(
       EventLoop loop,
       MachineTypeCatalog catalog,
       DeploymentSpec deployment,
       Policy policy,
-      Estimates estimates) {
+      RunTimeEstimates estimates) {
     this.loop = loop;
     this.catalog = catalog;
     this.deployment = deployment;
@@ -59,7 +59,7 @@
   }
 
   /** The next of its time limits that the job can still meet. */
-  Deadlines nextDeadline(Job job, long ageMs) {
+  Deadline nextDeadline(Job job, long ageMs) {
     double[] timeLimitsSeconds =
         deployment
             .objectives()
@@ -68,7 +68,8 @@
                 job.spec().dueS(),
                 policy.impliedDeadlineFactor() * job.spec().estimateS(),
                 policy.deadlinesFromObjectives());
-    return Deadlines.next(timeLimitsSeconds, Units.toSeconds(ageMs), estimatedRunTimeSeconds(job));
+    return Deadline.nextAttainable(
+        timeLimitsSeconds, Units.toSeconds(ageMs), estimatedRunTimeSeconds(job));
   }
 
   @Override
--- a/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -5,10 +5,10 @@
 import dev.windbend.machine.Fleet;
 import dev.windbend.machine.Machine;
 import dev.windbend.machine.MachineType;
-import dev.windbend.plan.Estimates;
-import dev.windbend.plan.InstanceKind;
+import dev.windbend.plan.MachineAttributes;
 import dev.windbend.plan.MachineCapacity;
 import dev.windbend.plan.Resources;
+import dev.windbend.plan.RunTimeEstimates;
 import dev.windbend.plan.RunningTask;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import java.util.ArrayList;
@@ -93,9 +93,9 @@
         List.of());
   }
 
-  private static InstanceKind kind(MachineType type, int zone, boolean spot) {
+  private static MachineAttributes kind(MachineType type, int zone, boolean spot) {
     double price = spot ? type.spotPrice() : type.price();
-    return new InstanceKind(type.index(), zone, spot, price, type.fetchGbPerS());
+    return new MachineAttributes(type.index(), zone, spot, price, type.fetchGbPerS());
   }
 
   static Resources resources(Job job) {
@@ -164,6 +164,6 @@
     }
     double runTimeSeconds = Units.toSeconds(nowMs - task.runningMs());
     return task.runningMs()
-        + Units.toMs(Estimates.correctedSeconds(estimatedRunTimeSeconds, runTimeSeconds));
+        + Units.toMs(RunTimeEstimates.correctedSeconds(estimatedRunTimeSeconds, runTimeSeconds));
   }
 }
--- a/src/main/java/dev/windbend/shard/PendingJobBuilder.java
+++ b/src/main/java/dev/windbend/shard/PendingJobBuilder.java
@@ -2,7 +2,7 @@
 
 import dev.windbend.job.Job;
 import dev.windbend.machine.MachineType;
-import dev.windbend.plan.Deadlines;
+import dev.windbend.plan.Deadline;
 import dev.windbend.plan.PendingJob;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
@@ -77,10 +77,10 @@
 
   private PendingJob.Objectives objectives(Job job, boolean guaranteed, long nowMs, long ageMs) {
     long submittedMs = nowMs - ageMs;
-    Deadlines deadline = deadlines.nextDeadline(job, ageMs);
+    Deadline deadline = deadlines.nextDeadline(job, ageMs);
     return new PendingJob.Objectives(
         submittedMs + Units.toMs(deadline.dueSeconds()),
-        deadline.hopeless(),
+        deadline.unattainable(),
         guaranteed,
         submittedMs + Units.toMs(startWithinSeconds(job, guaranteed)));
   }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -147,7 +147,7 @@
     preempt(decision, running);
     place(decision, nowMs, jobs, machines);
     // Machines that look idle may be needed by jobs that this cycle left out.
-    capacity.offerForTransfer(lastCyclePartial ? List.of() : decision.idle(), machines);
+    capacity.offerForTransfer(lastCyclePartial ? List.of() : decision.idleMachines(), machines);
     capacity.acquire(decision, offers, nowMs);
     if (!lastCyclePartial) {
       capacity.scaleIn(decision, machines);
@@ -209,7 +209,7 @@
   }
 
   private void preempt(SchedulingDecision decision, List<List<Placement>> running) {
-    for (SchedulingDecision.Preempt preempted : decision.preemptions()) {
+    for (SchedulingDecision.PreemptedTask preempted : decision.preemptions()) {
       Placement placement = running.get(preempted.machine()).get(preempted.task());
       LOG.info(
           "task preempted: shard={} machine={} task={} token={} cause=\"more urgent job\"",
@@ -224,7 +224,7 @@
   private void place(
       SchedulingDecision decision, long nowMs, List<Job> jobs, List<Machine> machines) {
     Set<Job> changed = new LinkedHashSet<>();
-    for (SchedulingDecision.Place place : decision.placements()) {
+    for (SchedulingDecision.PlacedTask place : decision.placements()) {
       Job job = jobs.get(place.job());
       Machine machine = machines.get(place.machine());
       machine.add(job.place(job.nextWaiting(), machine.name(), nowMs, state.token(), cycleCount));
--- a/src/main/java/dev/windbend/shard/ShardContext.java
+++ b/src/main/java/dev/windbend/shard/ShardContext.java
@@ -6,7 +6,7 @@
 import dev.windbend.machine.MachineTypeCatalog;
 import dev.windbend.peer.MachineRequester;
 import dev.windbend.peer.StoreOutageDetector;
-import dev.windbend.plan.Estimates;
+import dev.windbend.plan.RunTimeEstimates;
 import dev.windbend.runtime.EventLoop;
 import dev.windbend.runtime.NameIndex;
 import dev.windbend.store.Replica;
@@ -33,7 +33,7 @@
     Policy policy,
     Coordination coordination,
     MachineServices machines,
-    Estimates estimates,
+    RunTimeEstimates estimates,
     ZoneServices zones) {
 
   /**
--- a/src/main/java/dev/windbend/store/GroupCommitter.java
+++ b/src/main/java/dev/windbend/store/GroupCommitter.java
@@ -18,7 +18,7 @@
   private static final long RETRY_MS = 300;
 
   /** Each key of a large transaction adds this part of the usual pause after it. */
-  private static final double PAUSE_PER_WRITE = 0.6;
+  private static final double PAUSE_FACTOR_PER_WRITE = 0.6;
 
   private final EventLoop loop;
   private final StoreClient store;
@@ -27,10 +27,10 @@
   private final long pauseMs;
   private final Runnable onGuardLost;
   private final Runnable onProgress;
-  private final LinkedHashSet<PendingWrite> changed = new LinkedHashSet<>();
+  private final LinkedHashSet<PendingWrite> pendingWrites = new LinkedHashSet<>();
   private boolean inFlight;
   private boolean closed;
-  private boolean scheduled;
+  private boolean commitScheduled;
   private long notBeforeMs;
 
   /**
@@ -65,17 +65,17 @@
 
   /** The write has changed, and will be committed; if it is not urgent, with another one. */
   public void enqueue(PendingWrite write) {
-    changed.add(write);
+    pendingWrites.add(write);
     schedule(0);
   }
 
   private void schedule(long delayMs) {
-    if (!scheduled) {
-      scheduled = true;
+    if (!commitScheduled) {
+      commitScheduled = true;
       loop.after(
           delayMs,
           () -> {
-            scheduled = false;
+            commitScheduled = false;
             commitDue();
           });
     }
@@ -87,7 +87,7 @@
    */
   public void commitDue() {
     long now = loop.nowMs();
-    if (inFlight || closed || changed.isEmpty()) {
+    if (inFlight || closed || pendingWrites.isEmpty()) {
       return;
     }
     if (now < notBeforeMs) {
@@ -95,23 +95,24 @@
       return;
     }
     if (!anyUrgent(now)) {
-      changed.removeIf(write -> !write.dirty());
+      pendingWrites.removeIf(write -> !write.dirty());
       return;
     }
     TransactionBuilder transaction = new TransactionBuilder().ifVersion(guardKey, guardVersion);
     List<PendingWrite> group = new ArrayList<>();
     addWrites(true, now, transaction, group);
     addWrites(false, now, transaction, group);
-    changed.removeAll(group);
+    pendingWrites.removeAll(group);
     inFlight = true;
     // What changes meanwhile goes together, so the rate of writes does not grow with the records.
-    notBeforeMs = now + (long) (pauseMs * Math.max(1, PAUSE_PER_WRITE * transaction.writeCount()));
+    notBeforeMs =
+        now + (long) (pauseMs * Math.max(1, PAUSE_FACTOR_PER_WRITE * transaction.writeCount()));
     store.commit(transaction, outcome -> onOutcome(group, outcome));
   }
 
   private boolean anyUrgent(long now) {
     boolean urgent = false;
-    for (PendingWrite write : changed) {
+    for (PendingWrite write : pendingWrites) {
       urgent |= write.dirty() && write.urgent(now);
     }
     return urgent;
@@ -119,7 +120,7 @@
 
   private void addWrites(
       boolean urgent, long now, TransactionBuilder transaction, List<PendingWrite> group) {
-    for (PendingWrite write : changed) {
+    for (PendingWrite write : pendingWrites) {
       if (write.dirty()
           && write.urgent(now) == urgent
           && fits(write, transaction)
@@ -148,7 +149,7 @@
     }
     for (PendingWrite write : group) {
       write.onNotApplied();
-      changed.add(write);
+      pendingWrites.add(write);
     }
     if (!outcome.conditionFailed()) {
       // After an unknown outcome the same conditions go again, so at most one of both is applied,
@@ -160,7 +161,7 @@
       onGuardLost.run();
     } else {
       LOG.debug("commit conflict: keys={}", outcome.failedKeys());
-      readAgain(group, outcome.failedKeys());
+      reloadFailedKeys(group, outcome.failedKeys());
     }
   }
 
@@ -168,14 +169,14 @@
     for (PendingWrite write : group) {
       write.onApplied(revision);
       if (write.dirty()) {
-        changed.add(write);
+        pendingWrites.add(write);
       }
     }
     onProgress.run();
     commitDue();
   }
 
-  private void readAgain(List<PendingWrite> group, List<String> failedKeys) {
+  private void reloadFailedKeys(List<PendingWrite> group, List<String> failedKeys) {
     inFlight = true;
     Set<String> unread = new LinkedHashSet<>(failedKeys);
     boolean[] allAnswered = {true};
@@ -184,7 +185,7 @@
           key,
           result -> {
             if (result.answered() && !closed) {
-              resolve(group, key, result.stored());
+              resolveConflict(group, key, result.stored());
             }
             allAnswered[0] &= result.answered();
             unread.remove(key);
@@ -197,9 +198,9 @@
     }
   }
 
-  private static void resolve(List<PendingWrite> group, String key, VersionedValue stored) {
+  private static void resolveConflict(List<PendingWrite> group, String key, VersionedValue stored) {
     for (PendingWrite write : group) {
-      if (write.ownsKey(key)) {
+      if (write.dependsOn(key)) {
         write.onConflict(key, stored);
       }
     }
--- a/src/main/java/dev/windbend/store/OutageTracker.java
+++ b/src/main/java/dev/windbend/store/OutageTracker.java
@@ -10,7 +10,7 @@
 
   private final EventLoop loop;
   private long failingSinceMs = NOT_FAILING;
-  private long lastServedSentMs = Long.MIN_VALUE / 2;
+  private long lastAnsweredSentMs = Long.MIN_VALUE / 2;
 
   OutageTracker(EventLoop loop) {
     this.loop = loop;
@@ -20,7 +20,7 @@
   void onResponse(int status, long sentMs) {
     if (status != NO_RESPONSE && status != HttpStatus.SERVICE_UNAVAILABLE) {
       failingSinceMs = NOT_FAILING;
-      lastServedSentMs = Math.max(lastServedSentMs, sentMs);
+      lastAnsweredSentMs = Math.max(lastAnsweredSentMs, sentMs);
     } else if (failingSinceMs == NOT_FAILING) {
       failingSinceMs = loop.nowMs();
     }
@@ -32,7 +32,7 @@
   }
 
   /** When the newest of the calls that were answered was sent, by the monotonic clock. */
-  long lastServedSentMs() {
-    return lastServedSentMs;
+  long lastAnsweredSentMs() {
+    return lastAnsweredSentMs;
   }
 }
--- a/src/main/java/dev/windbend/store/Page.java
+++ b/src/main/java/dev/windbend/store/Page.java
@@ -13,10 +13,10 @@
   final String key;
 
   /** Entries whose newest stored copy is in this page. */
-  final LinkedHashSet<PageEntry> live = new LinkedHashSet<>();
+  final LinkedHashSet<PageEntry> liveEntries = new LinkedHashSet<>();
 
   private final Map<String, JsonNode> content = new TreeMap<>();
-  private final List<PageEntry> inFlight = new ArrayList<>();
+  private final List<PageEntry> entriesInFlight = new ArrayList<>();
   private long version;
   private int contentBytes;
 
@@ -38,7 +38,7 @@
   /** Adds an entry to the write of this page. */
   void add(PageEntry entry, JsonNode value, int bytes) {
     content.put(entry.id(), value);
-    inFlight.add(entry);
+    entriesInFlight.add(entry);
     contentBytes += bytes;
   }
 
@@ -52,8 +52,8 @@
   }
 
   /** The entries of the write. */
-  List<PageEntry> inFlight() {
-    return inFlight;
+  List<PageEntry> entriesInFlight() {
+    return entriesInFlight;
   }
 
   /** What the write stores. */
@@ -64,7 +64,7 @@
   /** The write has ended, whether or not it was applied. */
   void endWrite() {
     content.clear();
-    inFlight.clear();
+    entriesInFlight.clear();
     contentBytes = 0;
   }
 }
--- a/src/main/java/dev/windbend/store/PageAllocator.java
+++ b/src/main/java/dev/windbend/store/PageAllocator.java
@@ -37,9 +37,9 @@
   }
 
   /** A free page, or a new one; none of those in flight. */
-  Page allocate(List<Page> inFlight) {
+  Page allocate(List<Page> pagesInFlight) {
     for (Page page : pages) {
-      if (!inFlight.contains(page) && !inUse(page)) {
+      if (!pagesInFlight.contains(page) && !inUse(page)) {
         return page;
       }
     }
@@ -49,24 +49,24 @@
   }
 
   /** The page in use with the fewest entries; null if no more than so many are in use. */
-  Page emptiest(List<Page> inFlight, int minPages) {
-    Page emptiest = null;
-    int used = 0;
+  Page leastFilledPage(List<Page> pagesInFlight, int maxPagesWithoutCompaction) {
+    Page leastFilled = null;
+    int pagesUsed = 0;
     for (Page page : pages) {
-      if (!inFlight.contains(page) && inUse(page)) {
-        used++;
-        if (emptiest == null || page.live.size() < emptiest.live.size()) {
-          emptiest = page;
+      if (!pagesInFlight.contains(page) && inUse(page)) {
+        pagesUsed++;
+        if (leastFilled == null || page.liveEntries.size() < leastFilled.liveEntries.size()) {
+          leastFilled = page;
         }
       }
     }
-    return used <= minPages ? null : emptiest;
+    return pagesUsed <= maxPagesWithoutCompaction ? null : leastFilled;
   }
 
   /** Whether an entry of the page still counts. */
   private boolean inUse(Page page) {
-    page.live.removeIf(this::removeIfObsolete);
-    return !page.live.isEmpty();
+    page.liveEntries.removeIf(this::removeIfObsolete);
+    return !page.liveEntries.isEmpty();
   }
 
   private boolean removeIfObsolete(PageEntry entry) {
@@ -79,14 +79,14 @@
   /** The entry's newest copy is in this page from now on. */
   void place(PageEntry entry, Page page) {
     pageOf.put(entry, page);
-    page.live.add(entry);
+    page.liveEntries.add(entry);
   }
 
   /** The entry's newest copy counts no more. */
   void remove(PageEntry entry) {
     Page page = pageOf.remove(entry);
     if (page != null) {
-      page.live.remove(entry);
+      page.liveEntries.remove(entry);
     }
   }
 
@@ -103,7 +103,7 @@
   int pagesInUse() {
     int count = 0;
     for (Page page : pages) {
-      count += page.live.isEmpty() ? 0 : 1;
+      count += page.liveEntries.isEmpty() ? 0 : 1;
     }
     return count;
   }
--- a/src/main/java/dev/windbend/store/PagedStore.java
+++ b/src/main/java/dev/windbend/store/PagedStore.java
@@ -26,18 +26,18 @@
   private static final int MAX_PAGES_PER_WRITE = 3;
 
   /** So few pages in use need no compaction. */
-  private static final int MIN_PAGES_TO_COMPACT = 3;
+  private static final int MAX_PAGES_WITHOUT_COMPACTION = 3;
 
   private final String prefix;
   private final int pageBytes;
   private final int maxWrites;
   private final int maxConditions;
-  private final LinkedHashSet<PageEntry> changed = new LinkedHashSet<>();
+  private final LinkedHashSet<PageEntry> changedEntries = new LinkedHashSet<>();
   private final PageAllocator allocator;
-  private final List<Page> inFlight = new ArrayList<>();
+  private final List<Page> pagesInFlight = new ArrayList<>();
 
   /** While a former leader's pages are being taken over: where the newest copies are, by id. */
-  private final Map<String, Page> restoring = new HashMap<>();
+  private final Map<String, Page> restoredPageById = new HashMap<>();
 
   /**
    * A page of a write of unknown outcome; null: none. The next write goes to this page too: were it
@@ -82,16 +82,16 @@
 
   private void restoreCopy(
       String id, JsonNode value, Page page, SortedMap<String, JsonNode> newest) {
-    Page other = restoring.get(id);
+    Page other = restoredPageById.get(id);
     if (other == null || other.version() < page.version()) {
-      restoring.put(id, page);
+      restoredPageById.put(id, page);
       newest.put(id, value);
     }
   }
 
   /** The entry was made from the copy that {@link #restore} found under its id, if any. */
   public void adopt(PageEntry entry) {
-    Page page = restoring.remove(entry.id());
+    Page page = restoredPageById.remove(entry.id());
     if (page != null) {
       allocator.place(entry, page);
     }
@@ -99,26 +99,26 @@
 
   /** Copies found by {@link #restore} and not adopted count no more. */
   public void finishRestore() {
-    restoring.clear();
+    restoredPageById.clear();
   }
 
   /** The entry has changed; it goes with the next write. */
   public void markChanged(PageEntry entry) {
-    changed.add(entry);
+    changedEntries.add(entry);
   }
 
   @Override
   public boolean dirty() {
-    if (!inFlight.isEmpty()) {
+    if (!pagesInFlight.isEmpty()) {
       return false;
     }
-    changed.removeIf(entry -> !entry.dirty());
-    return retryPage != null || !changed.isEmpty();
+    changedEntries.removeIf(entry -> !entry.dirty());
+    return retryPage != null || !changedEntries.isEmpty();
   }
 
   @Override
   public boolean urgent(long nowMs) {
-    for (PageEntry entry : changed) {
+    for (PageEntry entry : changedEntries) {
       if (entry.dirty() && entry.urgent(nowMs)) {
         return true;
       }
@@ -142,8 +142,8 @@
       }
       JsonNode value = Json.tree(entry.snapshot());
       int bytes = bytes(entry, value);
-      if (page.contentBytes() + bytes > pageBytes && !page.inFlight().isEmpty()) {
-        if (inFlight.size() >= maxPages) {
+      if (page.contentBytes() + bytes > pageBytes && !page.entriesInFlight().isEmpty()) {
+        if (pagesInFlight.size() >= maxPages) {
           full = true;
           break;
         }
@@ -154,7 +154,7 @@
     if (!full) {
       compactInto(page, transaction);
     }
-    for (Page written : inFlight) {
+    for (Page written : pagesInFlight) {
       transaction.ifVersion(written.key, written.version());
       transaction.put(written.key, written.content());
     }
@@ -163,7 +163,7 @@
   /** A copy, as entries leave the changed ones while they are added to a page. */
   private List<PageEntry> dirtyEntries() {
     List<PageEntry> dirty = new ArrayList<>();
-    for (PageEntry entry : changed) {
+    for (PageEntry entry : changedEntries) {
       if (entry.dirty()) {
         dirty.add(entry);
       }
@@ -172,9 +172,9 @@
   }
 
   private Page nextPage() {
-    Page page = retryPage != null ? retryPage : allocator.allocate(inFlight);
+    Page page = retryPage != null ? retryPage : allocator.allocate(pagesInFlight);
     retryPage = null;
-    inFlight.add(page);
+    pagesInFlight.add(page);
     return page;
   }
 
@@ -182,7 +182,7 @@
       Page page, PageEntry entry, JsonNode value, int bytes, TransactionBuilder transaction) {
     page.add(entry, value, bytes);
     entry.beginWrite(transaction);
-    changed.remove(entry);
+    changedEntries.remove(entry);
   }
 
   private static int bytes(PageEntry entry, JsonNode value) {
@@ -191,11 +191,11 @@
 
   /** Moves entries of the emptiest page along, as far as there is room. */
   private void compactInto(Page page, TransactionBuilder transaction) {
-    Page emptiest = allocator.emptiest(inFlight, MIN_PAGES_TO_COMPACT);
+    Page emptiest = allocator.leastFilledPage(pagesInFlight, MAX_PAGES_WITHOUT_COMPACTION);
     if (emptiest == null) {
       return;
     }
-    for (PageEntry entry : List.copyOf(emptiest.live)) {
+    for (PageEntry entry : List.copyOf(emptiest.liveEntries)) {
       if (page.contains(entry) || transaction.conditionCount() >= maxConditions) {
         continue;
       }
@@ -209,15 +209,15 @@
 
   @Override
   public void onApplied(long revision) {
-    for (Page page : inFlight) {
+    for (Page page : pagesInFlight) {
       page.setVersion(revision);
-      for (PageEntry entry : page.inFlight()) {
+      for (PageEntry entry : page.entriesInFlight()) {
         allocator.remove(entry);
         entry.onApplied();
         if (!entry.obsolete()) {
           allocator.place(entry, page);
         }
-        keepIfDirty(entry);
+        requeueIfDirty(entry);
       }
     }
     endWrite();
@@ -225,36 +225,37 @@
 
   @Override
   public void onNotApplied() {
-    retryPage = inFlight.isEmpty() ? null : inFlight.get(0);
-    for (Page page : inFlight) {
-      for (PageEntry entry : page.inFlight()) {
+    retryPage = pagesInFlight.isEmpty() ? null : pagesInFlight.get(0);
+    for (Page page : pagesInFlight) {
+      for (PageEntry entry : page.entriesInFlight()) {
         entry.onNotApplied();
-        keepIfDirty(entry);
+        requeueIfDirty(entry);
       }
     }
     endWrite();
   }
 
-  private void keepIfDirty(PageEntry entry) {
+  private void requeueIfDirty(PageEntry entry) {
     if (entry.dirty()) {
-      changed.add(entry);
+      changedEntries.add(entry);
     }
   }
 
   private void endWrite() {
-    inFlight.forEach(Page::endWrite);
-    inFlight.clear();
+    pagesInFlight.forEach(Page::endWrite);
+    pagesInFlight.clear();
   }
 
   @Override
-  public boolean ownsKey(String key) {
-    return key.startsWith(prefix) || changed.stream().anyMatch(entry -> entry.dependsOn(key));
+  public boolean dependsOn(String key) {
+    return key.startsWith(prefix)
+        || changedEntries.stream().anyMatch(entry -> entry.dependsOn(key));
   }
 
   @Override
   public void onConflict(String key, VersionedValue stored) {
     allocator.setVersion(key, VersionedValue.versionOf(stored));
-    for (PageEntry entry : List.copyOf(changed)) {
+    for (PageEntry entry : List.copyOf(changedEntries)) {
       if (entry.dependsOn(key)) {
         entry.onConflict(stored);
       }
--- a/src/main/java/dev/windbend/store/PendingWrite.java
+++ b/src/main/java/dev/windbend/store/PendingWrite.java
@@ -33,7 +33,7 @@
   void onNotApplied();
 
   /** Whether this write depends on the key's version. */
-  boolean ownsKey(String key);
+  boolean dependsOn(String key);
 
   /**
    * A key that this write owns had another version than expected.
--- a/src/main/java/dev/windbend/store/RecordWrite.java
+++ b/src/main/java/dev/windbend/store/RecordWrite.java
@@ -16,7 +16,7 @@
   }
 
   /** Whether the key does not hold yet what it should. */
-  protected abstract boolean changed();
+  protected abstract boolean hasUnstoredChange();
 
   /** Adds the condition and the write, and remembers what is in flight. */
   protected abstract void addChange(TransactionBuilder transaction);
@@ -26,7 +26,7 @@
 
   @Override
   public final boolean dirty() {
-    return !inFlight && changed();
+    return !inFlight && hasUnstoredChange();
   }
 
   @Override
@@ -57,7 +57,7 @@
   }
 
   @Override
-  public final boolean ownsKey(String changedKey) {
+  public final boolean dependsOn(String changedKey) {
     return changedKey.equals(key);
   }
 }
--- a/src/main/java/dev/windbend/store/Replica.java
+++ b/src/main/java/dev/windbend/store/Replica.java
@@ -22,14 +22,14 @@
 
   private static final long LIST_RETRY_MS = 500;
   private static final long WATCH_RETRY_MS = 400;
-  private static final long NOT_READ = -1;
+  private static final long NOT_LISTED = -1;
 
   private final EventLoop loop;
   private final StoreClient store;
   private final String prefix;
   private final TreeMap<String, VersionedValue> keys = new TreeMap<>();
   private final List<Listener> listeners = new ArrayList<>();
-  private long revision = NOT_READ;
+  private long revision = NOT_LISTED;
   private long completeUntilMs = Long.MIN_VALUE / 2;
   private boolean synced;
 
@@ -40,7 +40,7 @@
      *
      * @param stored what it holds now; null: it does not exist any more
      */
-    void changed(String key, VersionedValue stored);
+    void onChange(String key, VersionedValue stored);
   }
 
   /** An empty replica; {@link #start} fills it. */
@@ -57,7 +57,7 @@
 
   /** Lists the keys, and watches them from then on. */
   public void start() {
-    listFromStart();
+    listAll();
   }
 
   /** Whether the keys have been listed once. */
@@ -81,12 +81,12 @@
   }
 
   /** The keys that begin so, with what they hold; a view that changes with the replica. */
-  public NavigableMap<String, VersionedValue> withPrefix(String start) {
-    return keys.subMap(start, true, start + '\uffff', false);
+  public NavigableMap<String, VersionedValue> withPrefix(String keyPrefix) {
+    return keys.subMap(keyPrefix, true, keyPrefix + '\uffff', false);
   }
 
-  private void listFromStart() {
-    list(null, NOT_READ, new HashSet<>());
+  private void listAll() {
+    listPages(null, NOT_LISTED, new HashSet<>());
   }
 
   /**
@@ -96,31 +96,31 @@
    * @param firstRevision the revision of the first page
    * @param listed all keys on the pages so far
    */
-  private void list(String from, long firstRevision, Set<String> listed) {
+  private void listPages(String from, long firstRevision, Set<String> listed) {
     store.list(
         prefix,
         from,
         page -> {
           if (!page.answered()) {
-            loop.after(LIST_RETRY_MS, () -> list(from, firstRevision, listed));
+            loop.after(LIST_RETRY_MS, () -> listPages(from, firstRevision, listed));
             return;
           }
           // The watch replays the changes since the first page, so later pages may be newer.
-          long listRevision = firstRevision == NOT_READ ? page.revision() : firstRevision;
+          long listRevision = firstRevision == NOT_LISTED ? page.revision() : firstRevision;
           for (KeyValue item : page.items()) {
             listed.add(item.key());
             apply(item);
           }
-          String next = page.nextFrom();
+          String next = page.nextStartAfter();
           if (next != null) {
-            list(next, listRevision, listed);
+            listPages(next, listRevision, listed);
           } else {
-            listComplete(listRevision, listed);
+            onListComplete(listRevision, listed);
           }
         });
   }
 
-  private void listComplete(long listRevision, Set<String> listed) {
+  private void onListComplete(long listRevision, Set<String> listed) {
     for (String key : List.copyOf(keys.keySet())) {
       if (!listed.contains(key) && keys.get(key).version() <= listRevision) {
         apply(new KeyValue(key, null, listRevision));
@@ -141,7 +141,7 @@
     switch (result.status()) {
       case COMPACTED -> {
         LOG.info("replica behind the store's compaction, listing again: revision={}", revision);
-        listFromStart();
+        listAll();
       }
       case UNAVAILABLE -> loop.after(WATCH_RETRY_MS, this::watch);
       case OK -> {
@@ -170,7 +170,7 @@
       return;
     }
     for (Listener listener : listeners) {
-      listener.changed(change.key(), stored);
+      listener.onChange(change.key(), stored);
     }
   }
 }
--- a/src/main/java/dev/windbend/store/RequestPacer.java
+++ b/src/main/java/dev/windbend/store/RequestPacer.java
@@ -18,7 +18,7 @@
   private final ArrayDeque<QueuedCall> userWrites = new ArrayDeque<>();
   private final ArrayDeque<QueuedCall> leaderWrites = new ArrayDeque<>();
   private boolean draining;
-  private boolean usersTurn = true;
+  private boolean userWriteNext = true;
   private long nextDrainMs = NOTHING_QUEUED;
 
   /** Calls that wait in line with one another. */
@@ -47,7 +47,7 @@
    * @param reject called instead of {@code send}, at once, if the lane is full
    */
   void submit(Lane lane, int writeCount, Runnable send, Runnable reject) {
-    ArrayDeque<QueuedCall> queue = queue(lane);
+    ArrayDeque<QueuedCall> queue = queueFor(lane);
     if (queue.size() >= MAX_QUEUED) {
       reject.run();
       return;
@@ -57,7 +57,7 @@
   }
 
   /** Counts a call that can't wait and is being sent at once; queued ones make up for it. */
-  void countUnqueued() {
+  void countUnqueuedRequest() {
     requests.take(1);
   }
 
@@ -66,7 +66,7 @@
     (write ? writes : requests).slowDown();
   }
 
-  private ArrayDeque<QueuedCall> queue(Lane lane) {
+  private ArrayDeque<QueuedCall> queueFor(Lane lane) {
     return switch (lane) {
       case READS -> reads;
       case USER_WRITES -> userWrites;
@@ -102,13 +102,13 @@
   /** Users' writes take turns with the leader's. Returns how long the next one must wait. */
   private long drainWrites() {
     while (true) {
-      boolean forUser = leaderWrites.isEmpty() || (usersTurn && !userWrites.isEmpty());
+      boolean forUser = leaderWrites.isEmpty() || (userWriteNext && !userWrites.isEmpty());
       long waitMs = sendNext(forUser ? userWrites : leaderWrites);
       if (waitMs > 0) {
         return waitMs;
       }
       // Were users' writes always first, scale-out would come too late in a burst of submissions.
-      usersTurn = !forUser;
+      userWriteNext = !forUser;
     }
   }
 
--- a/src/main/java/dev/windbend/store/StoreClient.java
+++ b/src/main/java/dev/windbend/store/StoreClient.java
@@ -21,7 +21,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
   private static final long TIMEOUT_MS = 2_000;
   private static final long LIST_TIMEOUT_MS = 3 * TIMEOUT_MS;
-  private static final int LIST_PAGE_KEYS = 1_000;
+  private static final int LIST_PAGE_SIZE = 1_000;
 
   /** The status of a watch from a revision whose changes the service no longer keeps. */
   private static final int GONE = 410;
@@ -33,10 +33,10 @@
    * One controller may lead most shards, so each may use this many times an even part of the rate
    * limits; where that is too much together, refusals slow the controllers down.
    */
-  private static final double EVEN_PARTS = 2.5;
+  private static final double RATE_SHARE_FACTOR = 2.5;
 
   /** Kinds of reads that go on and on; each may take an even part of the rate limit. */
-  private static final double POLLING_KINDS = 4.0;
+  private static final double POLLING_READ_KINDS = 4.0;
 
   /** A transaction may have this many conditions for each key that it may write. */
   static final int CONDITIONS_PER_WRITE = 4;
@@ -45,7 +45,7 @@
   private static final double MS_PER_SECOND = 1_000;
 
   private final EventLoop loop;
-  private final HttpClient web;
+  private final HttpClient httpClient;
   private final String address;
   private final int maxWritesPerTransaction;
   private final RequestPacer pacer;
@@ -69,16 +69,16 @@
       int maxWritesPerTransaction,
       int controllers) {
     this.loop = loop;
-    this.web = web;
+    this.httpClient = web;
     this.address = address;
     this.maxWritesPerTransaction = maxWritesPerTransaction;
-    double share = Math.min(1.0, EVEN_PARTS / controllers);
+    double share = Math.min(1.0, RATE_SHARE_FACTOR / controllers);
     this.pacer = new RequestPacer(loop, requestsPerSecond * share, writesPerSecond * share);
     this.outages = new OutageTracker(loop);
     this.pollIntervalMs =
         Math.max(
             MIN_POLL_INTERVAL_MS,
-            (long) (MS_PER_SECOND * POLLING_KINDS * controllers / requestsPerSecond));
+            (long) (MS_PER_SECOND * POLLING_READ_KINDS * controllers / requestsPerSecond));
   }
 
   /** Pause between reads of a kind that goes on and on, so that all kinds fit the rate limit. */
@@ -105,8 +105,8 @@
    * When the newest of the calls that were answered was sent, by the monotonic clock: the service
    * served this controller then, or later.
    */
-  public long lastServedSentMs() {
-    return outages.lastServedSentMs();
+  public long lastAnsweredSentMs() {
+    return outages.lastAnsweredSentMs();
   }
 
   /** Reads one key. */
@@ -140,7 +140,7 @@
             + prefix
             + (from == null ? "" : "&from=" + from)
             + "&limit="
-            + LIST_PAGE_KEYS;
+            + LIST_PAGE_SIZE;
     pacer.submit(
         RequestPacer.Lane.READS,
         0,
@@ -158,7 +158,7 @@
     for (StoreMessages.StoredKey pair : page.items()) {
       items.add(new KeyValue(pair.key(), pair.value(), pair.version()));
     }
-    return new ListResult(true, items, page.more(), page.revision());
+    return new ListResult(true, items, page.hasMore(), page.revision());
   }
 
   /** Commits what a user waits for, or only compares: does not wait behind leaders' writes. */
@@ -195,9 +195,9 @@
     if (result != null && reply.ok()) {
       return new TransactionOutcome(TransactionOutcome.Kind.APPLIED, result.revision(), List.of());
     }
-    if (result != null && result.failed() != null) {
+    if (result != null && result.failedKeys() != null) {
       return new TransactionOutcome(
-          TransactionOutcome.Kind.CONDITION_FAILED, result.revision(), result.failed());
+          TransactionOutcome.Kind.CONDITION_FAILED, result.revision(), result.failedKeys());
     }
     return outcome(
         reply.status() >= FIRST_ERROR_STATUS
@@ -215,7 +215,7 @@
    * @param done takes the lease's id; empty: none was granted, as far as is known
    */
   public void acquireLease(long termMs, Consumer<OptionalLong> done) {
-    pacer.countUnqueued();
+    pacer.countUnqueuedRequest();
     send(
         "POST",
         "/holds",
@@ -231,7 +231,7 @@
 
   /** Renews a lease for its term. Not queued either. */
   public void renewLease(long lease, Consumer<LeaseRenewal> done) {
-    pacer.countUnqueued();
+    pacer.countUnqueuedRequest();
     send(
         "POST",
         "/holds/" + lease + "/renew",
@@ -254,8 +254,8 @@
    * @param blockMs the service answers with no changes if there are none for so long
    */
   void watch(String prefix, long fromRevision, long blockMs, Consumer<WatchResult> done) {
-    pacer.countUnqueued();
-    web.call(
+    pacer.countUnqueuedRequest();
+    httpClient.call(
         address,
         "GET",
         "/follow?prefix=" + prefix + "&from=" + fromRevision + "&block_ms=" + blockMs,
@@ -278,9 +278,9 @@
     List<KeyValue> changes = new ArrayList<>(events.changes().size());
     for (StoreMessages.Write change : events.changes()) {
       changes.add(
-          change.put() != null
-              ? new KeyValue(change.put(), change.value(), change.version())
-              : new KeyValue(change.delete(), null, change.version()));
+          change.putKey() != null
+              ? new KeyValue(change.putKey(), change.value(), change.version())
+              : new KeyValue(change.deletedKey(), null, change.version()));
     }
     return new WatchResult(WatchResult.Status.OK, changes, events.revision());
   }
@@ -298,7 +298,7 @@
       long timeoutMs,
       Consumer<ClientResponse> done) {
     long sentMs = loop.nowMs();
-    web.call(
+    httpClient.call(
         address,
         method,
         path,
--- a/src/main/java/dev/windbend/store/StoreMessages.java
+++ b/src/main/java/dev/windbend/store/StoreMessages.java
@@ -17,12 +17,12 @@
   /**
    * One page of a list.
    *
-   * @param more whether there are keys after the last one
+   * @param hasMore whether there are keys after the last one
    * @param revision the revision at which the page was read
    */
   record KeyList(
       @JsonProperty("pairs") List<StoredKey> items,
-      @JsonProperty("has_next") boolean more,
+      @JsonProperty("has_next") boolean hasMore,
       @JsonProperty("ledger") long revision) {}
 
   /** The key must have the version; 0: it must not exist. */
@@ -32,16 +32,16 @@
    * A write of a transaction, or a change of a watch: {@code put} with its value, or {@code
    * delete}.
    *
-   * @param put the key written; null: this is a deletion
+   * @param putKey the key written; null: this is a deletion
    * @param lease the key is deleted when this lease expires; null: it stays
-   * @param delete the key deleted; null: this is a put
+   * @param deletedKey the key deleted; null: this is a put
    * @param version the revision of the change; null in a transaction
    */
   record Write(
-      @JsonProperty("set") String put,
+      @JsonProperty("set") String putKey,
       @JsonProperty("v") JsonNode value,
       @JsonProperty("permit") Long lease,
-      @JsonProperty("remove") String delete,
+      @JsonProperty("remove") String deletedKey,
       @JsonProperty("stamp") Long version) {}
 
   /** Writes all, on condition that all conditions hold. */
@@ -52,10 +52,10 @@
    * Answers a transaction.
    *
    * @param revision if applied, the version of all keys written
-   * @param failed the keys whose condition did not hold; null: applied
+   * @param failedKeys the keys whose condition did not hold; null: applied
    */
   record TransactionResult(
-      @JsonProperty("ledger") long revision, @JsonProperty("failed") List<String> failed) {}
+      @JsonProperty("ledger") long revision, @JsonProperty("failed") List<String> failedKeys) {}
 
   /** Asks for a lease that expires so long after its last renewal. */
   record LeaseRequest(@JsonProperty("life_ms") long termMs) {}
--- a/src/main/java/dev/windbend/store/TokenBucket.java
+++ b/src/main/java/dev/windbend/store/TokenBucket.java
@@ -13,13 +13,13 @@
   private static final double SLOW_DOWN_FACTOR = 0.5;
 
   /** The rate never falls below this share of the full one. */
-  private static final double MIN_RATE_SHARE = 1.0 / 8;
+  private static final double MIN_RATE_FRACTION = 1.0 / 8;
 
   /** From nothing to the full rate. */
   private static final double RECOVERY_SECONDS = 10;
 
   /** Tokens missing by no more than this are due to rounding. */
-  private static final double ROUNDING_TOKENS = 1e-9;
+  private static final double ROUNDING_TOLERANCE_TOKENS = 1e-9;
 
   private static final double MS_PER_SECOND = 1_000;
 
@@ -27,8 +27,8 @@
   private final double fullRatePerSecond;
   private double ratePerSecond;
   private double tokens;
-  private long refilledMs;
-  private long slowedDownMs = Long.MIN_VALUE / 2;
+  private long lastRefillMs;
+  private long lastSlowDownMs = Long.MIN_VALUE / 2;
 
   /** A full bucket at its full rate, in tokens a second. */
   public TokenBucket(EventLoop loop, double ratePerSecond) {
@@ -36,7 +36,7 @@
     this.fullRatePerSecond = ratePerSecond;
     this.ratePerSecond = ratePerSecond;
     this.tokens = ratePerSecond;
-    this.refilledMs = loop.nowMs();
+    this.lastRefillMs = loop.nowMs();
   }
 
   /**
@@ -46,7 +46,7 @@
   public long waitMs(int cost) {
     refill();
     double missing = Math.min(cost, capacity()) - tokens;
-    return missing <= ROUNDING_TOKENS
+    return missing <= ROUNDING_TOLERANCE_TOKENS
         ? 0
         : Math.max(1, (long) Math.ceil(missing * MS_PER_SECOND / ratePerSecond));
   }
@@ -63,11 +63,12 @@
   /** The service refused a call as too frequent. Refusals of one moment count once. */
   public void slowDown() {
     refill();
-    if (refilledMs - slowedDownMs < SLOW_DOWN_INTERVAL_MS) {
+    if (lastRefillMs - lastSlowDownMs < SLOW_DOWN_INTERVAL_MS) {
       return;
     }
-    slowedDownMs = refilledMs;
-    ratePerSecond = Math.max(fullRatePerSecond * MIN_RATE_SHARE, ratePerSecond * SLOW_DOWN_FACTOR);
+    lastSlowDownMs = lastRefillMs;
+    ratePerSecond =
+        Math.max(fullRatePerSecond * MIN_RATE_FRACTION, ratePerSecond * SLOW_DOWN_FACTOR);
     tokens = Math.min(tokens, 0);
   }
 
@@ -77,8 +78,8 @@
 
   private void refill() {
     long now = loop.nowMs();
-    double elapsedSeconds = (now - refilledMs) / MS_PER_SECOND;
-    refilledMs = now;
+    double elapsedSeconds = (now - lastRefillMs) / MS_PER_SECOND;
+    lastRefillMs = now;
     ratePerSecond =
         Math.min(
             fullRatePerSecond,
--- a/src/main/java/dev/windbend/zone/ZoneRecordWrite.java
+++ b/src/main/java/dev/windbend/zone/ZoneRecordWrite.java
@@ -29,7 +29,7 @@
   }
 
   @Override
-  protected boolean changed() {
+  protected boolean hasUnstoredChange() {
     return !Objects.equals(wanted, stored);
   }
 
--- a/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
+++ b/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
@@ -20,12 +20,12 @@
   private final ServerRequest request = new ServerRequest("GET", "/", Map.of(), new byte[0]);
 
   @AfterEach
-  void setsNoTimers() {
+  void assertNoTimersSet() {
     assertThat(loop.waiting).isEmpty();
   }
 
   @Test
-  void rejectsAtOnceWhatIsOverTheLimitAndSaysWhenToRetry() {
+  void rejectsRequestsOverLimitWithRetryAfter() {
     int limit = limiter.limit();
     int[] refused = {0};
     for (int i = 0; i < limit + 5; i++) {
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void otherRequestsGoAheadOfSubmissions() {
+  void acceptsOtherRequestWhenSubmissionsReachTheirShare() {
     ServerRequest submission = new ServerRequest("POST", "/", Map.of(), new byte[0]);
     int[] refused = {0};
     for (int i = 0; i < limiter.limit(); i++) {
@@ -53,20 +53,20 @@
   }
 
   @Test
-  void theLimitFallsAsRequestsTakeLonger() {
+  void lowersLimitWhenRequestsTakeLonger() {
     for (int i = 0; i < 300; i++) {
-      serve(10);
+      serveAtLimit(10);
     }
     int before = limiter.limit();
     int least = before;
     for (int i = 0; i < 30; i++) {
-      serve(2_000);
+      serveAtLimit(2_000);
       least = Math.min(least, limiter.limit());
     }
     assertThat(least).isLessThan(before);
   }
 
-  private void serve(long ms) {
+  private void serveAtLimit(long ms) {
     int limit = limiter.limit();
     for (int i = 0; i < limit; i++) {
       limiter.handle(request, response -> {});
--- a/src/test/java/dev/windbend/plan/DecisionTraceTest.java
+++ b/src/test/java/dev/windbend/plan/DecisionTraceTest.java
@@ -50,7 +50,7 @@
   @Test
   void quota() {
     job(2, 4, 3, 10, 60);
-    limit = 8;
+    maxCores = 8;
     machine(0, true, 8);
     DecisionTrace trace = DecisionTrace.recording();
     SchedulingDecision decision = Planner.plan(snapshot(), trace);
--- a/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
+++ b/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
@@ -23,13 +23,13 @@
           draft.dueMs = NOW + dueInMs;
           draft.estimateMs = estimateMs;
           draft.ageMs = 60_000;
-          draft.begun = true;
+          draft.everStarted = true;
           draft.displaced = true;
         });
   }
 
   private List<Integer> placedJobs() {
-    return plan().placements().stream().map(SchedulingDecision.Place::job).sorted().toList();
+    return plan().placements().stream().map(SchedulingDecision.PlacedTask::job).sorted().toList();
   }
 
   /** Shrunk cases of the property in EvacuationPlanTest: rank/cores/waiting/due/estimate. */
@@ -82,7 +82,7 @@
           draft.estimateMs = 6_000;
           draft.dueMs = NOW + 6_000;
           draft.displaced = isDisplaced;
-          draft.hopeless = hopeless;
+          draft.unattainable = hopeless;
         });
     displaced(2, 4, 1, 4_000, 4_000);
     assertThat(placedJobs()).hasSize(placed);
@@ -109,7 +109,7 @@
     halfAMachineFreeAheadOfAReservation();
     displaced(1, 4, 1, 6_000, 6_000);
     displaced(2, 2, 1, 4_000, 4_000);
-    limit = 10;
+    maxCores = 10;
     assertThat(placedJobs()).containsExactly(2);
   }
 
@@ -137,11 +137,11 @@
     job(
         draft -> {
           draft.rank = 1;
-          draft.resources = WHOLE;
+          draft.resources = WHOLE_MACHINE;
           draft.estimateMs = 60_000;
           draft.dueMs = NOW + 95_000;
           draft.displaced = true;
-          draft.hopeless = hopeless;
+          draft.unattainable = hopeless;
         });
     displaced(2, 8, 1, 10_000, 10_000);
     assertThat(placedJobs()).containsExactly(placed);
@@ -156,19 +156,19 @@
     job(
         draft -> {
           draft.rank = 1;
-          draft.resources = WHOLE;
+          draft.resources = WHOLE_MACHINE;
           draft.imageGb = 9;
           draft.estimateMs = 10_000;
           draft.startByMs = NOW + 5_000;
           draft.displaced = true;
         });
     displaced(2, 8, 1, 20_000, 10_000);
-    assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(0, 1));
+    assertThat(plan().placements()).containsExactly(new SchedulingDecision.PlacedTask(0, 1));
   }
 
   private static MachineCapacity withoutImages(MachineCapacity machine) {
     return new MachineCapacity(
-        machine.kind(),
+        machine.attributes(),
         machine.up(),
         machine.nextResponseMs(),
         machine.readyMs(),
--- a/src/test/java/dev/windbend/plan/PlannerFixture.java
+++ b/src/test/java/dev/windbend/plan/PlannerFixture.java
@@ -9,16 +9,16 @@
 /** A snapshot to plan on. One type of 8 cores, two zones, boots in 30 s. */
 abstract class PlannerFixture {
   static final long NOW = 1_000_000;
-  static final Resources WHOLE = new Resources(8, 0, 32);
+  static final Resources WHOLE_MACHINE = new Resources(8, 0, 32);
 
   final List<PendingJob> jobs = new ArrayList<>();
   final List<MachineCapacity> machines = new ArrayList<>();
   final List<InstanceOffer> offers = new ArrayList<>(List.of(offer(0, true), offer(0, false)));
-  double limit = 100;
-  double used = 0;
+  double maxCores = 100;
+  double usedCores = 0;
   boolean oldestFirst;
-  double reserve = 1_000;
-  long hearsMs;
+  double reserveCores = 1_000;
+  long nextResponseMs;
 
   SchedulingDecision plan() {
     return Planner.plan(snapshot());
@@ -29,15 +29,15 @@
         NOW,
         new Snapshot.Limits(10_000, 3_000, 20),
         oldestFirst,
-        reserve,
-        List.of(new Team(limit, 0, used, 0)),
+        reserveCores,
+        List.of(new Team(maxCores, 0, usedCores, 0)),
         jobs,
         machines,
         offers);
   }
 
   /** A job with what most cases leave alone. */
-  static final class Draft {
+  static final class JobBuilder {
     int rank = 2;
     Resources resources = new Resources(1, 0, 1);
     boolean[] types;
@@ -48,40 +48,41 @@
     double imageGb = 1;
     int tasks = 1;
     int waiting = 1;
-    int[] placed = new int[2];
+    int[] placedPerZone = new int[2];
     long estimateMs = 9;
     long dueMs = NOW + 30_000;
-    boolean hopeless;
+    boolean unattainable;
     boolean guaranteed;
     long startByMs;
     long ageMs;
-    boolean begun;
+    boolean everStarted;
     boolean starved;
     boolean displaced;
 
-    PendingJob job() {
+    PendingJob build() {
       return new PendingJob(
           0,
           rank,
           new PendingJob.Requirements(resources, 7, imageGb, estimateMs),
           new PendingJob.Constraints(types, zone, colocated, spread, spot, 0, new IntOpenHashSet()),
-          new PendingJob.Progress(tasks, waiting, placed, ageMs, begun, starved, displaced),
-          new PendingJob.Objectives(dueMs, hopeless, guaranteed, startByMs));
+          new PendingJob.Progress(
+              tasks, waiting, placedPerZone, ageMs, everStarted, starved, displaced),
+          new PendingJob.Objectives(dueMs, unattainable, guaranteed, startByMs));
     }
   }
 
-  static InstanceKind kind(int zone, boolean spot) {
-    return new InstanceKind(0, zone, spot, spot ? 1 : 2, 1);
+  static MachineAttributes kind(int zone, boolean spot) {
+    return new MachineAttributes(0, zone, spot, spot ? 1 : 2, 1);
   }
 
   static InstanceOffer offer(int zone, boolean spot) {
-    return new InstanceOffer(kind(zone, spot), WHOLE, 30_000);
+    return new InstanceOffer(kind(zone, spot), WHOLE_MACHINE, 30_000);
   }
 
-  void job(Consumer<Draft> what) {
-    Draft d = new Draft();
+  void job(Consumer<JobBuilder> what) {
+    JobBuilder d = new JobBuilder();
     what.accept(d);
-    jobs.add(d.job());
+    jobs.add(d.build());
   }
 
   void job(int rank, double cores, int waiting, long estimateS, long dueInS) {
@@ -105,7 +106,7 @@
         new MachineCapacity(
             kind(zone, spot),
             true,
-            hearsMs,
+            nextResponseMs,
             0,
             new Resources(free, 0, 32),
             new MachineCapacity.Lifetime(running.length == 0 && free == 8, NOW + 1000 * paidS, NOW),
--- a/src/test/java/dev/windbend/plan/PlannerScalingTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerScalingTest.java
@@ -22,7 +22,8 @@
   })
   void waitsWhileTheSlackAllows(long estimate, long due, int requested) {
     job(2, 4, 1, estimate, due);
-    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
+    assertThat(
+            plan().scaleOuts().stream().mapToInt(SchedulingDecision.RequestedMachines::count).sum())
         .isEqualTo(requested);
   }
 
@@ -31,7 +32,8 @@
   void queuesBehindAMachineFreeSoonElseScalesOut(long freeIn, long due, int requested) {
     job(2, 8, 1, 20, due);
     machine(0, true, 0, running(8, freeIn, 2, 5));
-    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
+    assertThat(
+            plan().scaleOuts().stream().mapToInt(SchedulingDecision.RequestedMachines::count).sum())
         .isEqualTo(requested);
   }
 
@@ -39,20 +41,20 @@
   void reservesASoonFreeMachineForOneTaskOnly() {
     job(2, 8, 2, 20, 30);
     machine(0, true, 0, running(8, 20, 2, 5));
-    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 1));
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.RequestedMachines(0, 1));
   }
 
   @Test
   void packsNewMachinesAndTakesTheCheapest() {
     job(2, 4, 5, 20, 30);
-    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 3));
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.RequestedMachines(0, 3));
   }
 
   @Test
   void scalesOutByOnDemandMachinesWhereSpotInstancesAreRefused() {
     offers.remove(0);
     job(2, 4, 1, 20, 30);
-    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(0, 1));
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.RequestedMachines(0, 1));
   }
 
   @Test
@@ -77,7 +79,8 @@
           d.guaranteed = is;
         });
     machine(0, true, 0, running(8, 40, 2, 5));
-    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingDecision.ScaleOut::count).sum())
+    assertThat(
+            plan().scaleOuts().stream().mapToInt(SchedulingDecision.RequestedMachines::count).sum())
         .isEqualTo(requested);
   }
 
@@ -86,7 +89,7 @@
     offers.add(offer(1, true));
     job(2, 8, 4, 20, 30);
     machine(0, true, 0, running(8, 900, 2, 5));
-    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.ScaleOut(2, 4));
+    assertThat(plan().scaleOuts()).containsExactly(new SchedulingDecision.RequestedMachines(2, 4));
   }
 
   @Test
@@ -98,19 +101,19 @@
             true,
             0,
             0,
-            WHOLE,
+            WHOLE_MACHINE,
             new MachineCapacity.Lifetime(true, NOW - 1, NOW),
             new IntOpenHashSet(),
             List.of()));
     SchedulingDecision w = plan();
     assertThat(w.scaleIns()).containsExactly(1);
-    assertThat(w.idle()).containsExactly(0, 1);
+    assertThat(w.idleMachines()).containsExactly(0, 1);
   }
 
   @ParameterizedTest(name = "a reserve of {0} cores")
   @CsvSource({"24,''", "23,''", "16,1", "9,1", "8,1 0", "0,1 0 2"})
   void givesBackIdleMachinesBeyondTheReserveMostExpensiveFirst(double keep, String back) {
-    reserve = keep;
+    reserveCores = keep;
     machine(0, true, 8);
     machine(0, false, 8);
     machine(0, true, 8);
--- a/src/test/java/dev/windbend/plan/PlannerTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerTest.java
@@ -22,13 +22,13 @@
     job(2, 2, 1, 30, 40);
     machine(0, true, 8);
     machine(0, true, 2, running(6, 10, 2, 5));
-    assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(0, 1));
+    assertThat(plan().placements()).containsExactly(new SchedulingDecision.PlacedTask(0, 1));
   }
 
   @Test
   void keepsTheTeamsQuotaWithWhatIsNotProvedGone() {
-    limit = 10;
-    used = 4;
+    maxCores = 10;
+    usedCores = 4;
     job(2, 4, 3, 20, 30);
     machine(0, true, 8);
     assertThat(plan().placements()).hasSize(1);
@@ -39,8 +39,8 @@
     job(1, 4, 1, 20, 60);
     machine(0, true, 0, running(4, 90, 2, 30), running(4, 90, 2, 5));
     SchedulingDecision w = plan();
-    assertThat(w.preemptions()).containsExactly(new SchedulingDecision.Preempt(0, 1));
-    assertThat(w.placements()).containsExactly(new SchedulingDecision.Place(0, 0));
+    assertThat(w.preemptions()).containsExactly(new SchedulingDecision.PreemptedTask(0, 1));
+    assertThat(w.placements()).containsExactly(new SchedulingDecision.PlacedTask(0, 0));
   }
 
   @ParameterizedTest(name = "rank {0}, loses {1} s, free in {2} s")
@@ -55,11 +55,11 @@
   @Test
   void preemptsLowerWorkWhereItIsHeardSoonest() {
     job(1, 8, 1, 20, 60);
-    hearsMs = 4_000;
+    nextResponseMs = 4_000;
     machine(0, true, 0, running(8, 90, 2, 5));
-    hearsMs = 100;
+    nextResponseMs = 100;
     machine(0, true, 0, running(8, 90, 2, 5));
-    assertThat(plan().preemptions()).containsExactly(new SchedulingDecision.Preempt(1, 0));
+    assertThat(plan().preemptions()).containsExactly(new SchedulingDecision.PreemptedTask(1, 0));
   }
 
   @ParameterizedTest(name = "free in {0} s, to start within {1} s: {2} preempted")
@@ -68,7 +68,7 @@
     job(
         d -> {
           d.rank = 1;
-          d.resources = WHOLE;
+          d.resources = WHOLE_MACHINE;
           d.estimateMs = 20_000;
           d.dueMs = NOW + 60_000;
           d.startByMs = NOW + 1_000 * startInS;
@@ -86,16 +86,16 @@
         d -> {
           d.colocated = true;
           d.tasks = 2;
-          d.placed = new int[] {0, 1};
+          d.placedPerZone = new int[] {0, 1};
         });
     machine(0, true, 8);
     machine(1, true, 8);
     machine(0, false, 8);
     assertThat(plan().placements())
         .containsExactlyInAnyOrder(
-            new SchedulingDecision.Place(0, 1),
-            new SchedulingDecision.Place(1, 2),
-            new SchedulingDecision.Place(3, 1));
+            new SchedulingDecision.PlacedTask(0, 1),
+            new SchedulingDecision.PlacedTask(1, 2),
+            new SchedulingDecision.PlacedTask(3, 1));
   }
 
   @Test
@@ -120,9 +120,9 @@
           d.waiting = tasks;
           d.estimateMs = 60_000;
           d.dueMs = NOW - 1;
-          d.hopeless = true;
+          d.unattainable = true;
           d.ageMs = ageS * 1000;
-          d.begun = begun;
+          d.everStarted = begun;
         });
   }
 
@@ -142,7 +142,7 @@
     offers.clear();
     oldestFirst = first;
     machine(0, true, 8);
-    assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(served, 0));
+    assertThat(plan().placements()).containsExactly(new SchedulingDecision.PlacedTask(served, 0));
   }
 
   @Test
@@ -153,7 +153,7 @@
     for (int i = 0; i < 4; i++) {
       machine(0, true, 8);
     }
-    assertThat(plan().placements().stream().map(SchedulingDecision.Place::job))
+    assertThat(plan().placements().stream().map(SchedulingDecision.PlacedTask::job))
         .containsExactly(0, 0, 1, 0);
   }
 
@@ -179,7 +179,7 @@
     job(2, 4, 1, 30, 40);
     machine(0, false, 8);
     machine(0, true, 8);
-    assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(0, 1));
+    assertThat(plan().placements()).containsExactly(new SchedulingDecision.PlacedTask(0, 1));
   }
 
   @Test
@@ -190,7 +190,7 @@
     for (long hears : new long[] {5_000, 0}) {
       machines.add(
           new MachineCapacity(
-              machine.kind(),
+              machine.attributes(),
               machine.up(),
               hears,
               machine.readyMs(),
@@ -199,7 +199,7 @@
               machine.images(),
               machine.running()));
     }
-    assertThat(plan().placements()).containsExactly(new SchedulingDecision.Place(0, 1));
+    assertThat(plan().placements()).containsExactly(new SchedulingDecision.PlacedTask(0, 1));
   }
 
   /** What a cycle costs goes by machines and jobs, not by tasks. */
@@ -262,7 +262,7 @@
           d.dueMs = NOW + 1_000 * secondDueS;
         });
     assertThat(plan().placements())
-        .extracting(SchedulingDecision.Place::job)
+        .extracting(SchedulingDecision.PlacedTask::job)
         .containsExactly(placed);
   }
 }
--- a/src/test/java/dev/windbend/plan/PriorityPropertiesTest.java
+++ b/src/test/java/dev/windbend/plan/PriorityPropertiesTest.java
@@ -18,11 +18,11 @@
   private static final long PLENTY = 100_000;
 
   /** Draws a snapshot; small numbers, so that sizes and times meet often. */
-  private static final class Draw {
+  private static final class SnapshotGenerator {
     private final Random random;
     private final boolean displaced;
 
-    Draw(long seed, boolean displaced) {
+    SnapshotGenerator(long seed, boolean displaced) {
       this.random = new Random(seed);
       this.displaced = displaced;
     }
@@ -84,9 +84,9 @@
               NOW + 1_000L * random.nextInt(60), oneIn(5), oneIn(4), startByMs));
     }
 
-    private InstanceKind kind() {
+    private MachineAttributes kind() {
       boolean spot = oneIn(2);
-      return new InstanceKind(random.nextInt(2), random.nextInt(2), spot, spot ? 1 : 2.5, 1);
+      return new MachineAttributes(random.nextInt(2), random.nextInt(2), spot, spot ? 1 : 2.5, 1);
     }
 
     private MachineCapacity machine() {
@@ -119,17 +119,17 @@
   /** Guards against priority inversion as docs/zones.md defines it, whatever its cause. */
   @Property(tries = 2_000)
   void noDisplacedTaskIsPlacedInRoomThatAWaitingHigherOneFitsInto(@ForAll long seed) {
-    Snapshot snapshot = new Draw(seed, true).snapshot();
+    Snapshot snapshot = new SnapshotGenerator(seed, true).snapshot();
     SchedulingDecision decision = Planner.plan(snapshot);
     List<JobCursor> cursors = cursorsAfter(snapshot, decision);
-    for (SchedulingDecision.Place placed : decision.placements()) {
+    for (SchedulingDecision.PlacedTask placed : decision.placements()) {
       PendingJob lower = snapshot.jobs().get(placed.job());
       MachineReservations machine =
           new MachineReservations(snapshot.machines().get(placed.machine()), placed.machine(), NOW);
       for (JobCursor higher : cursors) {
         boolean inverted =
-            higher.left() > 0
-                && !higher.job().objectives().hopeless()
+            higher.unassignedTasks() > 0
+                && !higher.job().objectives().unattainable()
                 && higher.job().rank() < lower.rank()
                 && lower.requirements().resources().fits(higher.resources())
                 && higher.mayUse(machine);
@@ -143,10 +143,10 @@
     for (int i = 0; i < snapshot.jobs().size(); i++) {
       cursors.add(new JobCursor(snapshot.jobs().get(i), i));
     }
-    for (SchedulingDecision.Place placed : decision.placements()) {
+    for (SchedulingDecision.PlacedTask placed : decision.placements()) {
       cursors
           .get(placed.job())
-          .assigned(
+          .recordAssignment(
               new MachineReservations(
                   snapshot.machines().get(placed.machine()), placed.machine(), NOW));
     }
@@ -156,11 +156,12 @@
   /** Guards against lower work in the way: what a job gets is the same without it. */
   @Property(tries = 2_000)
   void lowerWorkChangesNothingForHigherWork(@ForAll long seed, @ForAll boolean displaced) {
-    Snapshot snapshot = new Draw(seed, displaced).snapshot();
-    List<SchedulingDecision.Place> all = Planner.plan(snapshot).placements();
+    Snapshot snapshot = new SnapshotGenerator(seed, displaced).snapshot();
+    List<SchedulingDecision.PlacedTask> all = Planner.plan(snapshot).placements();
     for (int lowest = 0; lowest < RANKS - 1; lowest++) {
       int rank = lowest;
-      List<SchedulingDecision.Place> alone = Planner.plan(without(snapshot, rank)).placements();
+      List<SchedulingDecision.PlacedTask> alone =
+          Planner.plan(without(snapshot, rank)).placements();
       assertThat(all)
           .filteredOn(placed -> snapshot.jobs().get(placed.job()).rank() <= rank)
           .containsExactlyElementsOf(alone);
@@ -196,7 +197,7 @@
             0,
             progress.placedPerZone(),
             progress.ageMs(),
-            progress.begun(),
+            progress.everStarted(),
             progress.starved(),
             progress.displaced()),
         job.objectives());
--- a/src/test/java/dev/windbend/plan/EstimatesTest.java
+++ b/src/test/java/dev/windbend/plan/RunTimeEstimatesTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class EstimatesTest {
+class RunTimeEstimatesTest {
   @Test
   void usesTheMeanOfTheLastTwoOfTheSameUserAndElseTheOwnFigure() {
-    Estimates estimates = new Estimates();
+    RunTimeEstimates estimates = new RunTimeEstimates();
     assertThat(estimates.estimateSeconds("a", 50)).isEqualTo(50);
     estimates.recordRunTime("a", 10);
     assertThat(estimates.estimateSeconds("a", 50)).isEqualTo(50);
@@ -23,6 +23,6 @@
   @ParameterizedTest
   @CsvSource({"10,5,10", "10,10,10", "10,11,20", "10,35,40", "10,41,80", "0,3,4"})
   void doublesAnEstimateThatATaskOutlives(double estimate, double elapsed, double corrected) {
-    assertThat(Estimates.correctedSeconds(estimate, elapsed)).isEqualTo(corrected);
+    assertThat(RunTimeEstimates.correctedSeconds(estimate, elapsed)).isEqualTo(corrected);
   }
 }
--- a/src/test/java/dev/windbend/plan/StarvationTest.java
+++ b/src/test/java/dev/windbend/plan/StarvationTest.java
@@ -14,12 +14,12 @@
  * within the time that operators allow, however short the others' tasks are.
  */
 class StarvationTest {
-  private static final long BEGIN_MS = 1_000_000;
+  private static final long START_MS = 1_000_000;
   private static final long CYCLE_MS = 1_000;
-  private static final long GIVEN_UP_MS = 600_000;
+  private static final long SIMULATED_MS = 600_000;
 
   /** The largest jobs have to begin by then. */
-  private static final long MUST_HAVE_BEGUN_MS = 240_000;
+  private static final long MAX_START_DELAY_MS = 240_000;
 
   /** As StarvedJobs has it. */
   private static final long STARVED_AFTER_MS = 45_000;
@@ -29,15 +29,15 @@
   private static final int IMAGE = 7;
 
   /** A stream that always has more tasks than room. */
-  private record Stream(int cores, int rank, long estimateMs) {}
+  private record TaskStream(int cores, int rank, long estimateMs) {}
 
   /** A task of the stream that runs. */
-  private record Running(long endMs, Stream stream, long startedMs) {}
+  private record RunningStreamTask(long endMs, TaskStream stream, long startedMs) {}
 
-  private final List<List<Running>> machines = new ArrayList<>();
-  private final List<Stream> streams = new ArrayList<>();
+  private final List<List<RunningStreamTask>> machines = new ArrayList<>();
+  private final List<TaskStream> streams = new ArrayList<>();
   private Random random = new Random(0);
-  private boolean refused;
+  private boolean cloudRefusesRequests;
 
   @ParameterizedTest(
       name = "{0} machines: {1} cores, rank {2}, {3} s beside {4} of rank {5}, {6} s")
@@ -57,13 +57,13 @@
       int other,
       int otherRank,
       long otherS) {
-    streams.add(new Stream(other, otherRank, 1_000 * otherS));
+    streams.add(new TaskStream(other, otherRank, 1_000 * otherS));
     for (long seed = 1; seed <= 5; seed++) {
       for (boolean cloudRefuses : new boolean[] {false, true}) {
-        refused = cloudRefuses;
-        assertThat(firstStartMs(machineCount, new Stream(cores, rank, 1_000 * estimateS), seed))
+        cloudRefusesRequests = cloudRefuses;
+        assertThat(firstStartMs(machineCount, new TaskStream(cores, rank, 1_000 * estimateS), seed))
             .as("seed %d, the cloud refuses: %b", seed, cloudRefuses)
-            .isLessThanOrEqualTo(MUST_HAVE_BEGUN_MS);
+            .isLessThanOrEqualTo(MAX_START_DELAY_MS);
       }
     }
   }
@@ -72,46 +72,46 @@
   @ParameterizedTest(name = "{0} machines")
   @CsvSource({"1", "4", "20"})
   void shortLowerTasksDoNotPassALongOneByForEver(int machineCount) {
-    streams.add(new Stream(4, 2, 4_000));
-    streams.add(new Stream(CORES, 0, 10_000));
+    streams.add(new TaskStream(4, 2, 4_000));
+    streams.add(new TaskStream(CORES, 0, 10_000));
     for (long seed = 1; seed <= 5; seed++) {
-      assertThat(firstStartMs(machineCount, new Stream(4, 1, 100_000), seed))
+      assertThat(firstStartMs(machineCount, new TaskStream(4, 1, 100_000), seed))
           .as("seed %d", seed)
           .isLessThanOrEqualTo(2 * STARVED_AFTER_MS);
     }
   }
 
-  private long firstStartMs(int machineCount, Stream job, long seed) {
+  private long firstStartMs(int machineCount, TaskStream job, long seed) {
     random = new Random(seed);
     machines.clear();
     for (int i = 0; i < machineCount; i++) {
       machines.add(new ArrayList<>());
-      machines.get(i).add(running(streams.get(0), BEGIN_MS));
+      machines.get(i).add(running(streams.get(0), START_MS));
     }
     int cycle = 0;
-    for (long ageMs = 0; ageMs < GIVEN_UP_MS; ageMs += CYCLE_MS) {
-      long nowMs = BEGIN_MS + ageMs;
+    for (long ageMs = 0; ageMs < SIMULATED_MS; ageMs += CYCLE_MS) {
+      long nowMs = START_MS + ageMs;
       machines.forEach(tasks -> tasks.removeIf(task -> task.endMs() <= nowMs));
       boolean oldestFirst = ++cycle % OLDEST_FIRST_EVERY == 0;
-      if (carryOut(Planner.plan(snapshot(job, ageMs, oldestFirst)), nowMs)) {
+      if (applyDecision(Planner.plan(snapshot(job, ageMs, oldestFirst)), nowMs)) {
         return ageMs;
       }
     }
-    return GIVEN_UP_MS;
+    return SIMULATED_MS;
   }
 
   /** Whether the job has begun. */
-  private boolean carryOut(SchedulingDecision decision, long nowMs) {
-    List<List<Running>> stopped = new ArrayList<>();
+  private boolean applyDecision(SchedulingDecision decision, long nowMs) {
+    List<List<RunningStreamTask>> stopped = new ArrayList<>();
     machines.forEach(tasks -> stopped.add(new ArrayList<>()));
-    for (SchedulingDecision.Preempt preempt : decision.preemptions()) {
-      Running task = machines.get(preempt.machine()).get(preempt.task());
+    for (SchedulingDecision.PreemptedTask preempt : decision.preemptions()) {
+      RunningStreamTask task = machines.get(preempt.machine()).get(preempt.task());
       stopped.get(preempt.machine()).add(task);
     }
     for (int i = 0; i < machines.size(); i++) {
       machines.get(i).removeAll(stopped.get(i));
     }
-    for (SchedulingDecision.Place place : decision.placements()) {
+    for (SchedulingDecision.PlacedTask place : decision.placements()) {
       if (place.job() == streams.size()) {
         return true;
       }
@@ -120,18 +120,18 @@
     return false;
   }
 
-  private Running running(Stream stream, long nowMs) {
+  private RunningStreamTask running(TaskStream stream, long nowMs) {
     long runMs = (long) (stream.estimateMs() * (0.7 + 0.6 * random.nextDouble()));
-    return new Running(nowMs + runMs, stream, nowMs);
+    return new RunningStreamTask(nowMs + runMs, stream, nowMs);
   }
 
-  private Snapshot snapshot(Stream job, long ageMs, boolean oldestFirst) {
-    long nowMs = BEGIN_MS + ageMs;
+  private Snapshot snapshot(TaskStream job, long ageMs, boolean oldestFirst) {
+    long nowMs = START_MS + ageMs;
     List<PendingJob> jobs = new ArrayList<>();
-    for (Stream stream : streams) {
+    for (TaskStream stream : streams) {
       jobs.add(pending(stream, 2 * machines.size(), nowMs, 1_000, true));
     }
-    jobs.add(pending(job, 1, BEGIN_MS, ageMs, false));
+    jobs.add(pending(job, 1, START_MS, ageMs, false));
     List<MachineCapacity> capacities = new ArrayList<>();
     machines.forEach(tasks -> capacities.add(capacity(tasks, nowMs)));
     return new Snapshot(
@@ -142,15 +142,16 @@
         List.of(new Snapshot.Team(1_000, 0, 0, 0)),
         jobs,
         capacities,
-        List.of(new InstanceOffer(kind(), new Resources(CORES, 0, 64), 30_000, !refused)));
+        List.of(
+            new InstanceOffer(kind(), new Resources(CORES, 0, 64), 30_000, !cloudRefusesRequests)));
   }
 
-  private static InstanceKind kind() {
-    return new InstanceKind(0, 0, true, 1, 1);
+  private static MachineAttributes kind() {
+    return new MachineAttributes(0, 0, true, 1, 1);
   }
 
   private static PendingJob pending(
-      Stream stream, int waiting, long submittedMs, long ageMs, boolean begun) {
+      TaskStream stream, int waiting, long submittedMs, long ageMs, boolean begun) {
     Resources size = new Resources(stream.cores(), 0, 1);
     long dueMs = submittedMs + 2 * stream.estimateMs();
     boolean hopeless = submittedMs + ageMs + stream.estimateMs() > dueMs;
@@ -164,10 +165,10 @@
         new PendingJob.Objectives(dueMs, hopeless, false, 0));
   }
 
-  private static MachineCapacity capacity(List<Running> tasks, long nowMs) {
+  private static MachineCapacity capacity(List<RunningStreamTask> tasks, long nowMs) {
     List<RunningTask> running = new ArrayList<>();
     double free = CORES;
-    for (Running task : tasks) {
+    for (RunningStreamTask task : tasks) {
       free -= task.stream().cores();
       running.add(
           new RunningTask(
@@ -182,7 +183,7 @@
         0,
         0,
         new Resources(free, 0, 64),
-        new MachineCapacity.Lifetime(tasks.isEmpty(), nowMs + GIVEN_UP_MS, nowMs),
+        new MachineCapacity.Lifetime(tasks.isEmpty(), nowMs + SIMULATED_MS, nowMs),
         new IntOpenHashSet(new int[] {IMAGE}),
         running);
   }
--- a/src/test/java/dev/windbend/store/GroupCommitterTest.java
+++ b/src/test/java/dev/windbend/store/GroupCommitterTest.java
@@ -21,14 +21,14 @@
   private final ManualEventLoop loop = new ManualEventLoop(100_000);
   private final List<JsonNode> sent = new ArrayList<>();
   private final StoreClient store =
-      new StoreClient(loop, this::answer, "state:1", 1_000, 1_000, MAX_WRITES, 1);
+      new StoreClient(loop, this::respond, "state:1", 1_000, 1_000, MAX_WRITES, 1);
   private final GroupCommitter committer =
       new GroupCommitter(loop, store, "w/c/0", 7, PAUSE_MS, () -> {}, () -> {});
   private final PagedStore pages = new PagedStore("w/p/0/", 4_096, MAX_WRITES);
   private long revision = 10;
 
   /** A state service that refuses what the protocol's limits on a transaction forbid. */
-  private void answer(
+  private void respond(
       String address,
       String method,
       String path,
@@ -117,7 +117,7 @@
     }
 
     @Override
-    protected boolean changed() {
+    protected boolean hasUnstoredChange() {
       return !written;
     }
 
@@ -156,7 +156,7 @@
     return scaleOuts;
   }
 
-  private void commitFor(long ms) {
+  private void runCommitsFor(long ms) {
     for (long passed = 0; passed <= ms; passed += PAUSE_MS) {
       loop.fire();
       committer.commitDue();
@@ -166,10 +166,10 @@
 
   /** Guards against a leader whose transaction the store refuses as too large, again and again. */
   @Test
-  void aTransactionHasNoMoreConditionsThanTheStoreAllows() {
+  void keepsTransactionsWithinConditionLimit() {
     List<Placement> placements = enqueuePlacements(100);
     List<ScaleOut> scaleOuts = enqueueScaleOuts(20);
-    commitFor(60_000);
+    runCommitsFor(60_000);
     assertThat(sent)
         .allSatisfy(
             transaction ->
--- a/src/test/java/dev/windbend/store/PagedStoreTest.java
+++ b/src/test/java/dev/windbend/store/PagedStoreTest.java
@@ -13,20 +13,20 @@
 
 /** Entries in pages against a store that knows versions; writes may be lost, or land late. */
 class PagedStoreTest {
-  private static final int BYTES = 1_024;
+  private static final int MAX_VALUE_BYTES = 1_024;
 
   /** Keeps a number, in some bytes. */
-  private static final class Counter implements PageEntry {
+  private static final class CounterEntry implements PageEntry {
     final String id;
-    final int bytes;
+    final int sizeBytes;
     int value;
-    int written;
-    int writing = -1;
-    boolean over;
+    int storedValue;
+    int valueInFlight = -1;
+    boolean obsolete;
 
-    Counter(String id, int bytes) {
+    CounterEntry(String id, int bytes) {
       this.id = id;
-      this.bytes = bytes;
+      this.sizeBytes = bytes;
     }
 
     @Override
@@ -36,7 +36,7 @@
 
     @Override
     public boolean dirty() {
-      return writing < 0 && value != written && !over;
+      return valueInFlight < 0 && value != storedValue && !obsolete;
     }
 
     @Override
@@ -46,28 +46,28 @@
 
     @Override
     public boolean obsolete() {
-      return over;
+      return obsolete;
     }
 
     @Override
     public Object snapshot() {
-      return value + "x".repeat(bytes);
+      return value + "x".repeat(sizeBytes);
     }
 
     @Override
     public void beginWrite(TransactionBuilder draft) {
-      writing = value;
+      valueInFlight = value;
     }
 
     @Override
     public void onApplied() {
-      written = writing;
-      writing = -1;
+      storedValue = valueInFlight;
+      valueInFlight = -1;
     }
 
     @Override
     public void onNotApplied() {
-      writing = -1;
+      valueInFlight = -1;
     }
 
     @Override
@@ -80,32 +80,32 @@
   }
 
   private final Map<String, VersionedValue> store = new LinkedHashMap<>();
-  private final List<Counter> all = new ArrayList<>();
-  private final PagedStore pages = new PagedStore("w/p/0/", BYTES, 8);
+  private final List<CounterEntry> counters = new ArrayList<>();
+  private final PagedStore pages = new PagedStore("w/p/0/", MAX_VALUE_BYTES, 8);
   private long revision;
 
   @BeforeEach
-  void counters() {
+  void createCounters() {
     for (int i = 0; i < 20; i++) {
-      all.add(new Counter("c" + i, 100));
+      counters.add(new CounterEntry("c" + i, 100));
     }
   }
 
   private void change(int... which) {
     for (int i : which) {
-      all.get(i).value++;
-      pages.markChanged(all.get(i));
+      counters.get(i).value++;
+      pages.markChanged(counters.get(i));
     }
   }
 
-  private TransactionBuilder fill() {
+  private TransactionBuilder beginTransaction() {
     TransactionBuilder d = new TransactionBuilder();
     pages.addTo(d);
     return d;
   }
 
   /** Whether all conditions held. */
-  private boolean apply(TransactionBuilder d) {
+  private boolean applyToStore(TransactionBuilder d) {
     for (StoreMessages.Condition c : d.build().conditions()) {
       long is = store.containsKey(c.key()) ? store.get(c.key()).version() : 0;
       if (is != c.version()) {
@@ -114,18 +114,18 @@
     }
     revision++;
     for (StoreMessages.Write c : d.build().writes()) {
-      assertThat(Json.write(c.value()).length).isLessThanOrEqualTo(BYTES);
-      store.put(c.put(), new VersionedValue(c.value(), revision));
+      assertThat(Json.write(c.value()).length).isLessThanOrEqualTo(MAX_VALUE_BYTES);
+      store.put(c.putKey(), new VersionedValue(c.value(), revision));
     }
     return true;
   }
 
-  private int write() {
+  private int writeAll() {
     int changes = 0;
     while (pages.dirty()) {
-      TransactionBuilder d = fill();
+      TransactionBuilder d = beginTransaction();
       changes += d.writeCount();
-      if (apply(d)) {
+      if (applyToStore(d)) {
         pages.onApplied(revision);
       } else {
         pages.onNotApplied();
@@ -137,83 +137,83 @@
     return changes;
   }
 
-  private void successorFindsAll() {
-    Map<String, JsonNode> found = new PagedStore("w/p/0/", BYTES, 8).restore(store);
-    for (Counter c : all) {
-      if (c.written > 0 && !c.over) {
+  private void assertNextLeaderRestoresAll() {
+    Map<String, JsonNode> found = new PagedStore("w/p/0/", MAX_VALUE_BYTES, 8).restore(store);
+    for (CounterEntry c : counters) {
+      if (c.storedValue > 0 && !c.obsolete) {
         assertThat(found.get(c.id).asText()).as(c.id).isEqualTo(c.snapshot());
       }
     }
   }
 
   @Test
-  void manyEntriesTakeFewChanges() {
+  void packsManyEntriesIntoFewPageWrites() {
     for (int i = 0; i < 20; i++) {
       change(i);
     }
-    assertThat(write()).isEqualTo(4);
+    assertThat(writeAll()).isEqualTo(4);
     for (int round = 0; round < 50; round++) {
       change(round % 20, (7 * round + 3) % 20);
-      assertThat(write()).isEqualTo(1);
-      successorFindsAll();
+      assertThat(writeAll()).isEqualTo(1);
+      assertNextLeaderRestoresAll();
     }
     assertThat(store.size()).as("pages become free again").isLessThan(8);
   }
 
   @Test
-  void aWriteWithoutAnAnswerThatLandsLateDoesNotCount() {
+  void rejectsDelayedWriteOfUnknownOutcome() {
     change(0, 1);
-    write();
+    writeAll();
     change(0);
-    TransactionBuilder lost = fill();
+    TransactionBuilder lost = beginTransaction();
     pages.onNotApplied();
     change(0, 1);
-    write();
-    assertThat(apply(lost)).as("its page has another version by now").isFalse();
-    successorFindsAll();
+    writeAll();
+    assertThat(applyToStore(lost)).as("its page has another version by now").isFalse();
+    assertNextLeaderRestoresAll();
   }
 
   @Test
-  void aWriteWithoutAnAnswerThatLandedIsOutdone() {
+  void supersedesAppliedWriteOfUnknownOutcome() {
     change(0, 1, 2);
-    write();
+    writeAll();
     change(0, 1);
-    apply(fill());
+    applyToStore(beginTransaction());
     pages.onNotApplied();
     change(1, 2);
-    write();
-    successorFindsAll();
+    writeAll();
+    assertNextLeaderRestoresAll();
   }
 
   @Test
-  void aSuccessorGoesOnWhereTheOwnerStopped() {
+  void nextLeaderContinuesFromStoredPages() {
     change(0, 1, 2, 3);
-    write();
+    writeAll();
     change(2);
-    write();
-    PagedStore next = new PagedStore("w/p/0/", BYTES, 8);
+    writeAll();
+    PagedStore next = new PagedStore("w/p/0/", MAX_VALUE_BYTES, 8);
     next.restore(store);
-    all.forEach(next::adopt);
+    counters.forEach(next::adopt);
     next.finishRestore();
-    all.get(1).value++;
-    next.markChanged(all.get(1));
+    counters.get(1).value++;
+    next.markChanged(counters.get(1));
     TransactionBuilder d = new TransactionBuilder();
     next.addTo(d);
-    assertThat(apply(d)).isTrue();
+    assertThat(applyToStore(d)).isTrue();
     next.onApplied(revision);
-    successorFindsAll();
+    assertNextLeaderRestoresAll();
   }
 
   @Test
-  void whatIsOverLeavesItsPageFree() {
+  void reusesPagesOfObsoleteEntries() {
     for (int round = 0; round < 30; round++) {
-      all.forEach(c -> c.over = true);
-      all.clear();
-      counters();
+      counters.forEach(c -> c.obsolete = true);
+      counters.clear();
+      createCounters();
       for (int i = 0; i < 20; i++) {
         change(i);
       }
-      write();
+      writeAll();
     }
     assertThat(store.size()).isLessThan(8);
   }
--- a/src/test/java/dev/windbend/store/RequestPacerTest.java
+++ b/src/test/java/dev/windbend/store/RequestPacerTest.java
@@ -21,15 +21,15 @@
     pacer.submit(lane, writeCount, () -> sent.add(name), () -> rejected++);
   }
 
-  private void useUpWrites() {
+  private void exhaustWriteTokens() {
     submit(Lane.LEADER_WRITES, WRITES_PER_SECOND, "burst");
     sent.clear();
   }
 
   /** In a burst of submissions scale-out would come too late, were users' writes always first. */
   @Test
-  void writesOfUsersAndOfTheLeaderTakeTurns() {
-    useUpWrites();
+  void alternatesUserAndLeaderWrites() {
+    exhaustWriteTokens();
     for (int i = 0; i < 3; i++) {
       submit(Lane.USER_WRITES, 1, "user" + i);
     }
@@ -43,8 +43,8 @@
   }
 
   @Test
-  void readsDoNotWaitBehindWrites() {
-    useUpWrites();
+  void sendsReadWhileWritesWait() {
+    exhaustWriteTokens();
     submit(Lane.USER_WRITES, 1, "user");
     submit(Lane.LEADER_WRITES, 1, "leader");
     submit(Lane.READS, 0, "read");
@@ -52,8 +52,8 @@
   }
 
   @Test
-  void aFullLaneRejectsAtOnceAndTheOthersDoNot() {
-    useUpWrites();
+  void rejectsCallsOfFullQueueOnly() {
+    exhaustWriteTokens();
     for (int i = 0; i < 400; i++) {
       submit(Lane.USER_WRITES, 1, "user" + i);
     }
@@ -66,9 +66,9 @@
 
   /** A lease's renewal goes at once even with no token left; the calls in the lanes pay for it. */
   @Test
-  void queuedCallsMakeUpForUnqueuedOnes() {
+  void delaysQueuedCallAfterUnqueuedCalls() {
     for (int i = 0; i < 2 * REQUESTS_PER_SECOND; i++) {
-      pacer.countUnqueued();
+      pacer.countUnqueuedRequest();
     }
     submit(Lane.READS, 0, "read");
     loop.nowMs += 1_000;
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void writesRefusedAsTooFrequentSlowDownWritesOnly() {
+  void slowsDownOnlyWritesAfterRateLimitedWrite() {
     pacer.onRateLimited(true);
     submit(Lane.READS, 0, "read");
     submit(Lane.LEADER_WRITES, 1, "leader");
--- a/src/test/java/dev/windbend/store/StoreMessagesTest.java
+++ b/src/test/java/dev/windbend/store/StoreMessagesTest.java
@@ -98,12 +98,12 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
-  void isOnTheWireAs(String name, Object object, String json) {
+  void matchesWireFormat(String name, Object object, String json) {
     assertPinned(object, json);
   }
 
   @Test
-  void readsMessagesOfWhichFieldsAreMissing() {
+  void readsMessagesWithMissingFields() {
     assertRead("{}", StoreMessages.StoredKey.class, new StoreMessages.StoredKey(null, null, 0));
     assertRead("{}", StoreMessages.KeyList.class, new StoreMessages.KeyList(null, false, 0));
     assertRead(
@@ -123,7 +123,7 @@
 
   /** Values go in whole, and within them too what is null is left out. */
   @Test
-  void putsTogetherTransactions() {
+  void buildsTransaction() {
     TransactionBuilder draft =
         new TransactionBuilder()
             .ifVersion("a", 3)
--- a/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
+++ b/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.windbend.plan.InstanceKind;
+import dev.windbend.plan.MachineAttributes;
 import dev.windbend.plan.MachineCapacity;
 import dev.windbend.plan.PendingJob;
 import dev.windbend.plan.Planner;
@@ -108,7 +108,7 @@
 
   private static MachineCapacity machineWith(int freeCores) {
     return new MachineCapacity(
-        new InstanceKind(0, 0, true, 1, 1),
+        new MachineAttributes(0, 0, true, 1, 1),
         true,
         0,
         0,
@@ -141,7 +141,7 @@
                 List.of()));
     int[] left = pending.stream().mapToInt(job -> job.progress().waiting()).toArray();
     decision.placements().forEach(placed -> left[placed.job()]--);
-    for (SchedulingDecision.Place placed : decision.placements()) {
+    for (SchedulingDecision.PlacedTask placed : decision.placements()) {
       Displaced lower = jobs.get(placed.job());
       for (int i = 0; i < jobs.size(); i++) {
         Displaced higher = jobs.get(i);
