--- a/src/main/java/dev/windbend/peer/StoreOutageDetector.java
+++ b/src/main/java/dev/windbend/peer/StoreOutageDetector.java
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Computes how long heartbeat responses without commands may renew workers' leases, in
-   * milliseconds since this controller last knew all cancellations. The limit makes the leases
+   * Computes how long heartbeat responses may renew workers' leases without confirmed leadership,
+   * in milliseconds since this controller last knew all cancellations. The limit makes the leases
    * expire before the tasks of a cancelled job must have terminated.
    *
    * <p>A job cancelled at the start of the window must have no task {@code cancelSeconds} later.
@@ -124,9 +124,9 @@
   }
 
   /**
-   * Whether heartbeat responses without commands may renew workers' leases although this controller
-   * cannot know what other controllers do. Always true without other controllers; false while the
-   * state service serves another controller.
+   * Whether heartbeat responses may renew workers' leases although this controller cannot confirm
+   * its leadership and cannot know what other controllers do. Always true without other
+   * controllers; false while the state service serves another controller.
    *
    * <p>Controllers inside one partition reach one another and may mistake the partition for a
    * general outage, while the controllers outside accept cancellations. Renewal is therefore
@@ -146,7 +146,7 @@
             <= leaseRenewalWindowMs;
   }
 
-  /** Whether neither the state service nor any other controller answers. */
+  /** Whether neither the state service nor any other controller has answered recently. */
   public boolean isolated() {
     return store.failingForMs() > STATUS_VALID_MS
         && !addresses.isEmpty()
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -284,10 +284,11 @@
    * no other command.
    *
    * <p>Renewing is safe: no controller treats the expiry of a worker's lease as proof that its
-   * tasks have terminated, and the next leader has a higher token. The response is an error that
-   * renews nothing while the state service serves other controllers, so that workers find those
-   * controllers, and once the limit set by {@link Leadership#mayRenewWorkerLeases} has passed. The
-   * response is built when it is sent, because the situation may change while a heartbeat is held.
+   * tasks have terminated, and the next leader has a higher token. Without confirmed leadership,
+   * the response is an error that renews nothing in two cases: while the state service serves other
+   * controllers, so that workers find those controllers, and once the limit set by {@link
+   * Leadership#mayRenewWorkerLeases} has passed. The response is built when it is sent, because the
+   * situation may change while a heartbeat is held.
    */
   private ServerResponse restrictedResponse(Machine machine, Heartbeat heartbeat) {
     ResponseKind kind =
@@ -345,7 +346,7 @@
   }
 
   /**
-   * Sends stops for all tasks of a cancelled job immediately, in the response to a held heartbeat
+   * Sends stops for the tasks of a cancelled job immediately, in the response to a held heartbeat
    * where there is one and by direct command elsewhere.
    */
   public void stopTasks(Job cancelledJob) {
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -88,7 +88,7 @@
             machine.name(),
             placement.taskName(),
             placement.attempt());
-        remove(machine, placement, nowMs);
+        removePlacement(machine, placement, nowMs);
       }
     }
   }
@@ -125,10 +125,10 @@
         // Removing the placement makes the task pending again.
       }
     }
-    remove(machine, placement, nowMs);
+    removePlacement(machine, placement, nowMs);
   }
 
-  private void remove(Machine machine, Placement placement, long nowMs) {
+  private void removePlacement(Machine machine, Placement placement, long nowMs) {
     machine.remove(placement, nowMs);
     placement.job().gone(placement);
     events.jobChanged(placement.job());
@@ -188,7 +188,7 @@
       if (!placement.seen()
           && !placement.stopping()
           && startSentBeforeInIncarnation(placement, heartbeat)
-          && !heartbeat.lists(placement.taskName(), placement.attempt())) {
+          && !heartbeat.reports(placement.taskName(), placement.attempt())) {
         return true;
       }
     }
@@ -234,7 +234,7 @@
     for (Placement placement : machine.tasks().values()) {
       if (!placement.seen() && placement.job().startable(placement)) {
         String taskName = placement.taskName();
-        if (!heartbeat.lists(taskName, placement.attempt())) {
+        if (!heartbeat.reports(taskName, placement.attempt())) {
           placement.recordStartSent(heartbeat.incarnation(), heartbeat.sequence());
           commands.add(Command.start(taskName, placement.attempt()));
         }
--- a/src/main/java/dev/windbend/worker/WorkerMessages.java
+++ b/src/main/java/dev/windbend/worker/WorkerMessages.java
@@ -45,7 +45,7 @@
     }
 
     /** Whether the heartbeat reports this attempt of a task. */
-    boolean lists(String taskName, long attempt) {
+    boolean reports(String taskName, long attempt) {
       for (TaskState reported : tasks) {
         if (reported.attempt() == attempt && reported.task().equals(taskName)) {
           return true;
