--- a/src/main/java/dev/windbend/daemon/ClassArchiveTraining.java
+++ b/src/main/java/dev/windbend/daemon/ClassArchiveTraining.java
@@ -16,17 +16,17 @@
  */
 final class ClassArchiveTraining {
   private static final long FAILOVER_AFTER_MS = 4_000;
-  private static final long END_AFTER_MS = 8_000;
-  private static final long STEP_INTERVAL_MS = 100;
+  private static final long EXIT_AFTER_MS = 8_000;
+  private static final long REQUEST_INTERVAL_MS = 100;
   private static final long REQUEST_TIMEOUT_MS = 1_000;
-  private static final int JOBS = 40;
+  private static final int JOB_COUNT = 40;
   private static final int JOBS_PER_CANCELLATION = 5;
   private static final String LOOPBACK = "127.0.0.1:";
   private static final String ANY_PORT = LOOPBACK + 0;
-  private static final String UNUSED_ADDRESS = LOOPBACK + 1;
+  private static final String PLACEHOLDER_ADDRESS = LOOPBACK + 1;
 
   /** The placeholder stands for the address of the cloud and the state service. */
-  private static final String SETTINGS =
+  private static final String SETTINGS_TEMPLATE =
       """
       host_name = "training"
       domain = "zone"
@@ -72,7 +72,7 @@
       list_lag_s = 1.0
       """;
 
-  private static final String SUBMISSION =
+  private static final String SUBMISSION_TEMPLATE =
       """
       {"uid":"%s","fleet":"kind","crew":"team","shape":"batch","urgency":"%s",
        "drops":3,"cores":1.0,"cards":0.0,"ram_gb":1.0,"load":"img","pull_gb":1.0,"rigs":null,
@@ -98,11 +98,11 @@
 
   /** Settings with no services, which exercise the reading of a settings file. */
   static Settings settings() throws InvalidSettingsException {
-    return settings(UNUSED_ADDRESS);
+    return settings(PLACEHOLDER_ADDRESS);
   }
 
   private static Settings settings(String servicesAddress) throws InvalidSettingsException {
-    return SettingsReader.parse(SETTINGS.formatted(servicesAddress));
+    return SettingsReader.parse(SETTINGS_TEMPLATE.formatted(servicesAddress));
   }
 
   /** Starts the run; at its end the process ends. */
@@ -113,9 +113,9 @@
   private void start() {
     InetSocketAddress servicesAddress = thread.listen(ANY_PORT, services::handle);
     startController(servicesAddress);
-    loop.every(STEP_INTERVAL_MS, this::step);
+    loop.every(REQUEST_INTERVAL_MS, this::sendRequests);
     loop.after(FAILOVER_AFTER_MS, () -> startController(servicesAddress));
-    loop.after(END_AFTER_MS, () -> System.exit(0));
+    loop.after(EXIT_AFTER_MS, () -> System.exit(0));
   }
 
   /**
@@ -136,15 +136,15 @@
   }
 
   /** Requests of a health check, a user and all workers. */
-  private void step() {
+  private void sendRequests() {
     send("GET", "/up", null);
-    if (submittedJobs < JOBS) {
+    if (submittedJobs < JOB_COUNT) {
       submit(submittedJobs++);
     }
     for (int job = 0; job < submittedJobs; job += JOBS_PER_CANCELLATION) {
       send("GET", "/v1/jobs/" + uid(job), null);
     }
-    for (String machine : services.machines()) {
+    for (String machine : services.machineNames()) {
       workers
           .computeIfAbsent(machine, name -> new TrainingWorker(http, name))
           .sendHeartbeat(controllerAddress);
@@ -153,7 +153,7 @@
 
   private void submit(int job) {
     String urgency = job % 2 == 0 ? "urgent" : "standard";
-    send("POST", "/v1/jobs", SUBMISSION.formatted(uid(job), urgency));
+    send("POST", "/v1/jobs", SUBMISSION_TEMPLATE.formatted(uid(job), urgency));
     if (job % JOBS_PER_CANCELLATION == JOBS_PER_CANCELLATION - 1) {
       send("POST", "/v1/jobs/" + uid(job - 1) + "/cancel", "");
     }
--- a/src/main/java/dev/windbend/daemon/Controller.java
+++ b/src/main/java/dev/windbend/daemon/Controller.java
@@ -48,8 +48,8 @@
   private final Cancellations cancellations;
   private final StoreOutageDetector outageDetector;
   private final CancellationBroadcaster cancellationBroadcaster;
-  private final MachineTransferClient transfers;
-  private final MachineIndex machines = new MachineIndex();
+  private final MachineTransferClient transferClient;
+  private final MachineIndex machineIndex = new MachineIndex();
   private final ZoneMetrics zoneMetrics = new ZoneMetrics();
   private final ShardLeaders leaders = new ShardLeaders(this::newLeader);
   private final ShardContext shardContext;
@@ -66,40 +66,40 @@
     this.policy = policy;
     this.loop = loop;
     this.http = http;
-    Members members = Members.of(settings);
+    ControllerMembership membership = ControllerMembership.of(settings);
     Settings.Deployment deployment = settings.deployment();
-    this.store = newStoreClient(members.count());
+    this.store = newStoreClient(membership.controllerCount());
     CloudClient cloud =
         new CloudClient(
             loop,
             http,
             settings.services().cloud(),
             deployment.cloud().requestsPerSecond(),
-            members.count());
+            membership.controllerCount());
     this.catalog = new MachineTypeCatalog(loop, cloud, deployment.zones());
     this.replica = new Replica(loop, store, KEY_PREFIX);
-    this.layout = new ShardLayout(teamNames(deployment), members.nodes());
+    this.layout = new ShardLayout(teamNames(deployment), membership.controllerNames());
     this.election = newElection();
     this.cancellations = new Cancellations(replica, leaders::cancel);
-    this.outageDetector = newOutageDetector(members);
+    this.outageDetector = newOutageDetector(membership);
     this.cancellationBroadcaster =
-        new CancellationBroadcaster(loop, http, members.peerAddresses(), cancellations);
-    this.transfers =
+        new CancellationBroadcaster(loop, http, membership.peerAddresses(), cancellations);
+    this.transferClient =
         new MachineTransferClient(
             http,
             layout.shardCount(),
             election::leaderOf,
-            members.peerAddressByNode(),
+            membership.peerAddressByName(),
             leaders::transfer);
     JobProgress progress = new JobProgress();
-    replica.addListener(machines::changed);
-    replica.addListener(progress::changed);
+    replica.addListener(machineIndex::recordChanged);
+    replica.addListener(progress::onChange);
     replica.addListener(leaders::keyChanged);
-    this.shardContext = newContext(cloud, members.count());
-    MetricsEndpoint metrics =
+    this.shardContext = newShardContext(cloud, membership.controllerCount());
+    MetricsEndpoint metricsEndpoint =
         new MetricsEndpoint(leaders, store, zoneMetrics, policy.zones().enabled());
-    this.clientEndpoints = metrics.countingResponses(newClientEndpoints(progress));
-    this.peerEndpoints = newPeerEndpoints(metrics);
+    this.clientEndpoints = metricsEndpoint.countingResponses(newClientEndpoints(progress));
+    this.peerEndpoints = newPeerEndpoints(metricsEndpoint);
   }
 
   /** Starts to read the state service and to stand for election. */
@@ -128,7 +128,7 @@
     return names;
   }
 
-  private StoreClient newStoreClient(int controllers) {
+  private StoreClient newStoreClient(int controllerCount) {
     Settings.StateService limits = settings.deployment().stateService();
     return new StoreClient(
         loop,
@@ -136,8 +136,8 @@
         settings.services().state(),
         limits.requestsPerSecond(),
         limits.writesPerSecond(),
-        limits.transactionOps(),
-        controllers);
+        limits.maxTransactionOps(),
+        controllerCount);
   }
 
   private LeaderElection newElection() {
@@ -147,31 +147,32 @@
         store,
         replica,
         layout,
-        settings.node(),
+        settings.controllerName(),
         policy.leaseTermMs(),
         (long) (MS_PER_SECOND * workerLeaseSeconds),
         leaders);
   }
 
-  private StoreOutageDetector newOutageDetector(Members members) {
+  private StoreOutageDetector newOutageDetector(ControllerMembership membership) {
     Settings.Workers workers = settings.deployment().workers();
     long leaseRenewalWindowMs =
         StoreOutageDetector.leaseRenewalWindowMs(workers.leaseSeconds(), workers.cancelSeconds());
     return new StoreOutageDetector(
-        loop, http, store, members.peerAddresses(), leaseRenewalWindowMs, cancellations);
+        loop, http, store, membership.peerAddresses(), leaseRenewalWindowMs, cancellations);
   }
 
-  private ShardContext newContext(CloudClient cloud, int controllers) {
-    double heartbeatSeconds = settings.deployment().workers().heartbeatSeconds();
-    DirectStopClient directStops = new DirectStopClient(loop, http, heartbeatSeconds);
+  private ShardContext newShardContext(CloudClient cloud, int controllerCount) {
+    double heartbeatIntervalSeconds = settings.deployment().workers().heartbeatIntervalSeconds();
+    DirectStopClient directStopClient = new DirectStopClient(loop, http, heartbeatIntervalSeconds);
     return new ShardContext(
         loop,
         layout,
-        DeploymentSpecMapper.map(settings.deployment(), controllers),
+        DeploymentSpecMapper.map(settings.deployment(), controllerCount),
         policy,
         new ShardContext.Coordination(
-            store, replica, election, outageDetector, cancellations, transfers),
-        new ShardContext.MachineServices(cloud, catalog, machines, directStops, new NameIndex()),
+            store, replica, election, outageDetector, cancellations, transferClient),
+        new ShardContext.MachineServices(
+            cloud, catalog, machineIndex, directStopClient, new NameIndex()),
         new RunTimeEstimates(),
         new ShardContext.ZoneServices(settings.zone(), zoneMetrics));
   }
@@ -182,7 +183,7 @@
 
   private RequestRouter newClientEndpoints(JobProgress progress) {
     PendingReason pendingReason = new PendingReason(replica, layout, policy.zones().enabled());
-    JobHandler jobs =
+    JobHandler jobHandler =
         new JobHandler(
             loop,
             store,
@@ -191,15 +192,19 @@
             cancellations,
             cancellationBroadcaster::broadcast,
             new JobAdmission(layout, settings.deployment().teams(), catalog),
-            spec -> pendingReason.of(spec).orElse(null));
-    ConcurrencyLimiter limiter = new ConcurrencyLimiter(loop, JobHandler::submits, jobs::handle);
+            spec -> pendingReason.reasonFor(spec).orElse(null));
+    ConcurrencyLimiter limiter =
+        new ConcurrencyLimiter(loop, JobHandler::isSubmission, jobHandler::handle);
     return new RequestRouter()
-        .post("/hello", new HeartbeatRouter(settings.node(), replica, machines, election, leaders))
+        .post(
+            "/hello",
+            new HeartbeatRouter(
+                settings.controllerName(), replica, machineIndex, election, leaders))
         .get("/up", new HealthCheck(replica, catalog, store, outageDetector))
-        .subtree(JobHandler::serves, limiter::handle);
+        .subtree(JobHandler::handlesPath, limiter::handle);
   }
 
-  private RequestRouter newPeerEndpoints(MetricsEndpoint metrics) {
+  private RequestRouter newPeerEndpoints(MetricsEndpoint metricsEndpoint) {
     return new RequestRouter()
         .post(
             StoreOutageDetector.PATH,
@@ -207,8 +212,8 @@
         .post(
             CancellationBroadcaster.PATH,
             (request, done) -> done.accept(cancellationBroadcaster.handle(request)))
-        .post(MachineTransferClient.PATH, transfers::handle)
-        .get("/metrics", metrics)
+        .post(MachineTransferClient.PATH, transferClient::handle)
+        .get("/metrics", metricsEndpoint)
         .get(
             "/zones",
             (request, done) ->
--- a/src/main/java/dev/windbend/daemon/DeploymentSpecMapper.java
+++ b/src/main/java/dev/windbend/daemon/DeploymentSpecMapper.java
@@ -9,7 +9,7 @@
 
 /** Maps the settings to what the leaders of shards need of them. */
 final class DeploymentSpecMapper {
-  private static final double MIN_LIST_LAG_SECONDS = 1;
+  private static final double MIN_ASSUMED_LIST_LAG_SECONDS = 1;
   private static final int BYTES_PER_KIB = 1024;
 
   private DeploymentSpecMapper() {}
@@ -17,19 +17,19 @@
   /**
    * The deployment as the settings describe it.
    *
-   * @param controllers how many controllers there are
+   * @param controllerCount how many controllers there are
    */
-  static DeploymentSpec map(Settings.Deployment deployment, int controllers) {
+  static DeploymentSpec map(Settings.Deployment deployment, int controllerCount) {
     return new DeploymentSpec(
         teamQuotas(deployment.teams()),
-        controllers,
+        controllerCount,
         new DeploymentSpec.WorkerTiming(
-            deployment.workers().heartbeatSeconds(), deployment.workers().leaseSeconds()),
+            deployment.workers().heartbeatIntervalSeconds(), deployment.workers().leaseSeconds()),
         new DeploymentSpec.CloudLimits(
-            Math.max(MIN_LIST_LAG_SECONDS, deployment.cloud().listLagSeconds()),
+            Math.max(MIN_ASSUMED_LIST_LAG_SECONDS, deployment.cloud().maxListLagSeconds()),
             deployment.cloud().requestsPerSecond()),
         new DeploymentSpec.StoreLimits(
-            (int) (BYTES_PER_KIB * deployment.stateService().valueKib()),
+            (int) (BYTES_PER_KIB * deployment.stateService().maxValueKib()),
             deployment.stateService().writesPerSecond()),
         serviceObjectives(deployment.objectives()));
   }
@@ -75,8 +75,9 @@
         deadlineFactors, finishWithinSeconds, startWithinSeconds, guaranteedStartSeconds);
   }
 
-  private static void addSorted(Map<String, double[]> values, String jobKind, double value) {
-    values.merge(
+  private static void addSorted(
+      Map<String, double[]> valuesByJobKind, String jobKind, double value) {
+    valuesByJobKind.merge(
         jobKind,
         new double[] {value},
         (present, added) ->
--- a/src/main/java/dev/windbend/daemon/HealthCheck.java
+++ b/src/main/java/dev/windbend/daemon/HealthCheck.java
@@ -12,7 +12,7 @@
 
 /** Answers whether this controller can serve users and workers: 200 or 503. */
 final class HealthCheck implements RequestHandler {
-  private static final long MAX_STORE_FAILURE_MS = 3_000;
+  private static final long MAX_HEALTHY_STORE_FAILURE_MS = 3_000;
 
   private final Replica replica;
   private final MachineTypeCatalog catalog;
@@ -37,15 +37,15 @@
   }
 
   private boolean isHealthy() {
-    return replica.synced() && catalog.known() && !isCutOffFromStore();
+    return replica.synced() && catalog.isLoaded() && !isIsolatedFromStore();
   }
 
   /**
    * Whether the state service fails this controller, but not the others. In an outage for all, no
    * controller is better than another, and requests are answered with when to retry.
    */
-  private boolean isCutOffFromStore() {
-    return store.failingForMs() > MAX_STORE_FAILURE_MS
+  private boolean isIsolatedFromStore() {
+    return store.failingForMs() > MAX_HEALTHY_STORE_FAILURE_MS
         && (outageDetector.anyPeerServed() || outageDetector.isolated());
   }
 }
--- a/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
+++ b/src/main/java/dev/windbend/daemon/HeartbeatRouter.java
@@ -22,23 +22,23 @@
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatRouter.class);
 
   /** The shard whose leader takes in orphaned machines. */
-  private static final int ORPHANS_SHARD = 0;
+  private static final int ORPHANED_MACHINES_SHARD = 0;
 
-  private final String node;
+  private final String controllerName;
   private final Replica replica;
-  private final MachineIndex machines;
+  private final MachineIndex machineIndex;
   private final LeaderElection election;
   private final ShardLeaders leaders;
 
   HeartbeatRouter(
-      String node,
+      String controllerName,
       Replica replica,
-      MachineIndex machines,
+      MachineIndex machineIndex,
       LeaderElection election,
       ShardLeaders leaders) {
-    this.node = node;
+    this.controllerName = controllerName;
     this.replica = replica;
-    this.machines = machines;
+    this.machineIndex = machineIndex;
     this.election = election;
     this.leaders = leaders;
   }
@@ -60,33 +60,34 @@
     if (leader != null) {
       leader.handleHeartbeat(heartbeat, done);
     } else {
-      handleUnassigned(heartbeat, done);
+      handleWithoutLocalLeader(heartbeat, done);
     }
   }
 
   /** No leader here has the machine: it is another controller's, orphaned, or being taken over. */
-  private void handleUnassigned(WorkerMessages.Heartbeat heartbeat, Consumer<ServerResponse> done) {
+  private void handleWithoutLocalLeader(
+      WorkerMessages.Heartbeat heartbeat, Consumer<ServerResponse> done) {
     String machine = heartbeat.machine();
-    int recordedShard = machines.shardOf(machine);
+    int recordedShard = machineIndex.shardOf(machine);
     LOG.debug("heartbeat not led here: shard={} machine={}", recordedShard, machine);
-    boolean unrecorded = recordedShard < 0;
-    int shard = unrecorded ? ORPHANS_SHARD : recordedShard;
+    boolean isUnassigned = recordedShard < 0;
+    int shard = isUnassigned ? ORPHANED_MACHINES_SHARD : recordedShard;
     ShardLeader leader = leaders.leaderOf(shard);
     if (leader == null) {
       done.accept(redirectToLeaderOf(shard));
       return;
     }
-    if (unrecorded && !machines.knew(machine)) {
+    if (isUnassigned && !machineIndex.isFormer(machine)) {
       leader.handleOrphanHeartbeat(heartbeat);
     }
     done.accept(ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE));
   }
 
   private ServerResponse redirectToLeaderOf(int shard) {
-    String leaderNode = election.leaderOf(shard);
-    return leaderNode == null || leaderNode.equals(node)
+    String leaderName = election.leaderOf(shard);
+    return leaderName == null || leaderName.equals(controllerName)
         ? ServerResponse.ofStatus(HttpStatus.SERVICE_UNAVAILABLE)
         : ServerResponse.of(
-            HttpStatus.MISDIRECTED_REQUEST, new WorkerMessages.LeaderRedirect(leaderNode));
+            HttpStatus.MISDIRECTED_REQUEST, new WorkerMessages.LeaderRedirect(leaderName));
   }
 }
--- a/src/main/java/dev/windbend/daemon/IniFile.java
+++ b/src/main/java/dev/windbend/daemon/IniFile.java
@@ -26,15 +26,14 @@
   }
 
   /** A duration, in the file a number of seconds; the default if the key is missing. */
-  long milliseconds(
-      String section, String key, long defaultMs, double minSeconds, double maxSeconds)
+  long durationMs(String section, String key, long defaultMs, double minSeconds, double maxSeconds)
       throws InvalidSettingsException {
-    double seconds = number(section, key, defaultMs / MS_PER_SECOND, minSeconds, maxSeconds);
+    double seconds = doubleValue(section, key, defaultMs / MS_PER_SECOND, minSeconds, maxSeconds);
     return Math.round(MS_PER_SECOND * seconds);
   }
 
   /** A number from {@code min} to {@code max}; the default if the key is missing. */
-  double number(String section, String key, double defaultValue, double min, double max)
+  double doubleValue(String section, String key, double defaultValue, double min, double max)
       throws InvalidSettingsException {
     String text = text(section, key);
     if (text == null) {
@@ -49,7 +48,8 @@
   }
 
   /** True or false; the default if the key is missing. */
-  boolean flag(String section, String key, boolean defaultValue) throws InvalidSettingsException {
+  boolean booleanValue(String section, String key, boolean defaultValue)
+      throws InvalidSettingsException {
     String text = text(section, key);
     if (text == null) {
       return defaultValue;
@@ -62,7 +62,7 @@
   }
 
   /** Names separated by commas; none if the key is missing. */
-  List<String> names(String section, String key) {
+  List<String> nameList(String section, String key) {
     String text = text(section, key);
     return text == null || text.isEmpty() ? List.of() : Arrays.asList(text.split("\\s*,\\s*"));
   }
--- a/src/main/java/dev/windbend/daemon/InvalidSettingsException.java
+++ b/src/main/java/dev/windbend/daemon/InvalidSettingsException.java
@@ -14,15 +14,15 @@
   private final String file;
   private final String section;
   private final String key;
-  private final String accepted;
+  private final String expected;
 
   private InvalidSettingsException(
-      String message, String file, String section, String key, String accepted, Throwable cause) {
+      String message, String file, String section, String key, String expected, Throwable cause) {
     super(message, cause);
     this.file = file;
     this.section = section;
     this.key = key;
-    this.accepted = accepted;
+    this.expected = expected;
   }
 
   /** The file cannot be read. */
@@ -40,53 +40,58 @@
   /** A TOML key lacks a value, or has one that is not accepted. */
   static InvalidSettingsException missingOrInvalid(String section, String key) {
     return new InvalidSettingsException(
-        "missing or invalid: " + path(section, key), null, section, key, null, null);
+        "missing or invalid: " + qualifiedKey(section, key), null, section, key, null, null);
   }
 
   /** As {@link #missingOrInvalid(String, String)}, with a remark, for instance on the format. */
-  static InvalidSettingsException missingOrInvalid(String section, String key, String remark) {
+  static InvalidSettingsException missingOrInvalid(String section, String key, String expected) {
     return new InvalidSettingsException(
-        "missing or invalid: " + path(section, key) + " " + remark,
+        "missing or invalid: " + qualifiedKey(section, key) + " " + expected,
         null,
         section,
         key,
-        remark,
+        expected,
         null);
   }
 
   /** The value of a TOML key has another type. */
-  static InvalidSettingsException wrongType(String section, String key, String accepted) {
+  static InvalidSettingsException wrongType(String section, String key, String expected) {
     return new InvalidSettingsException(
-        "wrong type at " + path(section, key) + ": it must be " + accepted,
+        "wrong type at " + qualifiedKey(section, key) + ": it must be " + expected,
         null,
         section,
         key,
-        accepted,
+        expected,
         null);
   }
 
   /** The value of an INI key is not one of those accepted. */
   static InvalidSettingsException invalidValue(
-      String section, String key, String accepted, String value) {
+      String section, String key, String expected, String value) {
     return new InvalidSettingsException(
-        "[" + section + "] " + key + " must be " + accepted + ": " + value,
+        "[" + section + "] " + key + " must be " + expected + ": " + value,
         null,
         section,
         key,
-        accepted,
+        expected,
         null);
   }
 
   /** An INI section has another name now. */
-  static InvalidSettingsException renamedSection(String former, String current) {
+  static InvalidSettingsException renamedSection(String formerName, String currentName) {
     return new InvalidSettingsException(
-        "[" + former + "] is now called [" + current + "]", null, former, null, null, null);
+        "[" + formerName + "] is now called [" + currentName + "]",
+        null,
+        formerName,
+        null,
+        null,
+        null);
   }
 
   /** This exception with the file, which the message then starts with. */
-  InvalidSettingsException inFile(Path path) {
+  InvalidSettingsException withFile(Path path) {
     return new InvalidSettingsException(
-        path + ": " + getMessage(), path.toString(), section, key, accepted, this);
+        path + ": " + getMessage(), path.toString(), section, key, expected, this);
   }
 
   /** The file, as it was named on the command line. */
@@ -105,11 +110,11 @@
   }
 
   /** What the key accepts: a type, a range with its bounds, or a format. */
-  Optional<String> accepted() {
-    return Optional.ofNullable(accepted);
+  Optional<String> expected() {
+    return Optional.ofNullable(expected);
   }
 
-  private static String path(String section, String key) {
+  private static String qualifiedKey(String section, String key) {
     return section.isEmpty() ? key : section + "." + key;
   }
 }
--- a/src/main/java/dev/windbend/daemon/JobAdmission.java
+++ b/src/main/java/dev/windbend/daemon/JobAdmission.java
@@ -15,7 +15,7 @@
 final class JobAdmission implements AdmissionPolicy {
   private static final double ROUNDING_TOLERANCE = 1e-9;
   private static final Admission UNKNOWN_TEAM = new Admission.Rejected("unknown team");
-  private static final Admission OVER_TEAM_LIMIT =
+  private static final Admission TASK_EXCEEDS_TEAM_LIMIT =
       new Admission.Rejected("one task is over the team's limit");
   private static final Admission FITS_NO_MACHINE_TYPE =
       new Admission.Rejected("a task fits no allowed machine type");
@@ -38,25 +38,25 @@
   /** Undecided until the machine types are known. */
   @Override
   public Admission decide(JobSpec spec) {
-    int team = layout.teamIndex(spec.team());
-    if (team < 0) {
+    int teamIndex = layout.teamIndex(spec.team());
+    if (teamIndex < 0) {
       return UNKNOWN_TEAM;
     }
-    if (!catalog.known()) {
+    if (!catalog.isLoaded()) {
       return Admission.UNDECIDED;
     }
-    if (isOverLimit(spec, teams.get(team))) {
-      return OVER_TEAM_LIMIT;
+    if (exceedsTeamLimit(spec, teams.get(teamIndex))) {
+      return TASK_EXCEEDS_TEAM_LIMIT;
     }
     for (MachineType type : catalog.all()) {
-      if (allows(spec, type) && type.fits(spec.cores(), spec.gpus(), spec.memoryGb())) {
+      if (isAllowedType(spec, type) && type.fits(spec.cores(), spec.gpus(), spec.memoryGb())) {
         return Admission.ADMITTED;
       }
     }
     return FITS_NO_MACHINE_TYPE;
   }
 
-  private static boolean isOverLimit(JobSpec spec, Settings.Team team) {
+  private static boolean exceedsTeamLimit(JobSpec spec, Settings.Team team) {
     return spec.cores() > team.maxCores() + ROUNDING_TOLERANCE
         || spec.gpus() > team.maxGpus() + ROUNDING_TOLERANCE;
   }
@@ -64,14 +64,14 @@
   /**
    * Whether the job may run on the type, which must be offered in the job's zone, if it has one.
    */
-  private boolean allows(JobSpec spec, MachineType type) {
+  private boolean isAllowedType(JobSpec spec, MachineType type) {
     if (spec.types() != null && !spec.types().contains(type.name())) {
       return false;
     }
     if (spec.zone() == null) {
       return true;
     }
-    int zone = catalog.zones().find(spec.zone());
-    return zone >= 0 && type.in(zone);
+    int zoneIndex = catalog.zones().find(spec.zone());
+    return zoneIndex >= 0 && type.isOfferedIn(zoneIndex);
   }
 }
--- a/src/main/java/dev/windbend/daemon/Main.java
+++ b/src/main/java/dev/windbend/daemon/Main.java
@@ -22,7 +22,7 @@
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     StartupProperties.setLogLevel(System.getenv("LOG_LEVEL"));
-    StartupProperties.set();
+    StartupProperties.disableUnusedLibraryFeatures();
     OptionalInt exitCode = run(args);
     if (exitCode.isPresent()) {
       System.exit(exitCode.getAsInt());
@@ -93,8 +93,8 @@
   private static void startController(Settings settings, Policy policy, IoThread thread) {
     EventLoop loop = thread.loop();
     Controller controller = new Controller(settings, policy, loop, thread.httpClient());
-    thread.listen(settings.peerListen(), controller.peerEndpoints());
-    thread.listen(settings.clientListen(), controller.clientEndpoints());
+    thread.listen(settings.peerListenAddress(), controller.peerEndpoints());
+    thread.listen(settings.clientListenAddress(), controller.clientEndpoints());
     loop.after(0, controller::start);
   }
 
--- a/src/main/java/dev/windbend/daemon/MetricsEndpoint.java
+++ b/src/main/java/dev/windbend/daemon/MetricsEndpoint.java
@@ -23,13 +23,16 @@
   private final MeterRegistry registry = new SimpleMeterRegistry();
   private final Map<Integer, Counter> responsesByStatus = new HashMap<>();
   private final ZoneMetrics zoneMetrics;
-  private final boolean zonesMonitored;
+  private final boolean zoneMonitoringEnabled;
 
   MetricsEndpoint(
-      ShardLeaders leaders, StoreClient store, ZoneMetrics zoneMetrics, boolean zonesMonitored) {
+      ShardLeaders leaders,
+      StoreClient store,
+      ZoneMetrics zoneMetrics,
+      boolean zoneMonitoringEnabled) {
     this.zoneMetrics = zoneMetrics;
-    this.zonesMonitored = zonesMonitored;
-    Gauge.builder("windbend.shards", leaders, ShardLeaders::count).register(registry);
+    this.zoneMonitoringEnabled = zoneMonitoringEnabled;
+    Gauge.builder("windbend.shards", leaders, ShardLeaders::shardCount).register(registry);
     Gauge.builder("windbend.jobs.live", leaders, all -> all.sum(ShardLeader::liveJobCount))
         .register(registry);
     Gauge.builder("windbend.machines", leaders, all -> all.sum(ShardLeader::machineCount))
@@ -76,7 +79,7 @@
         values.put(name + "." + statistic, measurement.getValue());
       }
     }
-    if (zonesMonitored) {
+    if (zoneMonitoringEnabled) {
       values.putAll(zoneMetrics.values());
     }
     return values;
--- a/src/main/java/dev/windbend/daemon/OperatorSettings.java
+++ b/src/main/java/dev/windbend/daemon/OperatorSettings.java
@@ -8,10 +8,10 @@
 
 /** Reads the operators' own settings, an INI file; each has a default. */
 final class OperatorSettings {
-  private static final String PLAN = "plan";
-  private static final String SHARD = "shard";
-  private static final String FORMER_SHARD = "part";
-  private static final String WORKER = "worker";
+  private static final String PLAN_SECTION = "plan";
+  private static final String SHARD_SECTION = "shard";
+  private static final String FORMER_SHARD_SECTION = "part";
+  private static final String WORKER_SECTION = "worker";
   private static final double SECONDS_PER_DAY = 86_400;
 
   /** Written out here, so that a start without such a file loads no INI reader. */
@@ -28,36 +28,38 @@
   /**
    * Reads the file.
    *
-   * @param zones the names of the zones that the deployment has
+   * @param zoneNames the names of the zones that the deployment has
    */
-  static Policy read(Path file, List<String> zones) throws InvalidSettingsException {
+  static Policy read(Path file, List<String> zoneNames) throws InvalidSettingsException {
     try {
-      return parse(Files.readString(file), zones);
+      return parse(Files.readString(file), zoneNames);
     } catch (IOException e) {
       throw InvalidSettingsException.unreadable(file, e.getMessage(), e);
     } catch (InvalidSettingsException e) {
-      throw e.inFile(file);
+      throw e.withFile(file);
     }
   }
 
   /**
    * Reads a file's text.
    *
-   * @param zones the names of the zones that the deployment has
+   * @param zoneNames the names of the zones that the deployment has
    */
-  static Policy parse(String text, List<String> zones) throws InvalidSettingsException {
+  static Policy parse(String text, List<String> zoneNames) throws InvalidSettingsException {
     IniFile ini = new IniFile(text);
-    if (ini.hasSection(FORMER_SHARD)) {
-      throw InvalidSettingsException.renamedSection(FORMER_SHARD, SHARD);
+    if (ini.hasSection(FORMER_SHARD_SECTION)) {
+      throw InvalidSettingsException.renamedSection(FORMER_SHARD_SECTION, SHARD_SECTION);
     }
     return new Policy(
-        ini.milliseconds(PLAN, "period_s", DEFAULTS.cyclePeriodMs(), 0.5, SECONDS_PER_DAY),
-        ini.flag(PLAN, "rounds_on_events", DEFAULTS.eventDrivenCycles()),
-        ini.milliseconds(PLAN, "block_s", DEFAULTS.billingBlockMs(), 1, SECONDS_PER_DAY),
-        ini.number(PLAN, "implied_due", DEFAULTS.impliedDeadlineFactor(), 1, SECONDS_PER_DAY),
-        ini.milliseconds(SHARD, "hold_s", DEFAULTS.leaseTermMs(), 1, SECONDS_PER_DAY),
-        ini.flag(PLAN, "due_from_aims", DEFAULTS.deadlinesFromObjectives()),
-        ini.number(WORKER, "idle_hold", DEFAULTS.idleHoldFraction(), 0, SECONDS_PER_DAY),
-        ZoneSettings.read(ini, zones));
+        ini.durationMs(PLAN_SECTION, "period_s", DEFAULTS.cyclePeriodMs(), 0.5, SECONDS_PER_DAY),
+        ini.booleanValue(PLAN_SECTION, "rounds_on_events", DEFAULTS.eventDrivenCycles()),
+        ini.durationMs(PLAN_SECTION, "block_s", DEFAULTS.billingBlockMs(), 1, SECONDS_PER_DAY),
+        ini.doubleValue(
+            PLAN_SECTION, "implied_due", DEFAULTS.impliedDeadlineFactor(), 1, SECONDS_PER_DAY),
+        ini.durationMs(SHARD_SECTION, "hold_s", DEFAULTS.leaseTermMs(), 1, SECONDS_PER_DAY),
+        ini.booleanValue(PLAN_SECTION, "due_from_aims", DEFAULTS.deadlinesFromObjectives()),
+        ini.doubleValue(
+            WORKER_SECTION, "idle_hold", DEFAULTS.idleHoldFraction(), 0, SECONDS_PER_DAY),
+        ZoneSettings.read(ini, zoneNames));
   }
 }
--- a/src/main/java/dev/windbend/daemon/PendingReason.java
+++ b/src/main/java/dev/windbend/daemon/PendingReason.java
@@ -11,22 +11,22 @@
 final class PendingReason {
   private final Replica replica;
   private final ShardLayout layout;
-  private final boolean zonesMonitored;
+  private final boolean zoneMonitoringEnabled;
 
-  PendingReason(Replica replica, ShardLayout layout, boolean zonesMonitored) {
+  PendingReason(Replica replica, ShardLayout layout, boolean zoneMonitoringEnabled) {
     this.replica = replica;
     this.layout = layout;
-    this.zonesMonitored = zonesMonitored;
+    this.zoneMonitoringEnabled = zoneMonitoringEnabled;
   }
 
   /** The reason, for the user; empty if the job just waits for its turn. */
-  Optional<String> of(JobSpec spec) {
-    int team = layout.teamIndex(spec.team());
-    if (!zonesMonitored || spec.zone() == null || team < 0) {
+  Optional<String> reasonFor(JobSpec spec) {
+    int teamIndex = layout.teamIndex(spec.team());
+    if (!zoneMonitoringEnabled || spec.zone() == null || teamIndex < 0) {
       return Optional.empty();
     }
     ZoneRecord record =
-        ZoneRecord.read(replica.get(ZoneRecord.key(layout.shardOf(team), spec.zone())));
+        ZoneRecord.read(replica.get(ZoneRecord.key(layout.shardOf(teamIndex), spec.zone())));
     return record != null && record.state() == ZoneState.UNREACHABLE
         ? Optional.of("zone " + spec.zone() + " is unreachable")
         : Optional.empty();
--- a/src/main/java/dev/windbend/daemon/RequestRouter.java
+++ b/src/main/java/dev/windbend/daemon/RequestRouter.java
@@ -18,7 +18,7 @@
       (request, done) -> done.accept(ServerResponse.ofStatus(HttpStatus.NOT_FOUND));
 
   private final Map<String, Route> routes = new HashMap<>();
-  private Predicate<String> servesSubtree = path -> false;
+  private Predicate<String> subtreePaths = path -> false;
   private RequestHandler subtree = NOT_FOUND;
 
   private record Route(String method, RequestHandler handler) {}
@@ -37,7 +37,7 @@
 
   /** Sets the handler for the paths, beside the exact ones, that the predicate accepts. */
   RequestRouter subtree(Predicate<String> paths, RequestHandler handler) {
-    servesSubtree = paths;
+    subtreePaths = paths;
     subtree = handler;
     return this;
   }
@@ -46,7 +46,7 @@
   public void handle(ServerRequest request, Consumer<ServerResponse> done) {
     Route route = routes.get(request.path());
     if (route == null) {
-      RequestHandler handler = servesSubtree.test(request.path()) ? subtree : NOT_FOUND;
+      RequestHandler handler = subtreePaths.test(request.path()) ? subtree : NOT_FOUND;
       handler.handle(request, done);
     } else if (route.method().equals(request.method())) {
       route.handler().handle(request, done);
--- a/src/main/java/dev/windbend/daemon/Settings.java
+++ b/src/main/java/dev/windbend/daemon/Settings.java
@@ -7,17 +7,17 @@
  * The platform's settings file: this controller, its peers, the services it uses and the
  * deployment. {@link SettingsReader} reads it, {@link SettingsValidator} checks it.
  *
- * @param node this controller's name
+ * @param controllerName this controller's name
  * @param zone the zone that it runs in
- * @param clientListen host and port for users, workers and health checks
- * @param peerListen host and port for other controllers and operators
+ * @param clientListenAddress host and port for users, workers and health checks
+ * @param peerListenAddress host and port for other controllers and operators
  * @param peers the other controllers
  */
 record Settings(
-    String node,
+    String controllerName,
     String zone,
-    String clientListen,
-    String peerListen,
+    String clientListenAddress,
+    String peerListenAddress,
     List<Peer> peers,
     Services services,
     Deployment deployment) {
@@ -27,7 +27,7 @@
    *
    * @param address host and port that it listens on for peers
    */
-  record Peer(String node, String address) {}
+  record Peer(String controllerName, String address) {}
 
   /**
    * Addresses, as host and port.
@@ -78,28 +78,31 @@
   /**
    * What workers are configured with.
    *
-   * @param heartbeatSeconds the interval of their heartbeats
+   * @param heartbeatIntervalSeconds the interval of their heartbeats
    * @param leaseSeconds how long a worker runs on without an answer to its heartbeats
    * @param cancelSeconds the time within which a cancelled job's tasks must have ended
    */
-  record Workers(double heartbeatSeconds, double leaseSeconds, double cancelSeconds) {}
+  record Workers(double heartbeatIntervalSeconds, double leaseSeconds, double cancelSeconds) {}
 
   /**
    * The limits of the state service, for all controllers together.
    *
    * @param requestsPerSecond all requests
    * @param writesPerSecond the transactions among them
-   * @param valueKib the largest value, in KiB
-   * @param transactionOps conditions and changes in one transaction
+   * @param maxValueKib the largest value, in KiB
+   * @param maxTransactionOps conditions and changes in one transaction
    */
   record StateService(
-      double requestsPerSecond, double writesPerSecond, double valueKib, int transactionOps) {}
+      double requestsPerSecond,
+      double writesPerSecond,
+      double maxValueKib,
+      int maxTransactionOps) {}
 
   /**
    * The limits of the cloud's API.
    *
    * @param requestsPerSecond for all controllers together
-   * @param listLagSeconds how old a listing of machines may be
+   * @param maxListLagSeconds how old a listing of machines may be
    */
-  record Cloud(double requestsPerSecond, double listLagSeconds) {}
+  record Cloud(double requestsPerSecond, double maxListLagSeconds) {}
 }
--- a/src/main/java/dev/windbend/daemon/SettingsReader.java
+++ b/src/main/java/dev/windbend/daemon/SettingsReader.java
@@ -23,91 +23,94 @@
 
   /** Reads and validates a file's text. */
   static Settings parse(String toml) throws InvalidSettingsException {
-    Settings settings = settings(TomlTable.parse(toml));
+    Settings settings = readSettings(TomlTable.parse(toml));
     SettingsValidator.validate(settings);
     return settings;
   }
 
-  private static Settings settings(TomlTable file) throws InvalidSettingsException {
-    List<Settings.Peer> peers = peers(file.tables("seeds"));
-    TomlTable services = file.table("services");
+  private static Settings readSettings(TomlTable root) throws InvalidSettingsException {
+    List<Settings.Peer> peers = readPeers(root.tables("seeds"));
+    TomlTable services = root.table("services");
     return new Settings(
-        file.text("host_name"),
-        file.text("domain"),
-        file.text("client_listen"),
-        file.text("peer_bind"),
+        root.string("host_name"),
+        root.string("domain"),
+        root.string("client_listen"),
+        root.string("peer_bind"),
         peers,
-        services(services),
-        deployment(file.table("facts")));
+        readServices(services),
+        readDeployment(root.table("facts")));
   }
 
-  private static List<Settings.Peer> peers(List<TomlTable> seeds) throws InvalidSettingsException {
+  private static List<Settings.Peer> readPeers(List<TomlTable> tables)
+      throws InvalidSettingsException {
     List<Settings.Peer> peers = new ArrayList<>();
-    for (TomlTable seed : seeds) {
-      peers.add(new Settings.Peer(seed.text("host_name"), seed.text("addr")));
+    for (TomlTable table : tables) {
+      peers.add(new Settings.Peer(table.string("host_name"), table.string("addr")));
     }
     return peers;
   }
 
-  private static Settings.Services services(TomlTable services) throws InvalidSettingsException {
+  private static Settings.Services readServices(TomlTable services)
+      throws InvalidSettingsException {
     return services == null
         ? null
-        : new Settings.Services(services.text("cloud"), services.text("state"));
+        : new Settings.Services(services.string("cloud"), services.string("state"));
   }
 
-  private static Settings.Deployment deployment(TomlTable deployment)
+  private static Settings.Deployment readDeployment(TomlTable deployment)
       throws InvalidSettingsException {
     if (deployment == null) {
       return null;
     }
-    List<Settings.Team> teams = teams(deployment.tables("teams"));
-    List<Settings.Objective> objectives = objectives(deployment.tables("objectives"));
+    List<Settings.Team> teams = readTeams(deployment.tables("teams"));
+    List<Settings.Objective> objectives = readObjectives(deployment.tables("objectives"));
     return new Settings.Deployment(
         deployment.integer("size"),
-        deployment.texts("zones"),
+        deployment.strings("zones"),
         teams,
         objectives,
-        workers(deployment.table("workers")),
-        stateService(deployment.table("state")),
-        cloud(deployment.table("cloud")));
+        readWorkers(deployment.table("workers")),
+        readStateService(deployment.table("state")),
+        readCloud(deployment.table("cloud")));
   }
 
-  private static List<Settings.Team> teams(List<TomlTable> tables) throws InvalidSettingsException {
+  private static List<Settings.Team> readTeams(List<TomlTable> tables)
+      throws InvalidSettingsException {
     List<Settings.Team> teams = new ArrayList<>();
-    for (TomlTable team : tables) {
+    for (TomlTable table : tables) {
       teams.add(
           new Settings.Team(
-              team.text("name"),
-              team.number("cpus"),
-              team.number("cpus_max"),
-              team.number("gpus"),
-              team.number("gpus_max")));
+              table.string("name"),
+              table.number("cpus"),
+              table.number("cpus_max"),
+              table.number("gpus"),
+              table.number("gpus_max")));
     }
     return teams;
   }
 
-  private static List<Settings.Objective> objectives(List<TomlTable> tables)
+  private static List<Settings.Objective> readObjectives(List<TomlTable> tables)
       throws InvalidSettingsException {
     List<Settings.Objective> objectives = new ArrayList<>();
-    for (TomlTable objective : tables) {
+    for (TomlTable table : tables) {
       objectives.add(
           new Settings.Objective(
-              objective.text("kind"),
-              objective.text("class"),
-              objective.optionalNumber("within_s"),
-              objective.optionalNumber("times")));
+              table.string("kind"),
+              table.string("class"),
+              table.optionalNumber("within_s"),
+              table.optionalNumber("times")));
     }
     return objectives;
   }
 
-  private static Settings.Workers workers(TomlTable workers) throws InvalidSettingsException {
+  private static Settings.Workers readWorkers(TomlTable workers) throws InvalidSettingsException {
     return workers == null
         ? null
         : new Settings.Workers(
             workers.number("report_s"), workers.number("lease_s"), workers.number("cancel_s"));
   }
 
-  private static Settings.StateService stateService(TomlTable state)
+  private static Settings.StateService readStateService(TomlTable state)
       throws InvalidSettingsException {
     return state == null
         ? null
@@ -118,7 +121,7 @@
             state.integer("txn_ops"));
   }
 
-  private static Settings.Cloud cloud(TomlTable cloud) throws InvalidSettingsException {
+  private static Settings.Cloud readCloud(TomlTable cloud) throws InvalidSettingsException {
     return cloud == null
         ? null
         : new Settings.Cloud(cloud.number("rps"), cloud.number("list_lag_s"));
--- a/src/main/java/dev/windbend/daemon/SettingsValidator.java
+++ b/src/main/java/dev/windbend/daemon/SettingsValidator.java
@@ -20,16 +20,16 @@
 
   /** Reports the first key that is missing or has a value that is not accepted. */
   static void validate(Settings settings) throws InvalidSettingsException {
-    require(isPresent(settings.node()), TOP_LEVEL, "host_name");
-    requireAddress(settings.clientListen(), TOP_LEVEL, "client_listen");
-    requireAddress(settings.peerListen(), TOP_LEVEL, "peer_bind");
+    require(isNotBlank(settings.controllerName()), TOP_LEVEL, "host_name");
+    requireAddress(settings.clientListenAddress(), TOP_LEVEL, "client_listen");
+    requireAddress(settings.peerListenAddress(), TOP_LEVEL, "peer_bind");
     require(settings.services() != null, TOP_LEVEL, SERVICES);
     requireAddress(settings.services().cloud(), SERVICES, "cloud");
     requireAddress(settings.services().state(), SERVICES, "state");
     require(settings.deployment() != null, TOP_LEVEL, DEPLOYMENT);
     validate(settings.deployment());
     for (Settings.Peer peer : settings.peers()) {
-      require(isPresent(peer.node()), PEERS, "host_name");
+      require(isNotBlank(peer.controllerName()), PEERS, "host_name");
       requireAddress(peer.address(), PEERS, "addr");
     }
   }
@@ -48,14 +48,14 @@
   }
 
   private static void validate(Settings.Team team) throws InvalidSettingsException {
-    require(isPresent(team.name()), TEAMS, "name");
+    require(isNotBlank(team.name()), TEAMS, "name");
     requireQuota(team.guaranteedCores(), team.maxCores(), "cpus", team);
     requireQuota(team.guaranteedGpus(), team.maxGpus(), "gpus", team);
   }
 
   private static void validate(Settings.Workers workers) throws InvalidSettingsException {
     require(workers != null, DEPLOYMENT, "workers");
-    require(workers.heartbeatSeconds() > 0, WORKERS, "report_s");
+    require(workers.heartbeatIntervalSeconds() > 0, WORKERS, "report_s");
     require(workers.leaseSeconds() > 0, WORKERS, "lease_s");
     require(workers.cancelSeconds() > 0, WORKERS, "cancel_s");
   }
@@ -64,12 +64,12 @@
     require(state != null, DEPLOYMENT, "state");
     require(state.requestsPerSecond() > 0, STATE_SERVICE, "rps");
     require(state.writesPerSecond() > 0, STATE_SERVICE, "write_rps");
-    require(state.transactionOps() >= MIN_TRANSACTION_OPS, STATE_SERVICE, "txn_ops");
+    require(state.maxTransactionOps() >= MIN_TRANSACTION_OPS, STATE_SERVICE, "txn_ops");
   }
 
-  private static void requireQuota(double guarantee, double max, String key, Settings.Team team)
+  private static void requireQuota(double guaranteed, double max, String key, Settings.Team team)
       throws InvalidSettingsException {
-    if (!(max >= guarantee && guarantee >= 0)) {
+    if (!(max >= guaranteed && guaranteed >= 0)) {
       throw InvalidSettingsException.missingOrInvalid(TEAMS, key, "of " + team.name());
     }
   }
@@ -90,7 +90,7 @@
     }
   }
 
-  private static boolean isPresent(String text) {
+  private static boolean isNotBlank(String text) {
     return text != null && !text.isBlank();
   }
 }
--- a/src/main/java/dev/windbend/daemon/ShardLeaders.java
+++ b/src/main/java/dev/windbend/daemon/ShardLeaders.java
@@ -48,18 +48,18 @@
   }
 
   /** How many shards are led here. */
-  int count() {
+  int shardCount() {
     return leaders.size();
   }
 
   /** The sum of a figure over all shards led here. */
-  int sum(ToIntFunction<ShardLeader> figure) {
-    return leaders.values().stream().mapToInt(figure).sum();
+  int sum(ToIntFunction<ShardLeader> metric) {
+    return leaders.values().stream().mapToInt(metric).sum();
   }
 
   /** The largest of a figure over all shards led here; 0 if there are none. */
-  int max(ToIntFunction<ShardLeader> figure) {
-    return leaders.values().stream().mapToInt(figure).max().orElse(0);
+  int max(ToIntFunction<ShardLeader> metric) {
+    return leaders.values().stream().mapToInt(metric).max().orElse(0);
   }
 
   /** The leader of a shard; null if it is not led here. */
@@ -83,9 +83,9 @@
    * @return null if the shard is not led here
    */
   MachineTransferMessages.Reply transfer(
-      int from, int to, MachineTransferMessages.Request request) {
-    ShardLeader leader = leaders.get(from);
-    return leader == null ? null : leader.transfer(to, request);
+      int fromShard, int toShard, MachineTransferMessages.Request request) {
+    ShardLeader leader = leaders.get(fromShard);
+    return leader == null ? null : leader.transfer(toShard, request);
   }
 
   /** A cancellation was confirmed to its user by some controller. */
@@ -99,13 +99,13 @@
    * @param value null: it was removed
    */
   void keyChanged(String key, VersionedValue value) {
-    if (key.startsWith(JobRecord.LIVE)) {
-      String uid = key.substring(JobRecord.LIVE.length());
-      for (ShardLeader leader : snapshot()) {
+    if (key.startsWith(JobRecord.LIVE_PREFIX)) {
+      String uid = key.substring(JobRecord.LIVE_PREFIX.length());
+      for (ShardLeader leader : copyOfLeaders()) {
         leader.jobRecordChanged(uid, value);
       }
-    } else if (key.startsWith(ScaleOutRecord.KEYS)) {
-      for (ShardLeader leader : snapshot()) {
+    } else if (key.startsWith(ScaleOutRecord.KEY_PREFIX)) {
+      for (ShardLeader leader : copyOfLeaders()) {
         leader.machineRecordChanged(key, value);
       }
     }
@@ -119,7 +119,7 @@
   }
 
   /** A copy: a leader that learns of a change may be deposed meanwhile. */
-  private List<ShardLeader> snapshot() {
+  private List<ShardLeader> copyOfLeaders() {
     return List.copyOf(leaders.values());
   }
 }
--- a/src/main/java/dev/windbend/daemon/StartupProperties.java
+++ b/src/main/java/dev/windbend/daemon/StartupProperties.java
@@ -35,7 +35,7 @@
   }
 
   /** To be called before any class of XNIO, Jackson or the JDK's formats is used. */
-  static void set() {
+  static void disableUnusedLibraryFeatures() {
     // XNIO registers its beans with JMX, and works without; metrics are served by windbend itself.
     System.setProperty("javax.management.builder.initial", NoMBeanServer.class.getName());
     System.setProperty("jboss.threads.eqe.register-mbean", "false");
--- a/src/main/java/dev/windbend/daemon/TomlTable.java
+++ b/src/main/java/dev/windbend/daemon/TomlTable.java
@@ -37,25 +37,25 @@
     if (value == null) {
       return null;
     }
-    check(value.isObject(), key, "a table");
-    return new TomlTable(value, pathOf(key));
+    requireType(value.isObject(), key, "a table");
+    return new TomlTable(value, qualifiedKey(key));
   }
 
   /** The tables of an array; none if the key is missing. */
   List<TomlTable> tables(String key) throws InvalidSettingsException {
     List<TomlTable> values = new ArrayList<>();
     for (JsonNode value : array(key)) {
-      check(value.isObject(), key, "an array of tables");
-      values.add(new TomlTable(value, pathOf(key)));
+      requireType(value.isObject(), key, "an array of tables");
+      values.add(new TomlTable(value, qualifiedKey(key)));
     }
     return values;
   }
 
   /** The strings of an array; none if the key is missing. */
-  List<String> texts(String key) throws InvalidSettingsException {
+  List<String> strings(String key) throws InvalidSettingsException {
     List<String> values = new ArrayList<>();
     for (JsonNode value : array(key)) {
-      check(value.isTextual(), key, "an array of strings");
+      requireType(value.isTextual(), key, "an array of strings");
       values.add(value.textValue());
     }
     return values;
@@ -66,17 +66,17 @@
     if (value == null) {
       return List.of();
     }
-    check(value.isArray(), key, "an array");
+    requireType(value.isArray(), key, "an array");
     return value;
   }
 
   /** A string; null if the key is missing. */
-  String text(String key) throws InvalidSettingsException {
+  String string(String key) throws InvalidSettingsException {
     JsonNode value = node.get(key);
     if (value == null) {
       return null;
     }
-    check(value.isTextual(), key, "a string");
+    requireType(value.isTextual(), key, "a string");
     return value.textValue();
   }
 
@@ -91,7 +91,7 @@
     if (value == null) {
       return OptionalDouble.empty();
     }
-    check(value.isNumber(), key, "a number");
+    requireType(value.isNumber(), key, "a number");
     return OptionalDouble.of(value.doubleValue());
   }
 
@@ -101,17 +101,18 @@
     if (value == null) {
       return 0;
     }
-    check(value.isNumber() && value.canConvertToInt(), key, "an integer");
+    requireType(value.isNumber() && value.canConvertToInt(), key, "an integer");
     return value.intValue();
   }
 
-  private String pathOf(String key) {
+  private String qualifiedKey(String key) {
     return path.isEmpty() ? key : path + "." + key;
   }
 
-  private void check(boolean hasType, String key, String accepted) throws InvalidSettingsException {
+  private void requireType(boolean hasType, String key, String expected)
+      throws InvalidSettingsException {
     if (!hasType) {
-      throw InvalidSettingsException.wrongType(path, key, accepted);
+      throw InvalidSettingsException.wrongType(path, key, expected);
     }
   }
 }
--- a/src/main/java/dev/windbend/daemon/TrainingServices.java
+++ b/src/main/java/dev/windbend/daemon/TrainingServices.java
@@ -25,9 +25,9 @@
   private static final int MAX_MACHINES = 4;
 
   private final EventLoop loop;
-  private final TreeMap<String, Map<String, Object>> pairs = new TreeMap<>();
+  private final TreeMap<String, Map<String, Object>> storedValues = new TreeMap<>();
   private final List<Map<String, Object>> changes = new ArrayList<>();
-  private final List<String> machines = new ArrayList<>();
+  private final List<String> machineNames = new ArrayList<>();
   private final Map<String, List<String>> machinesByScaleOut = new LinkedHashMap<>();
   private long revision = 1;
 
@@ -36,8 +36,8 @@
   }
 
   /** The names of all machines that were added. */
-  List<String> machines() {
-    return List.copyOf(machines);
+  List<String> machineNames() {
+    return List.copyOf(machineNames);
   }
 
   /** Handles a request to either service. */
@@ -52,26 +52,27 @@
 
   private ServerResponse respond(String path, ServerRequest request) {
     if (path.startsWith(KEY_PATH)) {
-      Map<String, Object> pair = pairs.get(path.substring(KEY_PATH.length()));
-      return pair == null
+      Map<String, Object> storedValue = storedValues.get(path.substring(KEY_PATH.length()));
+      return storedValue == null
           ? ServerResponse.of(HttpStatus.NOT_FOUND, Map.of("ledger", revision))
-          : ServerResponse.of(HttpStatus.OK, pair);
+          : ServerResponse.of(HttpStatus.OK, storedValue);
     }
     return switch (path) {
-      case "/keys" -> list(request.query().get("prefix"));
-      case "/txn" -> commit(tree(request));
-      case "/hosts" -> request.method().equals("GET") ? listMachines() : scaleOut(tree(request));
+      case "/keys" -> listKeys(request.query().get("prefix"));
+      case "/txn" -> commit(parseBody(request));
+      case "/hosts" ->
+          request.method().equals("GET") ? listMachines() : scaleOut(parseBody(request));
       case "/machine_types" ->
           ServerResponse.of(HttpStatus.OK, Map.of("rigs", List.of(machineType())));
       default -> ServerResponse.of(HttpStatus.OK, Map.of("permit", 1));
     };
   }
 
-  private ServerResponse list(String prefix) {
-    List<Object> found =
-        new ArrayList<>(pairs.subMap(prefix, prefix + Character.MAX_VALUE).values());
+  private ServerResponse listKeys(String prefix) {
+    List<Object> matching =
+        new ArrayList<>(storedValues.subMap(prefix, prefix + Character.MAX_VALUE).values());
     return ServerResponse.of(
-        HttpStatus.OK, Map.of("pairs", found, "has_next", false, "ledger", revision));
+        HttpStatus.OK, Map.of("pairs", matching, "has_next", false, "ledger", revision));
   }
 
   private ServerResponse watch(ServerRequest request) {
@@ -89,7 +90,7 @@
     List<String> failed = new ArrayList<>();
     for (JsonNode condition : transaction.path("when")) {
       String key = condition.path("path").asText();
-      long version = pairs.containsKey(key) ? (long) pairs.get(key).get("stamp") : 0;
+      long version = storedValues.containsKey(key) ? (long) storedValues.get(key).get("stamp") : 0;
       if (version != condition.path("stamp").asLong()) {
         failed.add(key);
       }
@@ -107,12 +108,12 @@
   private void apply(JsonNode change) {
     if (change.has("remove")) {
       String key = change.path("remove").asText();
-      pairs.remove(key);
+      storedValues.remove(key);
       changes.add(Map.of("remove", key, "stamp", revision));
       return;
     }
     String key = change.path("set").asText();
-    pairs.put(key, Map.of("path", key, "v", change.path("v"), "stamp", revision));
+    storedValues.put(key, Map.of("path", key, "v", change.path("v"), "stamp", revision));
     changes.add(Map.of("set", key, "v", change.path("v"), "stamp", revision));
   }
 
@@ -120,9 +121,11 @@
     String name = request.path("hire").asText();
     if (!machinesByScaleOut.containsKey(name)) {
       List<String> added = new ArrayList<>();
-      for (int i = 0; i < request.path("how_many").asInt() && machines.size() < MAX_MACHINES; i++) {
-        added.add("host-" + machines.size());
-        machines.add("host-" + machines.size());
+      for (int i = 0;
+          i < request.path("how_many").asInt() && machineNames.size() < MAX_MACHINES;
+          i++) {
+        added.add("host-" + machineNames.size());
+        machineNames.add("host-" + machineNames.size());
       }
       machinesByScaleOut.put(name, added);
     }
@@ -134,7 +137,7 @@
 
   private ServerResponse listMachines() {
     List<Object> listed = new ArrayList<>();
-    for (String machine : machines) {
+    for (String machine : machineNames) {
       listed.add(
           Map.of(
               "uid", machine, "rig", "t", "yard", "zone", "standby", true, "status", "running",
@@ -158,7 +161,7 @@
     return type;
   }
 
-  private static JsonNode tree(ServerRequest request) {
+  private static JsonNode parseBody(ServerRequest request) {
     try {
       return Json.tree(new JsonFactory().createParser(request.body()));
     } catch (IOException e) {
--- a/src/main/java/dev/windbend/daemon/TrainingWorker.java
+++ b/src/main/java/dev/windbend/daemon/TrainingWorker.java
@@ -13,7 +13,7 @@
  * some heartbeats.
  */
 final class TrainingWorker {
-  private static final int HEARTBEATS_PER_TASK = 4;
+  private static final int MAX_HEARTBEATS_WHILE_RUNNING = 4;
   private static final long REQUEST_TIMEOUT_MS = 1_000;
 
   private final HttpClient http;
@@ -32,7 +32,7 @@
     }
 
     boolean exited() {
-      return heartbeats > HEARTBEATS_PER_TASK;
+      return heartbeats > MAX_HEARTBEATS_WHILE_RUNNING;
     }
   }
 
@@ -95,10 +95,10 @@
     return states;
   }
 
-  private void execute(JsonNode order) {
-    String task = order.path("drop").asText();
-    if (order.path("order").asText().equals("start")) {
-      tasks.putIfAbsent(task, new RunningTask(order.path("run").asLong()));
+  private void execute(JsonNode command) {
+    String task = command.path("drop").asText();
+    if (command.path("order").asText().equals("start")) {
+      tasks.putIfAbsent(task, new RunningTask(command.path("run").asLong()));
     } else {
       tasks.remove(task);
     }
--- a/src/main/java/dev/windbend/daemon/ZoneSettings.java
+++ b/src/main/java/dev/windbend/daemon/ZoneSettings.java
@@ -10,9 +10,9 @@
   private static final double SECONDS_PER_HOUR = 3_600;
   private static final double SECONDS_PER_DAY = 86_400;
   private static final double MS_PER_SECOND = 1_000;
-  private static final double MAX_DETECTION_SECONDS = 10 * SECONDS_PER_MINUTE;
-  private static final double MIN_RETURN_PER_SECOND = 0.01;
-  private static final double MAX_RETURN_PER_SECOND = 1_000;
+  private static final double MAX_STATE_CHANGE_DELAY_SECONDS = 10 * SECONDS_PER_MINUTE;
+  private static final double MIN_MACHINES_RETURNED_PER_SECOND = 0.01;
+  private static final double MAX_MACHINES_RETURNED_PER_SECOND = 1_000;
 
   /** What holds without the section. */
   static final ZonePolicy DEFAULTS =
@@ -23,51 +23,52 @@
   /**
    * Reads the section.
    *
-   * @param zones the names of the zones that the deployment has
+   * @param zoneNames the names of the zones that the deployment has
    */
-  static ZonePolicy read(IniFile ini, List<String> zones) throws InvalidSettingsException {
-    List<String> watched = watchedZones(ini, zones);
-    long backoffMs = durationMs(ini, "backoff_s", DEFAULTS.backoffMs(), 1, SECONDS_PER_HOUR);
+  static ZonePolicy read(IniFile ini, List<String> zoneNames) throws InvalidSettingsException {
+    List<String> monitored = monitoredZones(ini, zoneNames);
+    long backoffMs = durationMs(ini, "backoff_s", DEFAULTS.minBackoffMs(), 1, SECONDS_PER_HOUR);
     return new ZonePolicy(
-        ini.flag(SECTION, "enabled", DEFAULTS.enabled()),
-        watched,
-        durationMs(ini, "lost_after_s", DEFAULTS.lostAfterMs(), 0, MAX_DETECTION_SECONDS),
-        durationMs(ini, "return_after_s", DEFAULTS.returnAfterMs(), 0, MAX_DETECTION_SECONDS),
+        ini.booleanValue(SECTION, "enabled", DEFAULTS.enabled()),
+        monitored,
+        durationMs(ini, "lost_after_s", DEFAULTS.lostAfterMs(), 0, MAX_STATE_CHANGE_DELAY_SECONDS),
+        durationMs(
+            ini, "return_after_s", DEFAULTS.returnAfterMs(), 0, MAX_STATE_CHANGE_DELAY_SECONDS),
         backoffMs,
         durationMs(
             ini,
             "longest_backoff_s",
-            Math.max(backoffMs, DEFAULTS.longestBackoffMs()),
+            Math.max(backoffMs, DEFAULTS.maxBackoffMs()),
             backoffMs / MS_PER_SECOND,
             SECONDS_PER_DAY),
-        durationMs(ini, "decay_s", DEFAULTS.decayMs(), 1, SECONDS_PER_DAY),
-        ini.number(
+        durationMs(ini, "decay_s", DEFAULTS.backoffDecayMs(), 1, SECONDS_PER_DAY),
+        ini.doubleValue(
             SECTION,
             "return_per_s",
-            DEFAULTS.returnPerSecond(),
-            MIN_RETURN_PER_SECOND,
-            MAX_RETURN_PER_SECOND),
-        durationMs(ini, "widen_s", DEFAULTS.widenMs(), 1, SECONDS_PER_HOUR));
+            DEFAULTS.initialReturnPerSecond(),
+            MIN_MACHINES_RETURNED_PER_SECOND,
+            MAX_MACHINES_RETURNED_PER_SECOND),
+        durationMs(ini, "widen_s", DEFAULTS.rateDoublingMs(), 1, SECONDS_PER_HOUR));
   }
 
-  private static List<String> watchedZones(IniFile ini, List<String> zones)
+  private static List<String> monitoredZones(IniFile ini, List<String> zoneNames)
       throws InvalidSettingsException {
-    List<String> watched = ini.names(SECTION, "zones");
-    for (String name : watched) {
-      if (!zones.contains(name)) {
+    List<String> monitored = ini.nameList(SECTION, "zones");
+    for (String name : monitored) {
+      if (!zoneNames.contains(name)) {
         throw InvalidSettingsException.invalidValue(
             SECTION,
             "zones",
-            "zones of the deployment, which are " + String.join(", ", zones),
+            "zones of the deployment, which are " + String.join(", ", zoneNames),
             name);
       }
     }
-    return watched;
+    return monitored;
   }
 
   private static long durationMs(
       IniFile ini, String key, long defaultMs, double minSeconds, double maxSeconds)
       throws InvalidSettingsException {
-    return ini.milliseconds(SECTION, key, defaultMs, minSeconds, maxSeconds);
+    return ini.durationMs(SECTION, key, defaultMs, minSeconds, maxSeconds);
   }
 }
--- a/src/main/java/dev/windbend/job/Cancellations.java
+++ b/src/main/java/dev/windbend/job/Cancellations.java
@@ -18,45 +18,46 @@
   public static final int MAX_LISTED = 500;
 
   private final Replica replica;
-  private final Consumer<String> known;
+  private final Consumer<String> onCancelled;
   private final Map<String, Long> confirmed = new LinkedHashMap<>();
-  private final Map<String, Long> heard = new LinkedHashMap<>();
+  private final Map<String, Long> receivedFromPeers = new LinkedHashMap<>();
 
   /** A job that is finally cancelled, and the revision at which it was. */
   public record Cancelled(
       @JsonProperty("job") String uid, @JsonProperty("revision") long revision) {}
 
   /**
-   * @param known told of each job of which it is news that it is cancelled
+   * @param onCancelled told of each job of which it is news that it is cancelled
    */
-  public Cancellations(Replica replica, Consumer<String> known) {
+  public Cancellations(Replica replica, Consumer<String> onCancelled) {
     this.replica = replica;
-    this.known = known;
+    this.onCancelled = onCancelled;
   }
 
   /** A user is being told so by this node. False: the mirror, and with it everybody here, knows. */
   boolean confirm(String uid, long revision) {
-    prune();
+    removeReplicated();
     if (revision <= replica.revision() || confirmed.put(uid, revision) != null) {
       return false;
     }
-    known.accept(uid);
+    onCancelled.accept(uid);
     return true;
   }
 
   /** Other nodes say so. */
-  public void learn(List<Cancelled> news) {
-    prune();
-    for (Cancelled c : news) {
-      if (c.revision() > replica.revision() && heard.put(c.uid(), c.revision()) == null) {
-        known.accept(c.uid());
+  public void addFromPeers(List<Cancelled> received) {
+    removeReplicated();
+    for (Cancelled cancelled : received) {
+      if (cancelled.revision() > replica.revision()
+          && receivedFromPeers.put(cancelled.uid(), cancelled.revision()) == null) {
+        onCancelled.accept(cancelled.uid());
       }
     }
   }
 
   /** Known to be cancelled though the mirror's record may not say so yet. */
-  public boolean ahead(String uid) {
-    return confirmed.containsKey(uid) || heard.containsKey(uid);
+  public boolean isKnownCancelled(String uid) {
+    return confirmed.containsKey(uid) || receivedFromPeers.containsKey(uid);
   }
 
   /**
@@ -64,40 +65,40 @@
    * but for those whose tasks an owner has proved gone. What a former life of this process told is
    * in the mirror once that is read. Null: can't be told, so nobody may rely on us.
    */
-  public List<Cancelled> since(long revision) {
-    prune();
+  public List<Cancelled> listSince(long revision) {
+    removeReplicated();
     if (!replica.synced()) {
       return null;
     }
-    List<Cancelled> all = new ArrayList<>();
-    confirmed.forEach((uid, at) -> all.add(new Cancelled(uid, at)));
+    List<Cancelled> cancelled = new ArrayList<>();
+    confirmed.forEach((uid, at) -> cancelled.add(new Cancelled(uid, at)));
     replica
-        .withPrefix(JobRecord.LIVE)
+        .withPrefix(JobRecord.LIVE_PREFIX)
         .forEach(
             (key, stored) -> {
               if (stored.version() > revision) {
                 JobRecord.Live live = Json.read(stored.value(), JobRecord.Live.class);
                 if (live != null && live.cancelled()) {
-                  all.add(new Cancelled(live.spec().uid(), stored.version()));
+                  cancelled.add(new Cancelled(live.spec().uid(), stored.version()));
                 }
               }
             });
-    return all.size() > MAX_LISTED ? null : all;
+    return cancelled.size() > MAX_LISTED ? null : cancelled;
   }
 
   /** This node knows of all cancellations up to this revision. */
-  public long knownUpTo() {
+  public long completeUpToRevision() {
     return replica.revision();
   }
 
   /** This node knows of all that were confirmed before then (steady clock). */
-  public long knownUntilMs() {
+  public long completeUntilMs() {
     return replica.completeUntilMs();
   }
 
-  private void prune() {
-    long shown = replica.revision();
-    confirmed.values().removeIf(at -> at <= shown);
-    heard.values().removeIf(at -> at <= shown);
+  private void removeReplicated() {
+    long replicaRevision = replica.revision();
+    confirmed.values().removeIf(at -> at <= replicaRevision);
+    receivedFromPeers.values().removeIf(at -> at <= replicaRevision);
   }
 }
--- a/src/main/java/dev/windbend/job/Job.java
+++ b/src/main/java/dev/windbend/job/Job.java
@@ -17,62 +17,64 @@
 /** A live job as its shard's owner sees it, with the records that keep it. */
 public final class Job {
   /** Tasks whose ends are recorded together. */
-  static final int PIECE = 8_192;
+  static final int TASKS_PER_COMPLETION_ENTRY = 8_192;
 
-  private static final long LAZY_MS = 1_500;
-  private static final int ROUND_BITS = 32;
+  private static final long MAX_COMPLETION_WRITE_DELAY_MS = 1_500;
+  private static final int CYCLE_BITS = 32;
 
   private final JobSpec spec;
-  private final String key;
+  private final String recordKey;
   private final long submittedWallMs;
-  private final int team;
+  private final int teamIndex;
   private boolean cancelled;
-  private long version;
-  private final PieceEntry[] pieces;
-  private final List<PageEntry> entries;
-  private final EndUnit end = new EndUnit();
-  private final BitSet done = new BitSet();
-  private final BitSet waiting = new BitSet();
-  private int doneTotal;
-  private int waitingTotal;
-  private final Int2ObjectOpenHashMap<Placement> placed = new Int2ObjectOpenHashMap<>();
+  private long recordVersion;
+  private final CompletionEntry[] completionEntries;
+  private final List<PageEntry> pageEntries;
+  private final ArchiveWrite archiveWrite = new ArchiveWrite();
+  private final BitSet completedTasks = new BitSet();
+  private final BitSet waitingTasks = new BitSet();
+  private int completedCount;
+  private int waitingTaskCount;
+  private final Int2ObjectOpenHashMap<Placement> placementByTask = new Int2ObjectOpenHashMap<>();
 
   /** Done, and not recorded as done yet: which state of the piece will say it. */
-  private final Int2LongOpenHashMap doneAt = new Int2LongOpenHashMap();
+  private final Int2LongOpenHashMap unrecordedCompletions = new Int2LongOpenHashMap();
 
   /** Placements of such tasks. */
-  private final Int2ObjectOpenHashMap<Placement> ended = new Int2ObjectOpenHashMap<>();
+  private final Int2ObjectOpenHashMap<Placement> exitedPlacements = new Int2ObjectOpenHashMap<>();
 
-  private final List<PlacementBatch> fresh = new ArrayList<>();
-  private PlacementBatch current;
-  private long currentRound = -1;
-  private int batches;
+  private final List<PlacementBatch> newBatches = new ArrayList<>();
+  private PlacementBatch currentBatch;
+  private long currentCycle = -1;
+  private int nextBatchNumber;
   private boolean archived;
-  private boolean begun;
+  private boolean started;
 
   private long notBeforeMs;
 
   /** When a task of it was placed or completed last, or this owner took the job in (steady). */
-  private long progressMs;
+  private long lastProgressMs;
 
-  private int backOffs;
+  private int backOffCount;
   private final Set<String> failedMachines = new HashSet<>();
 
   public Job(JobRecord.Live record, long version, int team, long nowMs) {
-    this.progressMs = nowMs;
+    this.lastProgressMs = nowMs;
     this.spec = record.spec();
-    this.key = JobRecord.LIVE + spec.uid();
+    this.recordKey = JobRecord.LIVE_PREFIX + spec.uid();
     this.submittedWallMs = record.submittedWallMs();
     this.cancelled = record.cancelled();
-    this.version = version;
-    this.team = team;
-    this.pieces = new PieceEntry[(spec.tasks() + PIECE - 1) / PIECE];
-    for (int i = 0; i < pieces.length; i++) {
-      pieces[i] = new PieceEntry(i);
+    this.recordVersion = version;
+    this.teamIndex = team;
+    this.completionEntries =
+        new CompletionEntry
+            [(spec.tasks() + TASKS_PER_COMPLETION_ENTRY - 1) / TASKS_PER_COMPLETION_ENTRY];
+    for (int i = 0; i < completionEntries.length; i++) {
+      completionEntries[i] = new CompletionEntry(i);
     }
-    this.entries = List.of(pieces);
-    waiting.set(0, spec.tasks());
-    waitingTotal = spec.tasks();
+    this.pageEntries = List.of(completionEntries);
+    waitingTasks.set(0, spec.tasks());
+    waitingTaskCount = spec.tasks();
   }
 
   /** What its user submitted. */
@@ -81,8 +83,8 @@
   }
 
   /** Key of its live record in the state service. */
-  public String key() {
-    return key;
+  public String recordKey() {
+    return recordKey;
   }
 
   /** When it was submitted (wall clock, ms). */
@@ -91,8 +93,8 @@
   }
 
   /** Dense index of its team. */
-  public int team() {
-    return team;
+  public int teamIndex() {
+    return teamIndex;
   }
 
   /** Whether it is finally cancelled: none of its tasks is placed or started any more. */
@@ -106,8 +108,8 @@
   }
 
   /** How often it has been backed off after its tasks failed on several machines. */
-  public int backOffs() {
-    return backOffs;
+  public int backOffCount() {
+    return backOffCount;
   }
 
   /** NameIndex of the machines on which its tasks have failed since its last back-off. */
@@ -137,32 +139,35 @@
 
   /** Its tasks failed on several machines: they wait until this time (steady clock, ms). */
   public void backOffUntil(long untilMs) {
-    backOffs++;
+    backOffCount++;
     notBeforeMs = untilMs;
   }
 
-  private void setWaiting(int task, boolean is) {
-    if (waiting.get(task) != is) {
-      waiting.set(task, is);
-      waitingTotal += is ? 1 : -1;
+  private void setWaiting(int task, boolean isWaiting) {
+    if (waitingTasks.get(task) != isWaiting) {
+      waitingTasks.set(task, isWaiting);
+      waitingTaskCount += isWaiting ? 1 : -1;
     }
   }
 
-  private void setDone(int task) {
-    if (!done.get(task)) {
-      done.set(task);
-      doneTotal++;
+  private void markCompleted(int task) {
+    if (!completedTasks.get(task)) {
+      completedTasks.set(task);
+      completedCount++;
     }
     setWaiting(task, false);
   }
 
   /** Takes over what the record says of the ends of tasks. */
-  void restore(PageEntry entry, JobRecord.Piece record) {
-    int from = ((PieceEntry) entry).index * PIECE;
-    BitSet d = BitSet.valueOf(record.done() == null ? new byte[0] : record.done());
-    for (int i = d.nextSetBit(0); i >= 0; i = d.nextSetBit(i + 1)) {
-      if (from + i < spec.tasks()) {
-        setDone(from + i);
+  void restoreCompletedTasks(PageEntry entry, JobRecord.CompletedTasks record) {
+    int firstTask = ((CompletionEntry) entry).index * TASKS_PER_COMPLETION_ENTRY;
+    BitSet completed =
+        BitSet.valueOf(record.completed() == null ? new byte[0] : record.completed());
+    for (int offset = completed.nextSetBit(0);
+        offset >= 0;
+        offset = completed.nextSetBit(offset + 1)) {
+      if (firstTask + offset < spec.tasks()) {
+        markCompleted(firstTask + offset);
       }
     }
   }
@@ -171,172 +176,180 @@
    * Takes over placements, for the machines to confirm. Of a task that was placed several times the
    * last attempt counts: the others were proved gone before it.
    */
-  PageEntry restore(String id, JobRecord.PlacementBatch record, long nowMs) {
+  PageEntry restoreBatch(String id, JobRecord.PlacementBatch record, long nowMs) {
     PlacementBatch batch = new PlacementBatch(this, id, record.attempt());
-    batch.restored();
-    batches = Math.max(batches, number(id) + 1);
-    for (int run = 0; run < record.runs(); run++) {
-      String machine = record.machine(run);
-      for (int k = 0; k < record.count(run); k++) {
-        int task = record.first(run) + k;
-        Placement before = placed.get(task);
-        if (done.get(task) || (before != null && before.attempt() >= record.attempt())) {
+    batch.markRestored();
+    nextBatchNumber = Math.max(nextBatchNumber, batchNumber(id) + 1);
+    for (int run = 0; run < record.runCount(); run++) {
+      String machine = record.machineName(run);
+      for (int offset = 0; offset < record.taskCount(run); offset++) {
+        int task = record.firstTask(run) + offset;
+        Placement previous = placementByTask.get(task);
+        if (completedTasks.get(task)
+            || (previous != null && previous.attempt() >= record.attempt())) {
           continue;
         }
-        if (before != null) {
-          before.batch.close();
+        if (previous != null) {
+          previous.batch.releasePlacement();
         }
-        Placement p = new Placement(this, task, record.attempt(), machine, batch, true, nowMs);
-        batch.add(p);
-        placed.put(task, p);
+        Placement placement =
+            new Placement(this, task, record.attempt(), machine, batch, true, nowMs);
+        batch.add(placement);
+        placementByTask.put(task, placement);
         setWaiting(task, false);
       }
     }
     return batch;
   }
 
-  static final char BATCH_MARK = ':';
+  static final char BATCH_SEPARATOR = ':';
 
-  private int number(String id) {
+  private int batchNumber(String id) {
     try {
-      return Integer.parseInt(id.substring(id.lastIndexOf(BATCH_MARK) + 1));
+      return Integer.parseInt(id.substring(id.lastIndexOf(BATCH_SEPARATOR) + 1));
     } catch (NumberFormatException e) {
       return 0;
     }
   }
 
   /** What the owner keeps of the ends of its tasks, in pages. */
-  List<PageEntry> entries() {
-    return entries;
+  List<PageEntry> pageEntries() {
+    return pageEntries;
   }
 
   /** What was placed since the last call, to be written. */
-  List<PlacementBatch> fresh() {
-    List<PlacementBatch> all = List.copyOf(fresh);
-    fresh.clear();
+  List<PlacementBatch> drainNewBatches() {
+    List<PlacementBatch> all = List.copyOf(newBatches);
+    newBatches.clear();
     return all;
   }
 
-  long version() {
-    return version;
+  long recordVersion() {
+    return recordVersion;
   }
 
   /** A successor must find this placement: it is not proved gone, or its end is not recorded. */
-  boolean needsRecord(Placement p) {
-    return placed.get(p.task()) == p || ended.get(p.task()) == p;
+  boolean needsRecord(Placement placement) {
+    return placementByTask.get(placement.task()) == placement
+        || exitedPlacements.get(placement.task()) == placement;
   }
 
   public int waitingCount() {
-    return cancelled ? 0 : waitingTotal;
+    return cancelled ? 0 : waitingTaskCount;
   }
 
   /** How long it has been without a task placed or completed. */
-  public long sinceProgressMs(long nowMs) {
-    return nowMs - progressMs;
+  public long timeSinceProgressMs(long nowMs) {
+    return nowMs - lastProgressMs;
   }
 
-  public int doneCount() {
-    return doneTotal;
+  public int completedCount() {
+    return completedCount;
   }
 
   public Collection<Placement> placements() {
-    return placed.values();
+    return placementByTask.values();
   }
 
   public Placement placement(int task) {
-    return placed.get(task);
+    return placementByTask.get(task);
   }
 
-  public boolean isDone(int task) {
-    return done.get(task);
+  public boolean isCompleted(int task) {
+    return completedTasks.get(task);
   }
 
-  public boolean allDone() {
-    return doneTotal == spec.tasks();
+  public boolean allCompleted() {
+    return completedCount == spec.tasks();
   }
 
   /** Nothing of it is left to do or to prove gone. */
-  public boolean over() {
-    return allDone() || (cancelled && placed.isEmpty());
+  public boolean finished() {
+    return allCompleted() || (cancelled && placementByTask.isEmpty());
   }
 
   public boolean archived() {
     return archived;
   }
 
-  public int nextWaiting() {
-    return waiting.nextSetBit(0);
+  public int nextWaitingTask() {
+    return waitingTasks.nextSetBit(0);
   }
 
   /**
    * Attempts only grow: by the token from owner to owner, and by the round within an owner's time.
    * No two attempts of a task are placed in one round.
    */
-  public Placement place(int task, String machine, long nowMs, long token, long round) {
-    if (current == null || currentRound != round || current.full()) {
-      long attempt = (token << ROUND_BITS) + round;
-      current = new PlacementBatch(this, spec.uid() + BATCH_MARK + batches++, attempt);
-      currentRound = round;
-      fresh.add(current);
-    }
-    Placement p = new Placement(this, task, current.attempt(), machine, current, false, nowMs);
-    current.add(p);
-    placed.put(task, p);
+  public Placement place(int task, String machine, long nowMs, long token, long cycle) {
+    if (currentBatch == null || currentCycle != cycle || currentBatch.full()) {
+      long attempt = (token << CYCLE_BITS) + cycle;
+      currentBatch =
+          new PlacementBatch(this, spec.uid() + BATCH_SEPARATOR + nextBatchNumber++, attempt);
+      currentCycle = cycle;
+      newBatches.add(currentBatch);
+    }
+    Placement placement =
+        new Placement(this, task, currentBatch.attempt(), machine, currentBatch, false, nowMs);
+    currentBatch.add(placement);
+    placementByTask.put(task, placement);
     setWaiting(task, false);
-    progressMs = nowMs;
-    begun = true;
-    return p;
+    lastProgressMs = nowMs;
+    started = true;
+    return placement;
   }
 
   /** Its start may go out: the record says so. */
-  public boolean startable(Placement p) {
-    return !p.inherited() && !cancelled && !p.stopping() && p.batch.recorded();
+  public boolean mayStart(Placement placement) {
+    return !placement.inherited()
+        && !cancelled
+        && !placement.stopRequested()
+        && placement.batch.recorded();
   }
 
   /** The attempt is proved gone; unless the task is done it waits again. */
-  public void gone(Placement p) {
-    if (!placed.remove(p.task(), p)) {
+  public void confirmTerminated(Placement placement) {
+    if (!placementByTask.remove(placement.task(), placement)) {
       return;
     }
-    if (!done.get(p.task())) {
-      setWaiting(p.task(), true);
-      p.batch.close();
-    } else if (doneRecorded(p.task())) {
-      p.batch.close();
+    if (!completedTasks.get(placement.task())) {
+      setWaiting(placement.task(), true);
+      placement.batch.releasePlacement();
+    } else if (completionRecorded(placement.task())) {
+      placement.batch.releasePlacement();
     } else {
-      ended.put(p.task(), p);
+      exitedPlacements.put(placement.task(), placement);
     }
   }
 
   public void complete(int task, long nowMs) {
-    if (!done.get(task)) {
-      setDone(task);
-      progressMs = nowMs;
-      PieceEntry piece = pieces[task / PIECE];
-      piece.touched(nowMs);
-      doneAt.put(task, piece.changes);
+    if (!completedTasks.get(task)) {
+      markCompleted(task);
+      lastProgressMs = nowMs;
+      CompletionEntry entry = completionEntries[task / TASKS_PER_COMPLETION_ENTRY];
+      entry.recordChange(nowMs);
+      unrecordedCompletions.put(task, entry.changeCount);
     }
   }
 
   /** The record says that this task is done, so its exit need not be kept on the machine. */
-  public boolean doneRecorded(int task) {
-    return archived || (done.get(task) && !doneAt.containsKey(task));
+  public boolean completionRecorded(int task) {
+    return archived || (completedTasks.get(task) && !unrecordedCompletions.containsKey(task));
   }
 
   /** The move to its final record. */
-  public PendingWrite end() {
-    return end;
+  public PendingWrite archiveWrite() {
+    return archiveWrite;
   }
 
   /** Begun: some task has been placed, or is done. */
-  public boolean begun() {
-    return begun || !placed.isEmpty() || doneTotal > 0;
+  public boolean started() {
+    return started || !placementByTask.isEmpty() || completedCount > 0;
   }
 
   /** A change of the live record by anybody: a cancellation, or our own write. */
-  public void changed(JobRecord.Live record, long version) {
-    if (version > this.version) {
-      this.version = version;
+  public void onRecordChange(JobRecord.Live record, long newVersion) {
+    if (newVersion > this.recordVersion) {
+      this.recordVersion = newVersion;
       if (record.cancelled()) {
         // Here, whoever brings the news: a write of ours that fails on it may be the first.
         cancel();
@@ -347,27 +360,27 @@
   /** It is finally cancelled, though our copy of its record may not say so yet. */
   public void cancel() {
     cancelled = true;
-    placed.values().forEach(p -> p.stop(0));
+    placementByTask.values().forEach(p -> p.requestStop(0));
   }
 
   /** Which of some neighbouring tasks are done, as kept in a page. */
-  private final class PieceEntry implements PageEntry {
+  private final class CompletionEntry implements PageEntry {
     private final int index;
-    private long changes;
-    private long written;
-    private long inFlight = -1;
+    private long changeCount;
+    private long writtenChangeCount;
+    private long changeCountInFlight = -1;
     private long dirtySinceMs;
-    private boolean hurry;
+    private boolean retryNow;
 
-    PieceEntry(int index) {
+    CompletionEntry(int index) {
       this.index = index;
     }
 
-    void touched(long nowMs) {
-      if (changes == written) {
+    void recordChange(long nowMs) {
+      if (changeCount == writtenChangeCount) {
         dirtySinceMs = nowMs;
       }
-      changes++;
+      changeCount++;
     }
 
     @Override
@@ -377,12 +390,15 @@
 
     @Override
     public boolean dirty() {
-      return inFlight < 0 && changes > written && !Job.this.over() && !archived;
+      return changeCountInFlight < 0
+          && changeCount > writtenChangeCount
+          && !Job.this.finished()
+          && !archived;
     }
 
     @Override
     public boolean urgent(long nowMs) {
-      return hurry || nowMs - dirtySinceMs >= LAZY_MS;
+      return retryNow || nowMs - dirtySinceMs >= MAX_COMPLETION_WRITE_DELAY_MS;
     }
 
     @Override
@@ -392,31 +408,35 @@
 
     @Override
     public Object snapshot() {
-      int from = index * PIECE;
-      return new JobRecord.Piece(
-          done.get(from, Math.min(spec.tasks(), from + PIECE)).toByteArray());
+      int firstTask = index * TASKS_PER_COMPLETION_ENTRY;
+      return new JobRecord.CompletedTasks(
+          completedTasks
+              .get(firstTask, Math.min(spec.tasks(), firstTask + TASKS_PER_COMPLETION_ENTRY))
+              .toByteArray());
     }
 
     @Override
-    public void beginWrite(TransactionBuilder draft) {
-      inFlight = changes;
-      hurry = false;
+    public void beginWrite(TransactionBuilder transaction) {
+      changeCountInFlight = changeCount;
+      retryNow = false;
     }
 
     @Override
     public void onApplied() {
-      written = inFlight;
-      inFlight = -1;
-      doneAt
+      writtenChangeCount = changeCountInFlight;
+      changeCountInFlight = -1;
+      unrecordedCompletions
           .int2LongEntrySet()
           .removeIf(
-              e -> {
-                int task = e.getIntKey();
-                boolean recorded = task / PIECE == index && e.getLongValue() <= written;
+              completion -> {
+                int task = completion.getIntKey();
+                boolean recorded =
+                    task / TASKS_PER_COMPLETION_ENTRY == index
+                        && completion.getLongValue() <= writtenChangeCount;
                 if (recorded) {
-                  Placement p = ended.remove(task);
-                  if (p != null) {
-                    p.batch.close();
+                  Placement exited = exitedPlacements.remove(task);
+                  if (exited != null) {
+                    exited.batch.releasePlacement();
                   }
                 }
                 return recorded;
@@ -425,39 +445,39 @@
 
     @Override
     public void onNotApplied() {
-      inFlight = -1;
-      hurry = true;
+      changeCountInFlight = -1;
+      retryNow = true;
     }
 
     @Override
-    public boolean dependsOn(String k) {
+    public boolean dependsOn(String key) {
       return false;
     }
 
     @Override
-    public void onConflict(VersionedValue now) {
+    public void onConflict(VersionedValue stored) {
       // depends on nothing
     }
   }
 
-  void reread(VersionedValue now) {
-    if (now == null) {
+  void applyStoredRecord(VersionedValue stored) {
+    if (stored == null) {
       archived = true;
       return;
     }
-    JobRecord.Live record = Json.read(now.value(), JobRecord.Live.class);
+    JobRecord.Live record = Json.read(stored.value(), JobRecord.Live.class);
     if (record != null) {
-      changed(record, now.version());
+      onRecordChange(record, stored.version());
     }
   }
 
   /** Moves the job to its final record, once: the live key must be as this owner knows it. */
-  private final class EndUnit implements PendingWrite {
+  private final class ArchiveWrite implements PendingWrite {
     private boolean inFlight;
 
     @Override
     public boolean dirty() {
-      return !inFlight && !archived && over();
+      return !inFlight && !archived && finished();
     }
 
     @Override
@@ -471,13 +491,13 @@
     }
 
     @Override
-    public void addTo(TransactionBuilder draft) {
+    public void addTo(TransactionBuilder transaction) {
       inFlight = true;
-      draft.ifVersion(key, version);
-      draft.delete(key);
-      draft.put(
-          JobRecord.ENDED + spec.uid(),
-          new JobRecord.Ended(cancelled ? Statuses.CANCELLED : Statuses.DONE, doneCount()));
+      transaction.ifVersion(recordKey, recordVersion);
+      transaction.delete(recordKey);
+      transaction.put(
+          JobRecord.ENDED_PREFIX + spec.uid(),
+          new JobRecord.Ended(cancelled ? JobStatus.CANCELLED : JobStatus.DONE, completedCount()));
     }
 
     @Override
@@ -492,13 +512,13 @@
     }
 
     @Override
-    public boolean dependsOn(String k) {
-      return k.equals(key);
+    public boolean dependsOn(String key) {
+      return key.equals(recordKey);
     }
 
     @Override
-    public void onConflict(String k, VersionedValue now) {
-      Job.this.reread(now);
+    public void onConflict(String key, VersionedValue stored) {
+      Job.this.applyStoredRecord(stored);
     }
   }
 }
--- a/src/main/java/dev/windbend/job/JobHandler.java
+++ b/src/main/java/dev/windbend/job/JobHandler.java
@@ -24,26 +24,26 @@
  */
 public final class JobHandler {
   private static final Logger LOG = LoggerFactory.getLogger(JobHandler.class);
-  private static final String JOBS = "/v1/jobs";
-  private static final int CANCEL_TRIES = 8;
+  private static final String JOBS_PATH = "/v1/jobs";
+  private static final int MAX_CANCEL_ATTEMPTS = 8;
 
   private final EventLoop loop;
   private final StoreClient store;
   private final AdmissionPolicy admission;
-  private final ArrayDeque<Accepting> accepting = new ArrayDeque<>();
+  private final ArrayDeque<PendingSubmission> pendingSubmissions = new ArrayDeque<>();
   private final JobLookup lookup;
   private final JobProgress progress;
   private final Cancellations cancellations;
-  private final Consumer<Cancellations.Cancelled> tellOthers;
-  private final Function<JobSpec, String> waitsFor;
-  private boolean writing;
+  private final Consumer<Cancellations.Cancelled> cancellationBroadcaster;
+  private final Function<JobSpec, String> pendingReason;
+  private boolean writeInProgress;
 
-  private record Accepting(JobRecord.Live record, Consumer<ServerResponse> done) {}
+  private record PendingSubmission(JobRecord.Live record, Consumer<ServerResponse> done) {}
 
   /**
-   * @param tellOthers tells the other nodes of a cancellation that their mirrors may lack; the
-   *     user's answer does not wait for it
-   * @param waitsFor why a job waits, where its user should know; null: nothing to say
+   * @param cancellationBroadcaster tells the other nodes of a cancellation that their mirrors may
+   *     lack; the user's answer does not wait for it
+   * @param pendingReason why a job waits, where its user should know; null: nothing to say
    */
   public JobHandler(
       EventLoop loop,
@@ -51,44 +51,44 @@
       Replica replica,
       JobProgress progress,
       Cancellations cancellations,
-      Consumer<Cancellations.Cancelled> tellOthers,
+      Consumer<Cancellations.Cancelled> cancellationBroadcaster,
       AdmissionPolicy admission,
-      Function<JobSpec, String> waitsFor) {
+      Function<JobSpec, String> pendingReason) {
     this.loop = loop;
     this.store = store;
     this.lookup = new JobLookup(loop, store, replica);
     this.progress = progress;
     this.cancellations = cancellations;
-    this.tellOthers = tellOthers;
+    this.cancellationBroadcaster = cancellationBroadcaster;
     this.admission = admission;
-    this.waitsFor = waitsFor;
+    this.pendingReason = pendingReason;
   }
 
-  public static boolean serves(String path) {
-    return path.equals(JOBS) || path.startsWith(JOBS + "/");
+  public static boolean handlesPath(String path) {
+    return path.equals(JOBS_PATH) || path.startsWith(JOBS_PATH + "/");
   }
 
-  public static boolean submits(ServerRequest request) {
-    return request.path().equals(JOBS);
+  public static boolean isSubmission(ServerRequest request) {
+    return request.path().equals(JOBS_PATH);
   }
 
   public void handle(ServerRequest request, Consumer<ServerResponse> done) {
-    String rest = request.path().substring(JOBS.length());
+    String rest = request.path().substring(JOBS_PATH.length());
     if (rest.isEmpty()) {
-      only("POST", request, done, () -> submit(request.body(), done));
+      requireMethod("POST", request, done, () -> submit(request.body(), done));
       return;
     }
     String[] segments = rest.substring(1).split("/", -1);
     if (segments.length == 1) {
-      only("GET", request, done, () -> poll(segments[0], done));
+      requireMethod("GET", request, done, () -> respondWithStatus(segments[0], done));
     } else if (segments.length == 2 && segments[1].equals("cancel")) {
-      only("POST", request, done, () -> cancel(segments[0], CANCEL_TRIES, done));
+      requireMethod("POST", request, done, () -> cancel(segments[0], MAX_CANCEL_ATTEMPTS, done));
     } else {
       done.accept(ServerResponse.ofStatus(HttpStatus.NOT_FOUND));
     }
   }
 
-  private static void only(
+  private static void requireMethod(
       String method, ServerRequest request, Consumer<ServerResponse> done, Runnable handler) {
     if (request.method().equals(method)) {
       handler.run();
@@ -100,9 +100,9 @@
   private void submit(byte[] body, Consumer<ServerResponse> done) {
     JobSpec spec;
     try {
-      spec = SubmissionValidator.read(body);
-    } catch (SubmissionValidator.Malformed e) {
-      done.accept(problem(HttpStatus.BAD_REQUEST, e.getMessage()));
+      spec = SubmissionValidator.parse(body);
+    } catch (SubmissionValidator.MalformedSubmissionException e) {
+      done.accept(problemResponse(HttpStatus.BAD_REQUEST, e.getMessage()));
       return;
     }
     Admission decision = admission.decide(spec);
@@ -111,89 +111,97 @@
       return;
     }
     if (decision instanceof Admission.Rejected rejected) {
-      reject(spec.uid(), rejected, done);
+      respondToRejected(spec.uid(), rejected, done);
       return;
     }
-    accepting.add(new Accepting(new JobRecord.Live(spec, loop.wallMs(), false), done));
-    write();
+    pendingSubmissions.add(
+        new PendingSubmission(new JobRecord.Live(spec, loop.wallMs(), false), done));
+    writeSubmissions();
   }
 
   /** A job accepted when the machine types or the teams were others stays accepted. */
-  private void reject(String uid, Admission.Rejected rejected, Consumer<ServerResponse> done) {
+  private void respondToRejected(
+      String uid, Admission.Rejected rejected, Consumer<ServerResponse> done) {
     lookup.find(
         uid,
         found -> {
-          if (!found.sure()) {
+          if (!found.conclusive()) {
             done.accept(ServerResponse.retryAfter(1));
-          } else if (found.live() == null && found.over() == null) {
-            done.accept(problem(HttpStatus.UNPROCESSABLE_CONTENT, rejected.reason()));
+          } else if (found.liveValue() == null && found.ended() == null) {
+            done.accept(problemResponse(HttpStatus.UNPROCESSABLE_CONTENT, rejected.reason()));
           } else {
-            done.accept(status(uid, found));
+            done.accept(statusResponse(uid, found));
           }
         });
   }
 
   /** Group commit: all that came while the last write was under way goes together. */
-  private void write() {
-    if (writing || accepting.isEmpty()) {
+  private void writeSubmissions() {
+    if (writeInProgress || pendingSubmissions.isEmpty()) {
       return;
     }
-    List<Accepting> group = new ArrayList<>();
-    TransactionBuilder draft = new TransactionBuilder();
-    Map<String, Boolean> uids = new LinkedHashMap<>();
-    while (!accepting.isEmpty() && group.size() < store.maxWritesPerTransaction()) {
-      String uid = accepting.peek().record().spec().uid();
-      if (uids.putIfAbsent(uid, true) != null) {
+    List<PendingSubmission> submissions = new ArrayList<>();
+    TransactionBuilder transaction = new TransactionBuilder();
+    Map<String, Boolean> uidsInTransaction = new LinkedHashMap<>();
+    while (!pendingSubmissions.isEmpty() && submissions.size() < store.maxWritesPerTransaction()) {
+      String uid = pendingSubmissions.peek().record().spec().uid();
+      if (uidsInTransaction.putIfAbsent(uid, true) != null) {
         break; // the same job twice: the second goes later and finds the first
       }
-      Accepting a = accepting.poll();
-      draft.ifAbsent(JobRecord.LIVE + uid).ifAbsent(JobRecord.ENDED + uid);
-      draft.put(JobRecord.LIVE + uid, a.record());
-      group.add(a);
+      PendingSubmission submission = pendingSubmissions.poll();
+      transaction.ifAbsent(JobRecord.LIVE_PREFIX + uid).ifAbsent(JobRecord.ENDED_PREFIX + uid);
+      transaction.put(JobRecord.LIVE_PREFIX + uid, submission.record());
+      submissions.add(submission);
     }
-    writing = true;
+    writeInProgress = true;
     store.commitForUser(
-        draft,
+        transaction,
         outcome -> {
-          writing = false;
+          writeInProgress = false;
           switch (outcome.kind()) {
             case APPLIED ->
-                group.forEach(
-                    a -> {
-                      LOG.debug("accepted {}", a.record().spec().uid());
-                      a.done()
+                submissions.forEach(
+                    submission -> {
+                      LOG.debug("accepted {}", submission.record().spec().uid());
+                      submission
+                          .done()
                           .accept(
                               ServerResponse.of(
                                   HttpStatus.CREATED,
                                   UserMessages.Status.of(
-                                      a.record().spec().uid(), Statuses.PENDING, null, null)));
+                                      submission.record().spec().uid(),
+                                      JobStatus.PENDING,
+                                      null,
+                                      null)));
                     });
             case CONDITION_FAILED ->
-                group.forEach(
-                    a -> {
-                      String uid = a.record().spec().uid();
-                      if (outcome.failedKeys().contains(JobRecord.LIVE + uid)
-                          || outcome.failedKeys().contains(JobRecord.ENDED + uid)) {
-                        poll(uid, a.done());
+                submissions.forEach(
+                    submission -> {
+                      String uid = submission.record().spec().uid();
+                      if (outcome.failedKeys().contains(JobRecord.LIVE_PREFIX + uid)
+                          || outcome.failedKeys().contains(JobRecord.ENDED_PREFIX + uid)) {
+                        respondWithStatus(uid, submission.done());
                       } else {
-                        accepting.add(a);
+                        pendingSubmissions.add(submission);
                       }
                     });
-            default -> group.forEach(a -> a.done().accept(ServerResponse.retryAfter(1)));
+            default ->
+                submissions.forEach(
+                    submission -> submission.done().accept(ServerResponse.retryAfter(1)));
           }
-          write();
+          writeSubmissions();
         });
   }
 
-  private void poll(String uid, Consumer<ServerResponse> done) {
+  private void respondWithStatus(String uid, Consumer<ServerResponse> done) {
     if (!SubmissionValidator.isUid(uid)) {
       done.accept(ServerResponse.ofStatus(HttpStatus.NOT_FOUND));
       return;
     }
-    lookup.find(uid, found -> done.accept(status(uid, found)));
+    lookup.find(uid, found -> done.accept(statusResponse(uid, found)));
   }
 
-  private void cancel(String uid, int tries, Consumer<ServerResponse> done) {
+  private void cancel(String uid, int attemptsLeft, Consumer<ServerResponse> done) {
     if (!SubmissionValidator.isUid(uid)) {
       done.accept(ServerResponse.ofStatus(HttpStatus.NOT_FOUND));
       return;
@@ -201,28 +209,28 @@
     lookup.find(
         uid,
         found -> {
-          JobRecord.Live live = found.record();
+          JobRecord.Live live = found.liveRecord();
           if (live == null || live.cancelled()) {
-            done.accept(status(uid, found));
+            done.accept(statusResponse(uid, found));
             return;
           }
-          String key = JobRecord.LIVE + uid;
-          TransactionBuilder draft =
-              new TransactionBuilder().ifVersion(key, found.live().version());
-          draft.put(key, new JobRecord.Live(live.spec(), live.submittedWallMs(), true));
+          String key = JobRecord.LIVE_PREFIX + uid;
+          TransactionBuilder transaction =
+              new TransactionBuilder().ifVersion(key, found.liveValue().version());
+          transaction.put(key, new JobRecord.Live(live.spec(), live.submittedWallMs(), true));
           store.commitForUser(
-              draft,
+              transaction,
               outcome -> {
                 if (outcome.applied()) {
                   LOG.info("cancelled {}", uid);
-                  confirm(uid, outcome.revision());
+                  confirmCancellation(uid, outcome.revision());
                   done.accept(
                       ServerResponse.of(
                           HttpStatus.OK,
-                          UserMessages.Status.of(uid, Statuses.CANCELLED, null, null)));
+                          UserMessages.Status.of(uid, JobStatus.CANCELLED, null, null)));
                 } else if (outcome.kind() == TransactionOutcome.Kind.CONDITION_FAILED
-                    && tries > 1) {
-                  cancel(uid, tries - 1, done);
+                    && attemptsLeft > 1) {
+                  cancel(uid, attemptsLeft - 1, done);
                 } else {
                   done.accept(ServerResponse.retryAfter(1));
                 }
@@ -230,42 +238,43 @@
         });
   }
 
-  private ServerResponse status(String uid, JobLookup.Found found) {
-    if (!found.sure()) {
+  private ServerResponse statusResponse(String uid, JobLookup.Result found) {
+    if (!found.conclusive()) {
       return ServerResponse.retryAfter(1);
     }
-    if (found.over() != null) {
+    if (found.ended() != null) {
       return ServerResponse.of(
           HttpStatus.OK,
-          UserMessages.Status.of(uid, found.over().status(), found.over().done(), 0));
+          UserMessages.Status.of(uid, found.ended().status(), found.ended().completedTasks(), 0));
     }
-    if (found.live() == null) {
+    if (found.liveValue() == null) {
       return ServerResponse.ofStatus(HttpStatus.NOT_FOUND);
     }
-    JobRecord.Live live = found.record();
+    JobRecord.Live live = found.liveRecord();
     if (live == null) {
       return ServerResponse.retryAfter(1);
     }
     if (live.cancelled()) {
-      confirm(uid, found.live().version());
+      confirmCancellation(uid, found.liveValue().version());
     }
-    JobProgress.Tasks tasks = progress.of(uid);
+    JobProgress.TaskCounts tasks = progress.taskCounts(uid);
     String status =
         live.cancelled()
-            ? Statuses.CANCELLED
-            : tasks.running() > 0 ? Statuses.RUNNING : Statuses.PENDING;
-    String reason = status.equals(Statuses.PENDING) ? waitsFor.apply(live.spec()) : null;
+            ? JobStatus.CANCELLED
+            : tasks.running() > 0 ? JobStatus.RUNNING : JobStatus.PENDING;
+    String reason = status.equals(JobStatus.PENDING) ? pendingReason.apply(live.spec()) : null;
     return ServerResponse.of(
-        HttpStatus.OK, new UserMessages.Status(uid, status, tasks.done(), tasks.running(), reason));
+        HttpStatus.OK,
+        new UserMessages.Status(uid, status, tasks.completed(), tasks.running(), reason));
   }
 
-  private void confirm(String uid, long revision) {
+  private void confirmCancellation(String uid, long revision) {
     if (cancellations.confirm(uid, revision)) {
-      tellOthers.accept(new Cancellations.Cancelled(uid, revision));
+      cancellationBroadcaster.accept(new Cancellations.Cancelled(uid, revision));
     }
   }
 
-  private static ServerResponse problem(int status, String why) {
-    return ServerResponse.of(status, new UserMessages.Problem(why));
+  private static ServerResponse problemResponse(int status, String reason) {
+    return ServerResponse.of(status, new UserMessages.Problem(reason));
   }
 }
--- a/src/main/java/dev/windbend/job/JobLookup.java
+++ b/src/main/java/dev/windbend/job/JobLookup.java
@@ -22,130 +22,132 @@
  * themselves are read.
  */
 final class JobLookup {
-  private static final int ENDED_KEPT = 20_000;
+  private static final int MAX_CACHED_ENDED_JOBS = 20_000;
 
   private final EventLoop loop;
   private final StoreClient store;
   private final Replica replica;
-  private final int most;
-  private final ArrayDeque<Question> questions = new ArrayDeque<>();
-  private boolean asking;
-  private boolean scheduled;
-  private long notBeforeMs;
+  private final int maxConditions;
+  private final ArrayDeque<Query> pendingQueries = new ArrayDeque<>();
+  private boolean checkInProgress;
+  private boolean checkScheduled;
+  private long nextCheckMs;
 
   /** Final answers stay what they are. */
-  private final Map<String, JobRecord.Ended> ended =
+  private final Map<String, JobRecord.Ended> endedJobs =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, JobRecord.Ended> eldest) {
-          return size() > ENDED_KEPT;
+          return size() > MAX_CACHED_ENDED_JOBS;
         }
       };
 
   /** Both null and sure: no such job. */
-  record Found(boolean sure, VersionedValue live, JobRecord.Ended over) {
-    JobRecord.Live record() {
-      return sure && live != null ? Json.read(live.value(), JobRecord.Live.class) : null;
+  record Result(boolean conclusive, VersionedValue liveValue, JobRecord.Ended ended) {
+    JobRecord.Live liveRecord() {
+      return conclusive && liveValue != null
+          ? Json.read(liveValue.value(), JobRecord.Live.class)
+          : null;
     }
   }
 
-  private record Question(String uid, VersionedValue copy, Consumer<Found> done) {}
+  private record Query(String uid, VersionedValue replicaCopy, Consumer<Result> done) {}
 
   JobLookup(EventLoop loop, StoreClient store, Replica replica) {
     this.loop = loop;
     this.store = store;
     this.replica = replica;
-    this.most = Math.max(1, store.maxConditionsPerTransaction() - 1);
+    this.maxConditions = Math.max(1, store.maxConditionsPerTransaction() - 1);
   }
 
-  void find(String uid, Consumer<Found> done) {
-    JobRecord.Ended known = ended.get(uid);
-    if (known != null) {
-      done.accept(new Found(true, null, known));
+  void find(String uid, Consumer<Result> done) {
+    JobRecord.Ended cached = endedJobs.get(uid);
+    if (cached != null) {
+      done.accept(new Result(true, null, cached));
       return;
     }
-    VersionedValue copy = replica.get(JobRecord.LIVE + uid);
-    if (copy == null) {
-      readEnded(uid, () -> read(uid, done), done);
+    VersionedValue replicaCopy = replica.get(JobRecord.LIVE_PREFIX + uid);
+    if (replicaCopy == null) {
+      readEnded(uid, () -> readLive(uid, done), done);
       return;
     }
-    questions.add(new Question(uid, copy, done));
-    askSoon();
+    pendingQueries.add(new Query(uid, replicaCopy, done));
+    scheduleCheck();
   }
 
-  private void askSoon() {
-    if (!scheduled && !asking && !questions.isEmpty()) {
-      scheduled = true;
+  private void scheduleCheck() {
+    if (!checkScheduled && !checkInProgress && !pendingQueries.isEmpty()) {
+      checkScheduled = true;
       loop.after(
-          Math.max(0, notBeforeMs - loop.nowMs()),
+          Math.max(0, nextCheckMs - loop.nowMs()),
           () -> {
-            scheduled = false;
-            ask();
+            checkScheduled = false;
+            checkVersions();
           });
     }
   }
 
-  private void ask() {
-    List<Question> batch = new ArrayList<>();
-    TransactionBuilder draft = new TransactionBuilder();
-    while (!questions.isEmpty() && draft.conditionCount() < most) {
-      Question q = questions.poll();
-      draft.ifVersion(JobRecord.LIVE + q.uid, q.copy.version());
-      batch.add(q);
+  private void checkVersions() {
+    List<Query> batch = new ArrayList<>();
+    TransactionBuilder transaction = new TransactionBuilder();
+    while (!pendingQueries.isEmpty() && transaction.conditionCount() < maxConditions) {
+      Query query = pendingQueries.poll();
+      transaction.ifVersion(JobRecord.LIVE_PREFIX + query.uid, query.replicaCopy.version());
+      batch.add(query);
     }
     if (batch.isEmpty()) {
       return;
     }
-    asking = true;
+    checkInProgress = true;
     // A crowd does not wait for the pause.
-    notBeforeMs = questions.isEmpty() ? loop.nowMs() + store.pollIntervalMs() : 0;
+    nextCheckMs = pendingQueries.isEmpty() ? loop.nowMs() + store.pollIntervalMs() : 0;
     store.commitForUser(
-        draft,
+        transaction,
         outcome -> {
-          asking = false;
-          askSoon();
-          for (Question q : batch) {
+          checkInProgress = false;
+          scheduleCheck();
+          for (Query query : batch) {
             if (outcome.applied()
                 || (outcome.kind() == TransactionOutcome.Kind.CONDITION_FAILED
-                    && !outcome.failedKeys().contains(JobRecord.LIVE + q.uid))) {
-              q.done.accept(new Found(true, q.copy, null));
+                    && !outcome.failedKeys().contains(JobRecord.LIVE_PREFIX + query.uid))) {
+              query.done.accept(new Result(true, query.replicaCopy, null));
             } else if (outcome.kind() == TransactionOutcome.Kind.CONDITION_FAILED) {
-              read(q.uid, q.done);
+              readLive(query.uid, query.done);
             } else {
-              q.done.accept(new Found(false, null, null));
+              query.done.accept(new Result(false, null, null));
             }
           }
         });
   }
 
   /** Reads the live key, then the final one: jobs move only that way, so one of both shows it. */
-  private void read(String uid, Consumer<Found> done) {
+  private void readLive(String uid, Consumer<Result> done) {
     store.get(
-        JobRecord.LIVE + uid,
-        got -> {
-          if (!got.answered() || got.found()) {
-            done.accept(new Found(got.answered(), got.stored(), null));
+        JobRecord.LIVE_PREFIX + uid,
+        result -> {
+          if (!result.answered() || result.found()) {
+            done.accept(new Result(result.answered(), result.stored(), null));
             return;
           }
-          readEnded(uid, () -> done.accept(new Found(true, null, null)), done);
+          readEnded(uid, () -> done.accept(new Result(true, null, null)), done);
         });
   }
 
-  private void readEnded(String uid, Runnable none, Consumer<Found> done) {
+  private void readEnded(String uid, Runnable ifNotFound, Consumer<Result> done) {
     store.get(
-        JobRecord.ENDED + uid,
-        got -> {
-          JobRecord.Ended over =
-              got.found() ? Json.read(got.stored().value(), JobRecord.Ended.class) : null;
-          if (over != null) {
-            ended.put(uid, over);
-            done.accept(new Found(true, null, over));
-          } else if (got.status() == ReadResult.Status.NOT_FOUND) {
-            none.run();
+        JobRecord.ENDED_PREFIX + uid,
+        result -> {
+          JobRecord.Ended endedRecord =
+              result.found() ? Json.read(result.stored().value(), JobRecord.Ended.class) : null;
+          if (endedRecord != null) {
+            endedJobs.put(uid, endedRecord);
+            done.accept(new Result(true, null, endedRecord));
+          } else if (result.status() == ReadResult.Status.NOT_FOUND) {
+            ifNotFound.run();
           } else {
-            done.accept(new Found(false, null, null));
+            done.accept(new Result(false, null, null));
           }
         });
   }
--- a/src/main/java/dev/windbend/job/JobProgress.java
+++ b/src/main/java/dev/windbend/job/JobProgress.java
@@ -10,52 +10,59 @@
 
 /** How far jobs are, as the owners' pages tell. For display: it may lag. */
 public final class JobProgress {
-  private record Count(long version, int done, int placed) {}
+  private record EntryCount(long version, int completed, int placed) {}
 
-  private final Map<String, Map<String, Count>> jobs = new HashMap<>();
+  private final Map<String, Map<String, EntryCount>> entryCountsByJob = new HashMap<>();
 
   /** Done and running tasks. */
-  public record Tasks(int done, int running) {}
+  public record TaskCounts(int completed, int running) {}
 
   /** A page or a live job has changed; null: it is gone. */
-  public void changed(String key, VersionedValue now) {
-    if (key.startsWith(JobRecord.LIVE) && now == null) {
-      jobs.remove(key.substring(JobRecord.LIVE.length()));
-    } else if (key.startsWith(JobRecord.PAGES) && now != null) {
-      PageRecord page = Json.read(now.value(), PageRecord.class);
+  public void onChange(String key, VersionedValue stored) {
+    if (key.startsWith(JobRecord.LIVE_PREFIX) && stored == null) {
+      entryCountsByJob.remove(key.substring(JobRecord.LIVE_PREFIX.length()));
+    } else if (key.startsWith(JobRecord.PAGES_PREFIX) && stored != null) {
+      PageRecord page = Json.read(stored.value(), PageRecord.class);
       if (page != null && page.entries() != null) {
-        page.entries().forEach((id, value) -> count(id, value, now.version()));
+        page.entries().forEach((id, value) -> countEntry(id, value, stored.version()));
       }
     }
   }
 
-  private void count(String id, JsonNode value, long version) {
-    int mark = Math.max(id.lastIndexOf('/'), id.lastIndexOf(Job.BATCH_MARK));
-    if (mark < 0) {
+  private void countEntry(String id, JsonNode value, long version) {
+    int separator = Math.max(id.lastIndexOf('/'), id.lastIndexOf(Job.BATCH_SEPARATOR));
+    if (separator < 0) {
       return;
     }
-    int done = 0;
+    int completed = 0;
     int placed = 0;
-    if (id.charAt(mark) == Job.BATCH_MARK) {
-      JobRecord.PlacementBatch b = Json.read(value, JobRecord.PlacementBatch.class);
-      for (int run = 0; b != null && run < b.runs(); run++) {
-        placed += b.count(run);
+    if (id.charAt(separator) == Job.BATCH_SEPARATOR) {
+      JobRecord.PlacementBatch batch = Json.read(value, JobRecord.PlacementBatch.class);
+      for (int run = 0; batch != null && run < batch.runCount(); run++) {
+        placed += batch.taskCount(run);
       }
     } else {
-      JobRecord.Piece p = Json.read(value, JobRecord.Piece.class);
-      done = p == null || p.done() == null ? 0 : BitSet.valueOf(p.done()).cardinality();
+      JobRecord.CompletedTasks completedTasks = Json.read(value, JobRecord.CompletedTasks.class);
+      completed =
+          completedTasks == null || completedTasks.completed() == null
+              ? 0
+              : BitSet.valueOf(completedTasks.completed()).cardinality();
     }
-    jobs.computeIfAbsent(id.substring(0, mark), k -> new HashMap<>())
-        .merge(id, new Count(version, done, placed), (a, b) -> a.version > b.version ? a : b);
+    entryCountsByJob
+        .computeIfAbsent(id.substring(0, separator), k -> new HashMap<>())
+        .merge(
+            id,
+            new EntryCount(version, completed, placed),
+            (a, batch) -> a.version > batch.version ? a : batch);
   }
 
-  public Tasks of(String uid) {
-    int done = 0;
+  public TaskCounts taskCounts(String uid) {
+    int completed = 0;
     int placed = 0;
-    for (Count c : jobs.getOrDefault(uid, Map.of()).values()) {
-      done += c.done;
-      placed += c.placed;
+    for (EntryCount count : entryCountsByJob.getOrDefault(uid, Map.of()).values()) {
+      completed += count.completed;
+      placed += count.placed;
     }
-    return new Tasks(done, Math.max(0, placed - done));
+    return new TaskCounts(completed, Math.max(0, placed - completed));
   }
 }
--- a/src/main/java/dev/windbend/job/JobRecord.java
+++ b/src/main/java/dev/windbend/job/JobRecord.java
@@ -6,17 +6,17 @@
 /** What the state service keeps of a live job, of its tasks, and of an ended job. */
 public final class JobRecord {
   /** Keys of live jobs and of ended ones; the tasks of live ones are entries of pages. */
-  public static final String LIVE = "w/j/";
+  public static final String LIVE_PREFIX = "w/j/";
 
-  public static final String ENDED = "a/";
+  public static final String ENDED_PREFIX = "a/";
 
   /** Pages of entries, below it the shard. */
-  public static final String PAGES = "w/p/";
+  public static final String PAGES_PREFIX = "w/p/";
 
   private JobRecord() {}
 
-  public static String pages(int shard) {
-    return PAGES + shard + "/";
+  public static String pagesPrefix(int shard) {
+    return PAGES_PREFIX + shard + "/";
   }
 
   public record Live(
@@ -25,7 +25,7 @@
       @JsonProperty("cancelled") boolean cancelled) {}
 
   /** Which of some neighbouring tasks are done, as a bit set. */
-  public record Piece(@JsonProperty("d") byte[] done) {}
+  public record CompletedTasks(@JsonProperty("d") byte[] completed) {}
 
   /**
    * Tasks placed together: the attempt, the machines' names (what all have in front, and the rest
@@ -34,41 +34,45 @@
    */
   public record PlacementBatch(
       @JsonProperty("a") long attempt,
-      @JsonProperty("x") String front,
-      @JsonProperty("m") List<String> rest,
-      @JsonProperty("p") long[] placed) {
-    static final int RUN = 3;
+      @JsonProperty("x") String namePrefix,
+      @JsonProperty("m") List<String> nameSuffixes,
+      @JsonProperty("p") long[] runData) {
+    static final int NUMBERS_PER_RUN = 3;
 
-    static PlacementBatch of(long attempt, List<String> machines, long[] placed) {
-      String front = machines.isEmpty() ? "" : machines.get(0);
-      for (String m : machines) {
-        int n = 0;
-        while (n < Math.min(front.length(), m.length()) && front.charAt(n) == m.charAt(n)) {
-          n++;
+    static PlacementBatch of(long attempt, List<String> machines, long[] runData) {
+      String prefix = machines.isEmpty() ? "" : machines.get(0);
+      for (String machine : machines) {
+        int commonLength = 0;
+        while (commonLength < Math.min(prefix.length(), machine.length())
+            && prefix.charAt(commonLength) == machine.charAt(commonLength)) {
+          commonLength++;
         }
-        front = front.substring(0, n);
+        prefix = prefix.substring(0, commonLength);
       }
-      int length = front.length();
+      int prefixLength = prefix.length();
       return new PlacementBatch(
-          attempt, front, machines.stream().map(m -> m.substring(length)).toList(), placed);
+          attempt,
+          prefix,
+          machines.stream().map(machine -> machine.substring(prefixLength)).toList(),
+          runData);
     }
 
-    String machine(int run) {
-      return front + rest.get((int) placed[run * RUN + 2]);
+    String machineName(int run) {
+      return namePrefix + nameSuffixes.get((int) runData[run * NUMBERS_PER_RUN + 2]);
     }
 
-    int runs() {
-      return placed == null ? 0 : placed.length / RUN;
+    int runCount() {
+      return runData == null ? 0 : runData.length / NUMBERS_PER_RUN;
     }
 
-    int first(int run) {
-      return (int) placed[run * RUN];
+    int firstTask(int run) {
+      return (int) runData[run * NUMBERS_PER_RUN];
     }
 
-    int count(int run) {
-      return (int) placed[run * RUN + 1];
+    int taskCount(int run) {
+      return (int) runData[run * NUMBERS_PER_RUN + 1];
     }
   }
 
-  public record Ended(@JsonProperty("s") String status, @JsonProperty("n") int done) {}
+  public record Ended(@JsonProperty("s") String status, @JsonProperty("n") int completedTasks) {}
 }
--- a/src/main/java/dev/windbend/job/JobRegistry.java
+++ b/src/main/java/dev/windbend/job/JobRegistry.java
@@ -17,15 +17,16 @@
 /** The live jobs of one shard, kept in step with their records. */
 public final class JobRegistry {
   private final Map<String, Job> jobs = new LinkedHashMap<>();
-  private final ToIntFunction<String> teamHere;
+  private final ToIntFunction<String> teamIndexInShard;
   private final GroupCommitter committer;
   private final PagedStore pages;
 
   /**
-   * @param teamHere the dense index of a team of this shard, -1 for any other
+   * @param teamIndexInShard the dense index of a team of this shard, -1 for any other
    */
-  public JobRegistry(ToIntFunction<String> teamHere, GroupCommitter committer, PagedStore pages) {
-    this.teamHere = teamHere;
+  public JobRegistry(
+      ToIntFunction<String> teamIndexInShard, GroupCommitter committer, PagedStore pages) {
+    this.teamIndexInShard = teamIndexInShard;
     this.committer = committer;
     this.pages = pages;
   }
@@ -42,61 +43,66 @@
    * Takes a job in, with what a former owner left of its tasks. Null if it is not of this shard;
    * else its placements are to be confirmed by their machines.
    */
-  public Job take(VersionedValue record, SortedMap<String, JsonNode> left, long nowMs) {
-    JobRecord.Live r = Json.read(record.value(), JobRecord.Live.class);
-    int team = r == null || r.spec() == null ? -1 : teamHere.applyAsInt(r.spec().team());
+  public Job restore(VersionedValue record, SortedMap<String, JsonNode> storedEntries, long nowMs) {
+    JobRecord.Live liveRecord = Json.read(record.value(), JobRecord.Live.class);
+    int team =
+        liveRecord == null || liveRecord.spec() == null
+            ? -1
+            : teamIndexInShard.applyAsInt(liveRecord.spec().team());
     if (team < 0) {
       return null;
     }
-    Job job = new Job(r, record.version(), team, nowMs);
-    for (PageEntry e : job.entries()) {
-      JsonNode value = left.get(e.id());
-      JobRecord.Piece piece = value == null ? null : Json.read(value, JobRecord.Piece.class);
-      if (piece != null) {
-        job.restore(e, piece);
-        pages.adopt(e);
+    Job job = new Job(liveRecord, record.version(), team, nowMs);
+    for (PageEntry entry : job.pageEntries()) {
+      JsonNode value = storedEntries.get(entry.id());
+      JobRecord.CompletedTasks completedTasks =
+          value == null ? null : Json.read(value, JobRecord.CompletedTasks.class);
+      if (completedTasks != null) {
+        job.restoreCompletedTasks(entry, completedTasks);
+        pages.adopt(entry);
       }
     }
-    String batches = r.spec().uid() + Job.BATCH_MARK;
-    left.subMap(batches, batches + Character.MAX_VALUE)
+    String batchIdPrefix = liveRecord.spec().uid() + Job.BATCH_SEPARATOR;
+    storedEntries
+        .subMap(batchIdPrefix, batchIdPrefix + Character.MAX_VALUE)
         .forEach(
             (id, value) -> {
               JobRecord.PlacementBatch batch = Json.read(value, JobRecord.PlacementBatch.class);
               if (batch != null) {
-                pages.adopt(job.restore(id, batch, nowMs));
+                pages.adopt(job.restoreBatch(id, batch, nowMs));
               }
             });
-    jobs.put(r.spec().uid(), job);
+    jobs.put(liveRecord.spec().uid(), job);
     return job;
   }
 
   /** Its tasks or its end have changed: the write follows. */
-  public void touched(Job job) {
-    if (job.over()) {
-      committer.enqueue(job.end());
+  public void markChanged(Job job) {
+    if (job.finished()) {
+      committer.enqueue(job.archiveWrite());
       return;
     }
-    for (PageEntry e : job.entries()) {
-      if (e.dirty()) {
-        pages.markChanged(e);
+    for (PageEntry entry : job.pageEntries()) {
+      if (entry.dirty()) {
+        pages.markChanged(entry);
       }
     }
-    job.fresh().forEach(pages::markChanged);
+    job.drainNewBatches().forEach(pages::markChanged);
     committer.enqueue(pages);
   }
 
   /** Jobs whose end is written are not ours to keep. */
-  public List<Job> archived() {
-    List<Job> all = new ArrayList<>();
-    for (Job j : jobs.values()) {
-      if (j.archived()) {
-        all.add(j);
+  public List<Job> archivedJobs() {
+    List<Job> archived = new ArrayList<>();
+    for (Job job : jobs.values()) {
+      if (job.archived()) {
+        archived.add(job);
       }
     }
-    return all;
+    return archived;
   }
 
-  public void forget(Job job) {
+  public void remove(Job job) {
     jobs.remove(job.spec().uid());
   }
 }
--- a/src/main/java/dev/windbend/job/JobSpec.java
+++ b/src/main/java/dev/windbend/job/JobSpec.java
@@ -20,7 +20,7 @@
     @JsonProperty("together") boolean together,
     @JsonProperty("spread") boolean spread,
     @JsonProperty("spot") boolean spot,
-    @JsonProperty("estimateS") double estimateS,
-    @JsonProperty("checkpointS") double checkpointS,
-    @JsonProperty("saveS") double saveS,
-    @JsonProperty("dueS") Double dueS) {}
+    @JsonProperty("estimateS") double estimatedRunTimeSeconds,
+    @JsonProperty("checkpointS") double checkpointIntervalSeconds,
+    @JsonProperty("saveS") double checkpointSaveSeconds,
+    @JsonProperty("dueS") Double dueSeconds) {}
--- a/src/main/java/dev/windbend/job/Placement.java
+++ b/src/main/java/dev/windbend/job/Placement.java
@@ -15,10 +15,10 @@
 
   private final boolean inherited;
   private final long placedMs;
-  private long sentIncarnation = -1;
-  private long sentSequence = -1;
-  private boolean seen;
-  private long runningMs = -1;
+  private long startSentIncarnation = -1;
+  private long startSentSequence = -1;
+  private boolean reported;
+  private long runningSinceMs = -1;
   private double stopGraceS = -1;
 
   Placement(
@@ -69,39 +69,39 @@
   }
 
   /** Incarnation of the agent whose heartbeat the start last answered; -1: not sent. */
-  public long sentIncarnation() {
-    return sentIncarnation;
+  public long startSentIncarnation() {
+    return startSentIncarnation;
   }
 
   /** Sequence number of the heartbeat that the start last answered; -1: not sent. */
-  public long sentSequence() {
-    return sentSequence;
+  public long startSentSequence() {
+    return startSentSequence;
   }
 
   /** The start goes out in the response to this heartbeat. */
   public void recordStartSent(long incarnation, long sequence) {
-    sentIncarnation = incarnation;
-    sentSequence = sequence;
+    startSentIncarnation = incarnation;
+    startSentSequence = sequence;
   }
 
   /** Some heartbeat showed it; it is never started again. */
-  public boolean seen() {
-    return seen;
+  public boolean reported() {
+    return reported;
   }
 
   /** A heartbeat shows it. */
-  public void recordSeen() {
-    seen = true;
+  public void recordReported() {
+    reported = true;
   }
 
   /** Since when it has its image and runs (steady clock, ms); -1: it does not run yet. */
-  public long runningMs() {
-    return runningMs;
+  public long runningSinceMs() {
+    return runningSinceMs;
   }
 
   /** It has its image and runs since this time (steady clock, ms). */
   public void recordRunning(long sinceMs) {
-    runningMs = sinceMs;
+    runningSinceMs = sinceMs;
   }
 
   /** Seconds it may use to save before it is stopped; -1: it is not to be stopped. */
@@ -113,12 +113,12 @@
     return job.spec().uid() + "/" + task;
   }
 
-  public boolean stopping() {
+  public boolean stopRequested() {
     return stopGraceS >= 0;
   }
 
   /** Asks it to go; a stricter wish replaces a milder one. */
-  public void stop(double graceS) {
+  public void requestStop(double graceS) {
     if (stopGraceS < 0 || graceS < stopGraceS) {
       stopGraceS = graceS;
     }
--- a/src/main/java/dev/windbend/job/PlacementBatch.java
+++ b/src/main/java/dev/windbend/job/PlacementBatch.java
@@ -15,15 +15,15 @@
  */
 final class PlacementBatch implements PageEntry {
   /** At so many machines, runs and names of the usual length fill a page. */
-  static final int MOST_RUNS = 90;
+  static final int MAX_RUNS = 90;
 
   private final Job job;
   private final String id;
   private final long attempt;
-  private final List<Placement> tasks = new ArrayList<>();
-  private int runs;
-  private int open;
-  private boolean written;
+  private final List<Placement> placements = new ArrayList<>();
+  private int runCount;
+  private int neededPlacements;
+  private boolean recorded;
   private boolean inFlight;
 
   PlacementBatch(Job job, String id, long attempt) {
@@ -36,35 +36,35 @@
     return attempt;
   }
 
-  void add(Placement p) {
-    Placement last = tasks.isEmpty() ? null : tasks.get(tasks.size() - 1);
+  void add(Placement placement) {
+    Placement last = placements.isEmpty() ? null : placements.get(placements.size() - 1);
     if (last == null
-        || last.task() + 1 != p.task()
-        || !last.machineName().equals(p.machineName())) {
-      runs++;
+        || last.task() + 1 != placement.task()
+        || !last.machineName().equals(placement.machineName())) {
+      runCount++;
     }
-    tasks.add(p);
-    open++;
+    placements.add(placement);
+    neededPlacements++;
   }
 
   /** No more go into an entry: it must fit a page. */
   boolean full() {
-    return runs >= MOST_RUNS || inFlight || written;
+    return runCount >= MAX_RUNS || inFlight || recorded;
   }
 
   /** Found in the records. */
-  void restored() {
-    written = true;
+  void markRestored() {
+    recorded = true;
   }
 
   /** The record says so: its tasks may start. */
   boolean recorded() {
-    return written;
+    return recorded;
   }
 
   /** Nobody needs this task's placement on record any more. */
-  void close() {
-    open--;
+  void releasePlacement() {
+    neededPlacements--;
   }
 
   @Override
@@ -74,7 +74,7 @@
 
   @Override
   public boolean dirty() {
-    return !written && !inFlight && !obsolete();
+    return !recorded && !inFlight && !obsolete();
   }
 
   @Override
@@ -84,51 +84,51 @@
 
   @Override
   public boolean obsolete() {
-    return open <= 0 || job.archived();
+    return neededPlacements <= 0 || job.archived();
   }
 
   @Override
   public Object snapshot() {
-    Object2IntOpenHashMap<String> indices = new Object2IntOpenHashMap<>();
+    Object2IntOpenHashMap<String> machineIndexByName = new Object2IntOpenHashMap<>();
     List<String> machines = new ArrayList<>();
     LongArrayList runs = new LongArrayList();
     Placement last = null;
-    for (Placement p : tasks) {
-      if (!job.needsRecord(p)) {
+    for (Placement placement : placements) {
+      if (!job.needsRecord(placement)) {
         continue;
       }
       if (last != null
-          && p.task() == last.task() + 1
-          && p.machineName().equals(last.machineName())) {
-        int count = runs.size() - JobRecord.PlacementBatch.RUN + 1;
-        runs.set(count, runs.getLong(count) + 1);
+          && placement.task() == last.task() + 1
+          && placement.machineName().equals(last.machineName())) {
+        int countIndex = runs.size() - JobRecord.PlacementBatch.NUMBERS_PER_RUN + 1;
+        runs.set(countIndex, runs.getLong(countIndex) + 1);
       } else {
-        if (!indices.containsKey(p.machineName())) {
-          indices.put(p.machineName(), machines.size());
-          machines.add(p.machineName());
+        if (!machineIndexByName.containsKey(placement.machineName())) {
+          machineIndexByName.put(placement.machineName(), machines.size());
+          machines.add(placement.machineName());
         }
-        runs.add(p.task());
+        runs.add(placement.task());
         runs.add(1);
-        runs.add(indices.getInt(p.machineName()));
+        runs.add(machineIndexByName.getInt(placement.machineName()));
       }
-      last = p;
+      last = placement;
     }
     return JobRecord.PlacementBatch.of(attempt, machines, runs.toLongArray());
   }
 
   @Override
-  public void beginWrite(TransactionBuilder draft) {
+  public void beginWrite(TransactionBuilder transaction) {
     inFlight = true;
-    if (!written) {
+    if (!recorded) {
       // Cancelled or ended meanwhile: then nothing of it may start.
-      draft.ifVersion(job.key(), job.version());
+      transaction.ifVersion(job.recordKey(), job.recordVersion());
     }
   }
 
   @Override
   public void onApplied() {
     inFlight = false;
-    written = true;
+    recorded = true;
   }
 
   @Override
@@ -138,11 +138,11 @@
 
   @Override
   public boolean dependsOn(String key) {
-    return key.equals(job.key());
+    return key.equals(job.recordKey());
   }
 
   @Override
-  public void onConflict(VersionedValue now) {
-    job.reread(now);
+  public void onConflict(VersionedValue stored) {
+    job.applyStoredRecord(stored);
   }
 }
--- a/src/main/java/dev/windbend/job/SubmissionValidator.java
+++ b/src/main/java/dev/windbend/job/SubmissionValidator.java
@@ -9,15 +9,15 @@
 
 /** Reads a submission; says exactly what is wrong with a malformed one. */
 final class SubmissionValidator {
-  static final int MOST_TASKS = 100_000;
-  private static final int LONGEST_NAME = 128;
-  private static final int MOST_TYPES = 16;
+  static final int MAX_TASKS = 100_000;
+  private static final int MAX_TEXT_LENGTH = 128;
+  private static final int MAX_TYPES = 16;
   private static final Pattern UID = Pattern.compile("wk-[0-9]{1,18}");
 
-  static final class Malformed extends Exception {
+  static final class MalformedSubmissionException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Malformed(String message) {
+    MalformedSubmissionException(String message) {
       super(message, null, false, false);
     }
   }
@@ -28,87 +28,91 @@
     return UID.matcher(text).matches();
   }
 
-  static JobSpec read(byte[] body) throws Malformed {
-    UserMessages.Submission s = Json.read(body, UserMessages.Submission.class);
-    if (s == null) {
-      throw new Malformed("not a JSON object");
+  static JobSpec parse(byte[] body) throws MalformedSubmissionException {
+    UserMessages.Submission submission = Json.read(body, UserMessages.Submission.class);
+    if (submission == null) {
+      throw new MalformedSubmissionException("not a JSON object");
     }
-    String uid = text("uid", s.uid());
-    check(isUid(uid), "uid");
-    check("batch".equals(text("shape", s.shape())), "shape");
-    JsonNode n = s.tasks();
-    check(n != null && n.isIntegralNumber() && n.canConvertToInt(), "drops");
-    check(n.intValue() >= 1 && n.intValue() <= MOST_TASKS, "drops");
-    double cores = amount("cores", s.cores());
-    check(cores > 0, "cores");
+    String uid = textValue("uid", submission.uid());
+    require(isUid(uid), "uid");
+    require("batch".equals(textValue("shape", submission.shape())), "shape");
+    JsonNode tasks = submission.tasks();
+    require(tasks != null && tasks.isIntegralNumber() && tasks.canConvertToInt(), "drops");
+    require(tasks.intValue() >= 1 && tasks.intValue() <= MAX_TASKS, "drops");
+    double cores = numberValue("cores", submission.cores());
+    require(cores > 0, "cores");
     return new JobSpec(
         uid,
-        text("fleet", s.kind()),
-        text("crew", s.team()),
-        urgency(text("urgency", s.urgency())),
-        n.intValue(),
+        textValue("fleet", submission.kind()),
+        textValue("crew", submission.team()),
+        parseUrgency(textValue("urgency", submission.urgency())),
+        tasks.intValue(),
         cores,
-        amount("cards", s.gpus()),
-        amount("ram_gb", s.memoryGb()),
-        text("load", s.image()),
-        amount("pull_gb", s.imageGb()),
-        names("rigs", s.types()),
-        absent(s.zone()) ? null : text("yard", s.zone()),
-        flag("together", s.together()),
-        flag("spread", s.spread()),
-        flag("standby", s.spot()),
-        amount("haul_s", s.estimateS()),
-        amount("waypoint_s", s.checkpointS()),
-        amount("stow_s", s.saveS()),
-        absent(s.dueS()) ? null : amount("due_s", s.dueS()));
+        numberValue("cards", submission.gpus()),
+        numberValue("ram_gb", submission.memoryGb()),
+        textValue("load", submission.image()),
+        numberValue("pull_gb", submission.imageGb()),
+        textValues("rigs", submission.types()),
+        isAbsent(submission.zone()) ? null : textValue("yard", submission.zone()),
+        booleanValue("together", submission.together()),
+        booleanValue("spread", submission.spread()),
+        booleanValue("standby", submission.spot()),
+        numberValue("haul_s", submission.estimatedRunTimeSeconds()),
+        numberValue("waypoint_s", submission.checkpointIntervalSeconds()),
+        numberValue("stow_s", submission.checkpointSaveSeconds()),
+        isAbsent(submission.dueSeconds()) ? null : numberValue("due_s", submission.dueSeconds()));
   }
 
-  private static boolean absent(JsonNode n) {
-    return n == null || n.isNull() || n.isMissingNode();
+  private static boolean isAbsent(JsonNode node) {
+    return node == null || node.isNull() || node.isMissingNode();
   }
 
-  private static void check(boolean holds, String field) throws Malformed {
-    if (!holds) {
-      throw new Malformed("missing or invalid: " + field);
+  private static void require(boolean valid, String field) throws MalformedSubmissionException {
+    if (!valid) {
+      throw new MalformedSubmissionException("missing or invalid: " + field);
     }
   }
 
-  private static String text(String field, JsonNode n) throws Malformed {
-    check(n != null && n.isTextual() && !n.textValue().isEmpty() && n.size() == 0, field);
-    check(n.textValue().length() <= LONGEST_NAME, field);
-    return n.textValue();
+  private static String textValue(String field, JsonNode node) throws MalformedSubmissionException {
+    require(
+        node != null && node.isTextual() && !node.textValue().isEmpty() && node.size() == 0, field);
+    require(node.textValue().length() <= MAX_TEXT_LENGTH, field);
+    return node.textValue();
   }
 
-  private static double amount(String field, JsonNode n) throws Malformed {
-    check(n != null && n.isNumber(), field);
-    double v = n.doubleValue();
-    check(Double.isFinite(v) && v >= 0 && v <= 1e9, field);
-    return v;
+  private static double numberValue(String field, JsonNode node)
+      throws MalformedSubmissionException {
+    require(node != null && node.isNumber(), field);
+    double value = node.doubleValue();
+    require(Double.isFinite(value) && value >= 0 && value <= 1e9, field);
+    return value;
   }
 
-  private static boolean flag(String field, JsonNode n) throws Malformed {
-    check(n != null && n.isBoolean(), field);
-    return n.booleanValue();
+  private static boolean booleanValue(String field, JsonNode node)
+      throws MalformedSubmissionException {
+    require(node != null && node.isBoolean(), field);
+    return node.booleanValue();
   }
 
-  private static List<String> names(String field, JsonNode n) throws Malformed {
-    if (absent(n)) {
+  private static List<String> textValues(String field, JsonNode node)
+      throws MalformedSubmissionException {
+    if (isAbsent(node)) {
       return null;
     }
-    check(n.isArray() && n.size() <= MOST_TYPES, field);
-    List<String> all = new ArrayList<>();
-    for (JsonNode e : n) {
-      all.add(text(field, e));
+    require(node.isArray() && node.size() <= MAX_TYPES, field);
+    List<String> values = new ArrayList<>();
+    for (JsonNode element : node) {
+      values.add(textValue(field, element));
     }
-    return List.copyOf(all);
+    return List.copyOf(values);
   }
 
-  private static Urgency urgency(String text) throws Malformed {
-    for (Urgency u : Urgency.values()) {
-      if (u.name().toLowerCase(Locale.ROOT).equals(text)) {
-        return u;
+  private static Urgency parseUrgency(String text) throws MalformedSubmissionException {
+    for (Urgency urgency : Urgency.values()) {
+      if (urgency.name().toLowerCase(Locale.ROOT).equals(text)) {
+        return urgency;
       }
     }
-    throw new Malformed("missing or invalid: urgency");
+    throw new MalformedSubmissionException("missing or invalid: urgency");
   }
 }
--- a/src/main/java/dev/windbend/job/UserMessages.java
+++ b/src/main/java/dev/windbend/job/UserMessages.java
@@ -25,10 +25,10 @@
       @JsonProperty("together") JsonNode together,
       @JsonProperty("spread") JsonNode spread,
       @JsonProperty("standby") JsonNode spot,
-      @JsonProperty("haul_s") JsonNode estimateS,
-      @JsonProperty("waypoint_s") JsonNode checkpointS,
-      @JsonProperty("stow_s") JsonNode saveS,
-      @JsonProperty("due_s") JsonNode dueS) {}
+      @JsonProperty("haul_s") JsonNode estimatedRunTimeSeconds,
+      @JsonProperty("waypoint_s") JsonNode checkpointIntervalSeconds,
+      @JsonProperty("stow_s") JsonNode checkpointSaveSeconds,
+      @JsonProperty("due_s") JsonNode dueSeconds) {}
 
   /**
    * How a job stands.
--- a/src/main/java/dev/windbend/machine/CloudClient.java
+++ b/src/main/java/dev/windbend/machine/CloudClient.java
@@ -17,19 +17,19 @@
 /** Calls the cloud, each time with a time-out, under this controller's part of its rate limit. */
 public final class CloudClient {
   private static final long CALL_TIMEOUT_MS = 4_000;
-  private static final int PAGE_SIZE = 500;
+  private static final int MAX_PAGE_ENTRIES = 500;
 
   /** What the parts of all controllers add up to, as a multiple of the rate limit. */
   private static final double RATE_OVERCOMMIT = 1.6;
 
   /** Part of the text by which the cloud says that it lacks machines. */
-  private static final String NO_CAPACITY = "no capacity";
+  private static final String NO_CAPACITY_MARKER = "no capacity";
 
   private final EventLoop loop;
-  private final HttpClient web;
+  private final HttpClient httpClient;
   private final String address;
-  private final TokenBucket rate;
-  private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
+  private final TokenBucket rateLimiter;
+  private final ArrayDeque<Runnable> queuedCalls = new ArrayDeque<>();
 
   /** How a request for instances ended. */
   enum CreateResult {
@@ -54,7 +54,7 @@
   /** Takes the result of a request for instances. */
   interface CreateCallback {
     /** {@code machines}: names of the instances granted. */
-    void done(CreateResult result, List<String> machines);
+    void onResult(CreateResult result, List<String> machines);
   }
 
   /**
@@ -63,12 +63,16 @@
    * @param callsPerSecond rate limit of the cloud, which all controllers share
    */
   public CloudClient(
-      EventLoop loop, HttpClient web, String address, double callsPerSecond, int controllers) {
+      EventLoop loop,
+      HttpClient httpClient,
+      String address,
+      double callsPerSecond,
+      int controllerCount) {
     this.loop = loop;
-    this.web = web;
+    this.httpClient = httpClient;
     this.address = address;
-    this.rate =
-        new TokenBucket(loop, callsPerSecond * Math.min(1.0, RATE_OVERCOMMIT / controllers));
+    this.rateLimiter =
+        new TokenBucket(loop, callsPerSecond * Math.min(1.0, RATE_OVERCOMMIT / controllerCount));
   }
 
   /** The machine types on offer, at least one; empty: they could not be had. */
@@ -92,23 +96,24 @@
         Json.write(request),
         reply -> {
           Optional<List<String>> names =
-              read(reply, CloudMessages.Machines.class).map(CloudMessages.Machines::names);
+              read(reply, CloudMessages.InstanceNames.class)
+                  .map(CloudMessages.InstanceNames::names);
           if (names.isPresent()) {
-            done.done(CreateResult.GRANTED, names.get());
+            done.onResult(CreateResult.GRANTED, names.get());
           } else {
-            done.done(failure(reply), List.of());
+            done.onResult(createFailure(reply), List.of());
           }
         });
   }
 
-  private static CreateResult failure(ClientResponse reply) {
+  private static CreateResult createFailure(ClientResponse reply) {
     if (reply.status() == HttpStatus.BAD_REQUEST) {
       return CreateResult.MALFORMED;
     }
-    boolean lacks =
+    boolean noCapacity =
         reply.status() == HttpStatus.SERVICE_UNAVAILABLE
-            && new String(reply.body(), StandardCharsets.UTF_8).contains(NO_CAPACITY);
-    return lacks ? CreateResult.REFUSED : CreateResult.UNKNOWN;
+            && new String(reply.body(), StandardCharsets.UTF_8).contains(NO_CAPACITY_MARKER);
+    return noCapacity ? CreateResult.REFUSED : CreateResult.UNKNOWN;
   }
 
   /**
@@ -116,39 +121,40 @@
    * returned is asked again at the moment of sending: this process may have stood still meanwhile,
    * and another may use them.
    */
-  void returnInstances(
+  void terminateInstances(
       List<String> machines, BooleanSupplier stillAllowed, Consumer<ReturnResult> done) {
     call(
         "POST",
         "/hosts/return",
-        Json.write(new CloudMessages.Machines(machines)),
+        Json.write(new CloudMessages.InstanceNames(machines)),
         stillAllowed,
         reply -> done.accept(reply.ok() ? ReturnResult.CONFIRMED : ReturnResult.UNKNOWN));
   }
 
   /** All instances, by pages; empty: some page could not be had. */
-  void listInstances(Consumer<Optional<List<CloudMessages.Listed>>> done) {
+  void listInstances(Consumer<Optional<List<CloudMessages.Instance>>> done) {
     listPage(null, new ArrayList<>(), done);
   }
 
   private void listPage(
       String afterName,
-      List<CloudMessages.Listed> listed,
-      Consumer<Optional<List<CloudMessages.Listed>>> done) {
+      List<CloudMessages.Instance> listed,
+      Consumer<Optional<List<CloudMessages.Instance>>> done) {
     call(
         "GET",
-        "/hosts?limit=" + PAGE_SIZE + (afterName == null ? "" : "&from=" + afterName),
+        "/hosts?limit=" + MAX_PAGE_ENTRIES + (afterName == null ? "" : "&from=" + afterName),
         null,
         reply -> {
-          Optional<CloudMessages.Listing> listing =
-              read(reply, CloudMessages.Listing.class).filter(page -> page.machines() != null);
-          if (listing.isEmpty()) {
+          Optional<CloudMessages.InstancePage> instancePage =
+              read(reply, CloudMessages.InstancePage.class)
+                  .filter(page -> page.instances() != null);
+          if (instancePage.isEmpty()) {
             done.accept(Optional.empty());
             return;
           }
-          List<CloudMessages.Listed> page = listing.get().machines();
+          List<CloudMessages.Instance> page = instancePage.get().instances();
           listed.addAll(page);
-          if (listing.get().more() && !page.isEmpty()) {
+          if (instancePage.get().hasMore() && !page.isEmpty()) {
             listPage(page.get(page.size() - 1).name(), listed, done);
           } else {
             done.accept(Optional.of(listed));
@@ -170,7 +176,7 @@
       byte[] body,
       BooleanSupplier stillAllowed,
       Consumer<ClientResponse> done) {
-    queue.add(
+    queuedCalls.add(
         () -> {
           if (stillAllowed.getAsBoolean()) {
             send(method, path, body, done);
@@ -182,7 +188,7 @@
   }
 
   private void send(String method, String path, byte[] body, Consumer<ClientResponse> done) {
-    web.call(
+    httpClient.call(
         address,
         method,
         path,
@@ -190,21 +196,21 @@
         CALL_TIMEOUT_MS,
         reply -> {
           if (reply.status() == HttpStatus.TOO_MANY_REQUESTS) {
-            rate.slowDown();
+            rateLimiter.slowDown();
           }
           done.accept(reply);
         });
   }
 
   private void sendQueued() {
-    while (!queue.isEmpty()) {
-      long waitMs = rate.waitMs(1);
+    while (!queuedCalls.isEmpty()) {
+      long waitMs = rateLimiter.waitMs(1);
       if (waitMs > 0) {
         loop.after(waitMs, this::sendQueued);
         return;
       }
-      rate.take(1);
-      queue.poll().run();
+      rateLimiter.take(1);
+      queuedCalls.poll().run();
     }
   }
 }
--- a/src/main/java/dev/windbend/machine/CloudMessages.java
+++ b/src/main/java/dev/windbend/machine/CloudMessages.java
@@ -15,10 +15,10 @@
       @JsonProperty("cards") double gpus,
       @JsonProperty("ram_gb") double memoryGb,
       @JsonProperty("cache_gb") double cacheGb,
-      @JsonProperty("pull_gb_per_s") double fetchGbPerS,
-      @JsonProperty("rate") double price,
+      @JsonProperty("pull_gb_per_s") double fetchGbPerSecond,
+      @JsonProperty("rate") double onDemandPrice,
       @JsonProperty("low_price") double spotPrice,
-      @JsonProperty("ready_s") double bootS,
+      @JsonProperty("ready_s") double bootSeconds,
       @JsonProperty("yards") List<String> zones) {}
 
   record CreateInstances(
@@ -28,23 +28,24 @@
       @JsonProperty("standby") boolean spot,
       @JsonProperty("how_many") int count) {}
 
-  record Machines(@JsonProperty("trucks") List<String> names) {}
+  record InstanceNames(@JsonProperty("trucks") List<String> names) {}
 
-  record Listing(
-      @JsonProperty("trucks") List<Listed> machines, @JsonProperty("has_next") boolean more) {}
+  record InstancePage(
+      @JsonProperty("trucks") List<Instance> instances,
+      @JsonProperty("has_next") boolean hasMore) {}
 
-  record Listed(
+  record Instance(
       @JsonProperty("uid") String name,
       @JsonProperty("rig") String type,
       @JsonProperty("yard") String zone,
       @JsonProperty("standby") boolean spot,
       @JsonProperty("status") String status,
-      @JsonProperty("age_s") double ageS) {
+      @JsonProperty("age_s") double ageSeconds) {
     boolean failed() {
       return "failed".equals(status);
     }
 
-    OrphanedMachine orphaned() {
+    OrphanedMachine toOrphanedMachine() {
       return new OrphanedMachine(type, zone, spot);
     }
   }
--- a/src/main/java/dev/windbend/machine/CloudReconciliation.java
+++ b/src/main/java/dev/windbend/machine/CloudReconciliation.java
@@ -39,7 +39,7 @@
         });
   }
 
-  private void returnUnlistedInherited(List<CloudMessages.Listed> listed) {
+  private void returnUnlistedInherited(List<CloudMessages.Instance> listed) {
     Set<String> listedNames = new HashSet<>();
     listed.forEach(instance -> listedNames.add(instance.name()));
     for (Machine machine : List.copyOf(records.machines())) {
@@ -53,36 +53,39 @@
 
   /** See {@link Fleet#reconcileWithCloud}. */
   void reconcile(
-      long orphanedAfterMs, Predicate<String> known, BiConsumer<String, OrphanedMachine> found) {
+      long orphanedAfterMs,
+      Predicate<String> isKnown,
+      BiConsumer<String, OrphanedMachine> onOrphaned) {
     cloud.listInstances(
         listed -> {
           if (!closed) {
-            listed.ifPresent(instances -> reconcile(instances, orphanedAfterMs, known, found));
+            listed.ifPresent(
+                instances -> reconcile(instances, orphanedAfterMs, isKnown, onOrphaned));
           }
         });
   }
 
   private void reconcile(
-      List<CloudMessages.Listed> listed,
+      List<CloudMessages.Instance> listed,
       long orphanedAfterMs,
-      Predicate<String> known,
-      BiConsumer<String, OrphanedMachine> found) {
-    Set<String> unknownNow = new HashSet<>();
-    for (CloudMessages.Listed instance : listed) {
+      Predicate<String> isKnown,
+      BiConsumer<String, OrphanedMachine> onOrphaned) {
+    Set<String> stillUnknown = new HashSet<>();
+    for (CloudMessages.Instance instance : listed) {
       String name = instance.name();
       Machine machine = records.find(name);
       if (machine != null) {
         if (instance.failed()) {
           scaleIn.request(List.of(machine), "failed");
         }
-      } else if (!known.test(name)) {
-        unknownNow.add(name);
+      } else if (!isKnown.test(name)) {
+        stillUnknown.add(name);
         long sinceMs = unknownSinceMs.computeIfAbsent(name, key -> loop.nowMs());
         if (loop.nowMs() - sinceMs >= orphanedAfterMs) {
-          found.accept(name, instance.orphaned());
+          onOrphaned.accept(name, instance.toOrphanedMachine());
         }
       }
     }
-    unknownSinceMs.keySet().retainAll(unknownNow);
+    unknownSinceMs.keySet().retainAll(stillUnknown);
   }
 }
--- a/src/main/java/dev/windbend/machine/Fleet.java
+++ b/src/main/java/dev/windbend/machine/Fleet.java
@@ -26,7 +26,7 @@
     void recordChanged(PendingWrite record);
 
     /** The cloud has confirmed: the machine and all that was on it are gone. */
-    void machineGone(Machine machine);
+    void machineTerminated(Machine machine);
 
     /** New machines are on their way, or a scale-out request was refused. */
     void fleetChanged();
@@ -59,8 +59,9 @@
     this.listener = listener;
     RecordNames names = new RecordNames(shard, token);
     this.records = new FleetRecords(loop, catalog, shard, listener);
-    this.scaleOut = new ScaleOut(loop, cloud, catalog, records, names, listener, this::pursue);
-    this.scaleIn = new ScaleIn(loop, cloud, records, listener, this::pursue);
+    this.scaleOut =
+        new ScaleOut(loop, cloud, catalog, records, names, listener, this::processPending);
+    this.scaleIn = new ScaleIn(loop, cloud, records, listener, this::processPending);
     this.transfers = new TransferWriter(catalog, records, names, listener);
     this.reconciliation = new CloudReconciliation(loop, cloud, records, scaleIn);
   }
@@ -97,13 +98,13 @@
   }
 
   /** Not to be requested now: the cloud had not enough of them a moment ago. */
-  public boolean isRefused(int type, int zone, boolean spot) {
-    return scaleOut.isRefused(new InstanceKind(type, zone, spot));
+  public boolean recentlyRefused(int type, int zone, boolean spot) {
+    return scaleOut.recentlyRefused(new InstanceKind(type, zone, spot));
   }
 
   /** At least one kind of machine is not to be requested now. */
-  public boolean anyRefused() {
-    return scaleOut.anyRefused();
+  public boolean anyRecentlyRefused() {
+    return scaleOut.anyRecentlyRefused();
   }
 
   /** Machines requested and not granted yet. */
@@ -142,17 +143,17 @@
   }
 
   /** How many machines are being returned. */
-  public int returningCount() {
-    return scaleIn.returningCount();
+  public int terminatingCount() {
+    return scaleIn.terminatingCount();
   }
 
   /** Pursues what is under way: requests to send, machines to return. */
-  public void pursue() {
+  public void processPending() {
     if (closed || !listener.mayAct()) {
       return;
     }
-    scaleOut.pursue();
-    scaleIn.pursue();
+    scaleOut.sendPending();
+    scaleIn.sendNextBatch();
   }
 
   /**
@@ -169,11 +170,13 @@
    * knows. The list lags, so those must stay unknown for long.
    *
    * @param orphanedAfterMs how long a machine must have been unknown
-   * @param known whether some shard knows a machine
-   * @param found takes the orphaned machines
+   * @param isKnown whether some shard knows a machine
+   * @param onOrphaned takes the orphaned machines
    */
   public void reconcileWithCloud(
-      long orphanedAfterMs, Predicate<String> known, BiConsumer<String, OrphanedMachine> found) {
-    reconciliation.reconcile(orphanedAfterMs, known, found);
+      long orphanedAfterMs,
+      Predicate<String> isKnown,
+      BiConsumer<String, OrphanedMachine> onOrphaned) {
+    reconciliation.reconcile(orphanedAfterMs, isKnown, onOrphaned);
   }
 }
--- a/src/main/java/dev/windbend/machine/FleetRecords.java
+++ b/src/main/java/dev/windbend/machine/FleetRecords.java
@@ -21,7 +21,7 @@
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
   /** Fences of machines that left, so that an outdated record does not bring them back. */
-  private final Object2LongOpenHashMap<String> fencesOfFormer = new Object2LongOpenHashMap<>();
+  private final Object2LongOpenHashMap<String> formerMachineFences = new Object2LongOpenHashMap<>();
 
   FleetRecords(EventLoop loop, MachineTypeCatalog catalog, int shard, Fleet.Listener listener) {
     this.loop = loop;
@@ -50,34 +50,36 @@
       return;
     }
     ScaleOutRequest request = add(name, record, version);
-    if (request == null || record.open()) {
+    if (request == null || record.unanswered()) {
       return;
     }
     for (String machineName : record.machines()) {
-      if (index.names(request.key, machineName) && !leftSince(machineName, request.fence)) {
+      if (index.isCurrentRecord(request.key, machineName)
+          && !removedSince(machineName, request.fence)) {
         restoreMachine(machineName, request, inherited);
       }
     }
     if (request.machines.size() < record.machines().size()) {
-      request.changed(loop.nowMs(), false);
+      request.markChanged(loop.nowMs(), false);
       listener.recordChanged(request);
       finishEmptied();
     }
   }
 
   /** Whether it left this shard under this fence or a later one. */
-  private boolean leftSince(String machineName, long fence) {
-    return fencesOfFormer.containsKey(machineName) && fencesOfFormer.getLong(machineName) >= fence;
+  private boolean removedSince(String machineName, long fence) {
+    return formerMachineFences.containsKey(machineName)
+        && formerMachineFences.getLong(machineName) >= fence;
   }
 
   private void restoreMachine(String machineName, ScaleOutRequest request, boolean inherited) {
-    Machine former = machines.get(machineName);
-    if (former != null) {
-      remove(former);
+    Machine previous = machines.get(machineName);
+    if (previous != null) {
+      remove(previous);
     }
     Machine machine = addMachine(machineName, request, loop.nowMs());
-    machine.recordWritten();
-    machine.recordInherited(inherited);
+    machine.completeRecordWrite();
+    machine.setInherited(inherited);
   }
 
   /** A request as it is on record, or is to be (version 0); null: its type is not known. */
@@ -97,7 +99,7 @@
   /** Takes in the machines that the cloud granted, without those that are or were known. */
   void addGranted(ScaleOutRequest request, List<String> names) {
     for (String name : names) {
-      if (!machines.containsKey(name) && !fencesOfFormer.containsKey(name)) {
+      if (!machines.containsKey(name) && !formerMachineFences.containsKey(name)) {
         addMachine(name, request, request.requestedMs);
       }
     }
@@ -113,7 +115,7 @@
   /** The machine is no longer this shard's. */
   void remove(Machine machine) {
     if (machines.remove(machine.name(), machine)) {
-      fencesOfFormer.put(machine.name(), machine.request.fence);
+      formerMachineFences.put(machine.name(), machine.request.fence);
     }
     machine.request.remove(machine, loop.nowMs());
     listener.recordChanged(machine.request);
--- a/src/main/java/dev/windbend/machine/FreeCapacityWindow.java
+++ b/src/main/java/dev/windbend/machine/FreeCapacityWindow.java
@@ -2,27 +2,27 @@
 
 /** The least free cores of a machine in this window of time, and in the one before. */
 final class FreeCapacityWindow {
-  private double leastFreeCores;
-  private double leastFreeCoresBefore;
+  private double minFreeCores;
+  private double previousMinFreeCores;
 
   FreeCapacityWindow(double freeCores) {
-    this.leastFreeCores = freeCores;
-    this.leastFreeCoresBefore = freeCores;
+    this.minFreeCores = freeCores;
+    this.previousMinFreeCores = freeCores;
   }
 
   /** Begins a new window. */
-  void begin(double freeCores) {
-    leastFreeCoresBefore = leastFreeCores;
-    leastFreeCores = freeCores;
+  void beginWindow(double freeCores) {
+    previousMinFreeCores = minFreeCores;
+    minFreeCores = freeCores;
   }
 
   /** So many cores are free from now on. */
   void record(double freeCores) {
-    leastFreeCores = Math.min(leastFreeCores, freeCores);
+    minFreeCores = Math.min(minFreeCores, freeCores);
   }
 
   /** Cores that were free for a whole window at least. */
-  double steadilyFreeCores() {
-    return Math.min(leastFreeCoresBefore, leastFreeCores);
+  double sustainedFreeCores() {
+    return Math.min(previousMinFreeCores, minFreeCores);
   }
 }
--- a/src/main/java/dev/windbend/machine/HealthFindings.java
+++ b/src/main/java/dev/windbend/machine/HealthFindings.java
@@ -8,16 +8,16 @@
 /** What one look at all machines of a shard has found. */
 final class HealthFindings {
   /** One late heartbeat in a zone alone is no partition. */
-  private static final int MIN_MISSED_OF_PARTITION = 2;
+  private static final int MIN_MISSED_FOR_PARTITION = 2;
 
   /** So many machines of a partitioned zone are missed for each that is heard, at least. */
-  private static final int MISSED_PER_HEARD = 2;
+  private static final int MIN_MISSED_PER_RECEIVED = 2;
 
   /** If a larger part of the heard machines seems unresponsive, the fault is ours. */
-  private static final int MIN_HEARD_PER_UNRESPONSIVE = 3;
+  private static final int MIN_RECEIVED_PER_UNRESPONSIVE = 3;
 
   /** Machines that are to be returned whatever becomes of the others, in the fleet's order. */
-  final List<Departure> departures = new ArrayList<>();
+  final List<ScaleInCandidate> scaleInCandidates = new ArrayList<>();
 
   /** Empty machines that are promised to other shards, by shard. */
   final Map<Integer, List<Machine>> transfers = new TreeMap<>();
@@ -28,35 +28,36 @@
   /** Machines that show no effect of our responses. */
   final List<Machine> unresponsive = new ArrayList<>();
 
-  private final int[] heardByZone;
+  private final int[] receivedByZone;
   private final int[] missedByZone;
-  private int heard;
+  private int received;
 
   /** A machine that is to be returned. */
-  record Departure(Machine machine, String cause) {}
+  record ScaleInCandidate(Machine machine, String cause) {}
 
-  HealthFindings(int zones) {
-    this.heardByZone = new int[zones];
-    this.missedByZone = new int[zones];
+  HealthFindings(int zoneCount) {
+    this.receivedByZone = new int[zoneCount];
+    this.missedByZone = new int[zoneCount];
   }
 
-  void addHeartbeat(int zone, boolean missed) {
+  void recordHeartbeat(int zone, boolean missed) {
     if (missed) {
       missedByZone[zone]++;
     } else {
-      heardByZone[zone]++;
-      heard++;
+      receivedByZone[zone]++;
+      received++;
     }
   }
 
   /** Nearly all of a zone at once is a partition; a wave of machines taken back is less. */
-  boolean partitioned(int zone) {
-    return missedByZone[zone] >= MIN_MISSED_OF_PARTITION
-        && missedByZone[zone] > MISSED_PER_HEARD * heardByZone[zone];
+  boolean isPartitioned(int zone) {
+    return missedByZone[zone] >= MIN_MISSED_FOR_PARTITION
+        && missedByZone[zone] > MIN_MISSED_PER_RECEIVED * receivedByZone[zone];
   }
 
   /** Many at once: the fault is ours, as when this process is slow. */
-  boolean unresponsiveByOwnFault() {
-    return unresponsive.size() != 1 && MIN_HEARD_PER_UNRESPONSIVE * unresponsive.size() >= heard;
+  boolean unresponsiveDueToController() {
+    return unresponsive.size() != 1
+        && MIN_RECEIVED_PER_UNRESPONSIVE * unresponsive.size() >= received;
   }
 }
--- a/src/main/java/dev/windbend/machine/Machine.java
+++ b/src/main/java/dev/windbend/machine/Machine.java
@@ -27,18 +27,18 @@
  *     <td>that time</td></tr>
  *   <tr><td>zone closed</td><td>{@link #zoneClosed}</td><td>its zone being open for it</td></tr>
  *   <tr><td>cordoned</td><td>{@link #cordoned}</td><td>never</td></tr>
- *   <tr><td>recalled</td><td>{@link #recallMs} not -1; also cordoned</td><td>never</td></tr>
- *   <tr><td>promised</td><td>{@link #promisedTo} not -1; also cordoned</td><td>never</td></tr>
- *   <tr><td>evicting</td><td>{@link #evictByMs} not -1; also promised</td><td>never</td></tr>
- *   <tr><td>returning</td><td>{@link #returning}</td><td>never</td></tr>
- *   <tr><td>gone</td><td>{@link #gone}; also returning</td><td>never</td></tr>
+ *   <tr><td>recalled</td><td>{@link #recallAtMs} not -1; also cordoned</td><td>never</td></tr>
+ *   <tr><td>promised</td><td>{@link #reservedForShard} not -1; also cordoned</td><td>never</td></tr>
+ *   <tr><td>evicting</td><td>{@link #evictAtMs} not -1; also promised</td><td>never</td></tr>
+ *   <tr><td>returning</td><td>{@link #terminating}</td><td>never</td></tr>
+ *   <tr><td>gone</td><td>{@link #terminated}; also returning</td><td>never</td></tr>
  * </table>
  *
  * <p>It gets new tasks in none of them. {@link #usable} covers all but missed responses, which the
  * scheduling loop checks itself.
  */
 public final class Machine {
-  private static final double ROUNDING = 1e-6;
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private final String name;
   private final MachineType type;
@@ -47,7 +47,7 @@
   private final long requestedMs;
   private final WorkerLiveness liveness = new WorkerLiveness();
   private Service service = Service.IN_SERVICE;
-  private long recallMs = -1;
+  private long recallAtMs = -1;
   private boolean cordoned;
   private boolean zoneClosed;
   private final IntOpenHashSet images = new IntOpenHashSet();
@@ -56,28 +56,28 @@
   private long idleSinceMs;
   private long startsRefusedUntilMs;
   private boolean inherited;
-  private int promisedTo = -1;
-  private long evictByMs = -1;
+  private int reservedForShard = -1;
+  private long evictAtMs = -1;
 
   /** The record that names it. */
   final ScaleOutRequest request;
 
-  private boolean recordWriting;
+  private boolean recordWriteInProgress;
 
   private boolean recordWritten;
 
   /** On its way to another shard. */
-  private boolean transferred;
+  private boolean transferStarted;
 
-  private boolean used;
+  private boolean everUsed;
 
   private final FreeCapacityWindow freeCapacity;
 
   /** Whether it is used, or on its way back to the cloud; only moves on. */
   private enum Service {
     IN_SERVICE,
-    RETURNING,
-    GONE
+    TERMINATING,
+    TERMINATED
   }
 
   Machine(String name, ScaleOutRequest request, long requestedMs, long nowMs) {
@@ -132,13 +132,13 @@
   }
 
   /** When the cloud takes it away (steady clock, ms); -1: no notice. */
-  public long recallMs() {
-    return recallMs;
+  public long recallAtMs() {
+    return recallAtMs;
   }
 
   /** The cloud gives notice that it takes it away at this time (steady clock, ms). */
   public void recordRecall(long atMs) {
-    recallMs = atMs;
+    recallAtMs = atMs;
     cordoned = true;
   }
 
@@ -163,23 +163,23 @@
   }
 
   /** Being given back until the cloud confirms. */
-  public boolean returning() {
+  public boolean terminating() {
     return service != Service.IN_SERVICE;
   }
 
   /** From now on it is being given back to the cloud. */
-  void beginReturn() {
-    service = Service.RETURNING;
+  void beginTermination() {
+    service = Service.TERMINATING;
   }
 
   /** The cloud has confirmed that it is given back. */
-  public boolean gone() {
-    return service == Service.GONE;
+  public boolean terminated() {
+    return service == Service.TERMINATED;
   }
 
   /** The cloud confirms that it is given back. */
-  void recordGone() {
-    service = Service.GONE;
+  void recordTermination() {
+    service = Service.TERMINATED;
   }
 
   /** Images seen in use on it, by dense index. A view: only {@link #recordImage} changes it. */
@@ -201,8 +201,8 @@
   }
 
   /** How many of the jobs that failed on it, with no success since, are such. */
-  public long countFailedJobs(Predicate<String> suchUid) {
-    return failedJobs.stream().filter(suchUid).count();
+  public long countFailedJobs(Predicate<String> uidFilter) {
+    return failedJobs.stream().filter(uidFilter).count();
   }
 
   /** A task of this job failed on it. */
@@ -236,24 +236,24 @@
   }
 
   /** The shard that it goes to once it is empty; -1: it stays. */
-  public int promisedTo() {
-    return promisedTo;
+  public int reservedForShard() {
+    return reservedForShard;
   }
 
   /** It gets no new tasks, and goes to this shard once it is empty. */
-  public void promiseTo(int shard) {
-    promisedTo = shard;
+  public void reserveForShard(int shard) {
+    reservedForShard = shard;
     cordoned = true;
   }
 
   /** From when on its tasks are stopped (steady clock, ms); -1: they may end first. */
-  public long evictByMs() {
-    return evictByMs;
+  public long evictAtMs() {
+    return evictAtMs;
   }
 
   /** Tasks that are still on it from this time on are stopped (steady clock, ms). */
-  public void evictBy(long atMs) {
-    evictByMs = atMs;
+  public void evictAt(long atMs) {
+    evictAtMs = atMs;
   }
 
   /** Whether it was taken over from a former owner of the shard. */
@@ -262,8 +262,8 @@
   }
 
   /** Whether it comes with a record of a former owner of the shard. */
-  void recordInherited(boolean fromFormerOwner) {
-    inherited = fromFormerOwner;
+  void setInherited(boolean fromPreviousLeader) {
+    inherited = fromPreviousLeader;
   }
 
   /** Name of its zone. */
@@ -272,7 +272,7 @@
   }
 
   /** Came from another shard. */
-  public boolean received() {
+  public boolean receivedByTransfer() {
     return request.fence > 0;
   }
 
@@ -285,10 +285,10 @@
     return free;
   }
 
-  boolean hasRoomFor(double cores, double gpus, double memoryGb) {
-    double freeCores = type.cores() + ROUNDING;
-    double freeGpus = type.gpus() + ROUNDING;
-    double freeMemoryGb = type.memoryGb() + ROUNDING;
+  boolean hasCapacityFor(double cores, double gpus, double memoryGb) {
+    double freeCores = type.cores() + ROUNDING_TOLERANCE;
+    double freeGpus = type.gpus() + ROUNDING_TOLERANCE;
+    double freeMemoryGb = type.memoryGb() + ROUNDING_TOLERANCE;
     for (Placement p : tasks.values()) {
       freeCores -= p.job().spec().cores();
       freeGpus -= p.job().spec().gpus();
@@ -298,13 +298,13 @@
   }
 
   /** Begins a new window in which the least free room is noted. */
-  public void beginWindow() {
-    freeCapacity.begin(freeCores());
+  public void beginFreeCapacityWindow() {
+    freeCapacity.beginWindow(freeCores());
   }
 
   /** Cores that no task has used for a whole window at least. */
-  public double steadilyFreeCores() {
-    return freeCapacity.steadilyFreeCores();
+  public double sustainedFreeCores() {
+    return freeCapacity.sustainedFreeCores();
   }
 
   /**
@@ -316,29 +316,29 @@
   }
 
   /** A write of the record that names it is under way. */
-  boolean recordWriting() {
-    return recordWriting;
+  boolean recordWriteInProgress() {
+    return recordWriteInProgress;
   }
 
   /** A write of the record that names it begins. */
   void beginRecordWrite() {
-    recordWriting = true;
+    recordWriteInProgress = true;
   }
 
   /** The write of the record that names it failed. */
-  void abandonRecordWrite() {
-    recordWriting = false;
+  void recordWriteFailed() {
+    recordWriteInProgress = false;
   }
 
   /** The record that names it is stored. */
-  void recordWritten() {
-    recordWriting = false;
+  void completeRecordWrite() {
+    recordWriteInProgress = false;
     recordWritten = true;
   }
 
   /** It goes to another shard, and is used no more from now on. */
   void beginTransfer() {
-    transferred = true;
+    transferStarted = true;
   }
 
   /**
@@ -346,7 +346,7 @@
    * it, take its tasks for gone and start them twice.
    */
   public boolean recorded() {
-    return recordWritten && !transferred;
+    return recordWritten && !transferStarted;
   }
 
   /**
@@ -369,20 +369,20 @@
    * cloud could not grant it to them as what they need.
    */
   public boolean mayBeTransferred() {
-    return used || request.fence == 0;
+    return everUsed || request.fence == 0;
   }
 
   /** A task is placed on it. */
-  public void add(Placement p) {
-    used = true;
-    tasks.put(p.taskName(), p);
+  public void add(Placement placement) {
+    everUsed = true;
+    tasks.put(placement.taskName(), placement);
     freeCapacity.record(freeCores());
     idleSinceMs = -1;
   }
 
   /** The task is proved gone from it. */
-  public void remove(Placement p, long nowMs) {
-    tasks.remove(p.taskName(), p);
+  public void remove(Placement placement, long nowMs) {
+    tasks.remove(placement.taskName(), placement);
     if (tasks.isEmpty() && idleSinceMs < 0) {
       idleSinceMs = nowMs;
     }
--- a/src/main/java/dev/windbend/machine/MachineIndex.java
+++ b/src/main/java/dev/windbend/machine/MachineIndex.java
@@ -14,68 +14,69 @@
    * even so has it taken in as an orphaned machine, which is silent and is returned: some calls, no
    * harm.
    */
-  private static final int FORMER_KEPT = 20_000;
+  private static final int MAX_FORMER_MACHINES = 20_000;
 
-  private record Home(String key, int shard, long fence) {}
+  private record Assignment(String key, int shard, long fence) {}
 
-  private final Map<String, Home> homes = new HashMap<>();
-  private final Map<String, List<String>> listed = new HashMap<>();
+  private final Map<String, Assignment> assignments = new HashMap<>();
+  private final Map<String, List<String>> machinesByKey = new HashMap<>();
 
   /** Machines that were on record: late copies of their heartbeats do not bring them back. */
-  private final Map<String, Boolean> former =
+  private final Map<String, Boolean> formerMachines =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-          return size() > FORMER_KEPT;
+          return size() > MAX_FORMER_MACHINES;
         }
       };
 
   /** A record has changed; null: it is gone. */
-  public void changed(String key, VersionedValue now) {
-    if (!key.startsWith(ScaleOutRecord.KEYS)) {
+  public void recordChanged(String key, VersionedValue stored) {
+    if (!key.startsWith(ScaleOutRecord.KEY_PREFIX)) {
       return;
     }
-    ScaleOutRecord r = now == null ? null : Json.read(now.value(), ScaleOutRecord.class);
-    List<String> after = r == null || r.open() ? List.of() : r.machines();
-    for (String name : listed.getOrDefault(key, List.of())) {
-      Home h = homes.get(name);
-      if (h != null && h.key.equals(key) && !after.contains(name)) {
-        homes.remove(name);
-        former.put(name, true);
+    ScaleOutRecord record = stored == null ? null : Json.read(stored.value(), ScaleOutRecord.class);
+    List<String> namesAfter = record == null || record.unanswered() ? List.of() : record.machines();
+    for (String name : machinesByKey.getOrDefault(key, List.of())) {
+      Assignment h = assignments.get(name);
+      if (h != null && h.key.equals(key) && !namesAfter.contains(name)) {
+        assignments.remove(name);
+        formerMachines.put(name, true);
       }
     }
-    for (String name : after) {
-      Home h = new Home(key, ScaleOutRecord.shard(key), r.fence(now.version()));
-      homes.merge(name, h, (a, b) -> a.fence > b.fence ? a : b);
+    for (String name : namesAfter) {
+      Assignment h =
+          new Assignment(key, ScaleOutRecord.shardOf(key), record.effectiveFence(stored.version()));
+      assignments.merge(name, h, (a, b) -> a.fence > b.fence ? a : b);
     }
-    if (after.isEmpty()) {
-      listed.remove(key);
+    if (namesAfter.isEmpty()) {
+      machinesByKey.remove(key);
     } else {
-      listed.put(key, after);
+      machinesByKey.put(key, namesAfter);
     }
   }
 
   /** The shard that the machine belongs to; -1: none. */
   public int shardOf(String machine) {
-    Home h = homes.get(machine);
-    return h == null ? -1 : h.shard;
+    Assignment assignment = assignments.get(machine);
+    return assignment == null ? -1 : assignment.shard;
   }
 
   /** Whether the machine belongs to some shard. */
-  public boolean knows(String machine) {
-    return homes.containsKey(machine);
+  public boolean contains(String machine) {
+    return assignments.containsKey(machine);
   }
 
   /** Of all records that name the machine, this one counts. */
-  boolean names(String key, String machine) {
-    Home h = homes.get(machine);
-    return h != null && h.key.equals(key);
+  boolean isCurrentRecord(String key, String machine) {
+    Assignment assignment = assignments.get(machine);
+    return assignment != null && assignment.key.equals(key);
   }
 
   /** Whether the machine belonged to some shard, and to none now. */
-  public boolean knew(String machine) {
-    return former.containsKey(machine);
+  public boolean isFormer(String machine) {
+    return formerMachines.containsKey(machine);
   }
 }
--- a/src/main/java/dev/windbend/machine/MachineMessages.java
+++ b/src/main/java/dev/windbend/machine/MachineMessages.java
@@ -31,8 +31,8 @@
     }
 
     /** Whether the task may run on the machine beside the tasks that are there now. */
-    public boolean hasRoomOn(Machine machine) {
-      return allows(machine) && machine.hasRoomFor(cores, gpus, memoryGb);
+    public boolean hasCapacityOn(Machine machine) {
+      return allows(machine) && machine.hasCapacityFor(cores, gpus, memoryGb);
     }
   }
 }
--- a/src/main/java/dev/windbend/machine/MachineType.java
+++ b/src/main/java/dev/windbend/machine/MachineType.java
@@ -5,34 +5,40 @@
  *
  * @param index dense index
  * @param zones dense indexes of the zones that have it
- * @param bootS how long a machine of it takes to boot (seconds)
+ * @param bootSeconds how long a machine of it takes to boot (seconds)
  */
 public record MachineType(
-    int index, String name, Size size, ImageCache cache, Prices prices, double bootS, int[] zones) {
-  private static final double ROUNDING = 1e-9;
+    int index,
+    String name,
+    Resources resources,
+    ImageCache cache,
+    Prices prices,
+    double bootSeconds,
+    int[] zones) {
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   /** What a machine has for tasks. */
-  record Size(double cores, double gpus, double memoryGb) {}
+  record Resources(double cores, double gpus, double memoryGb) {}
 
   /** What a machine keeps of images, and how fast it fetches them. */
-  record ImageCache(double sizeGb, double fetchGbPerS) {}
+  record ImageCache(double sizeGb, double fetchGbPerSecond) {}
 
   /** Prices of an hour; they change with time. */
-  record Prices(double regular, double spot) {}
+  record Prices(double onDemand, double spot) {}
 
   /** Cores of a machine. */
   public double cores() {
-    return size.cores();
+    return resources.cores();
   }
 
   /** GPUs of a machine. */
   public double gpus() {
-    return size.gpus();
+    return resources.gpus();
   }
 
   /** Memory of a machine (GB). */
   public double memoryGb() {
-    return size.memoryGb();
+    return resources.memoryGb();
   }
 
   /** Space for images on a machine (GB). */
@@ -41,13 +47,13 @@
   }
 
   /** How fast a machine fetches images (GB a second). */
-  public double fetchGbPerS() {
-    return cache.fetchGbPerS();
+  public double fetchGbPerSecond() {
+    return cache.fetchGbPerSecond();
   }
 
   /** Price of an hour of a machine that is no spot instance. */
-  public double price() {
-    return prices.regular();
+  public double onDemandPrice() {
+    return prices.onDemand();
   }
 
   /** Price of an hour of a spot instance. */
@@ -56,9 +62,9 @@
   }
 
   /** Whether the zone with this index has it. */
-  public boolean in(int zone) {
-    for (int offering : zones) {
-      if (offering == zone) {
+  public boolean isOfferedIn(int zone) {
+    for (int offeringZone : zones) {
+      if (offeringZone == zone) {
         return true;
       }
     }
@@ -67,8 +73,8 @@
 
   /** Whether an empty machine has room for so much. */
   public boolean fits(double cores, double gpus, double memoryGb) {
-    return cores <= size.cores() + ROUNDING
-        && gpus <= size.gpus() + ROUNDING
-        && memoryGb <= size.memoryGb() + ROUNDING;
+    return cores <= resources.cores() + ROUNDING_TOLERANCE
+        && gpus <= resources.gpus() + ROUNDING_TOLERANCE
+        && memoryGb <= resources.memoryGb() + ROUNDING_TOLERANCE;
   }
 }
--- a/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
+++ b/src/main/java/dev/windbend/machine/MachineTypeCatalog.java
@@ -7,8 +7,8 @@
 
 /** The machine types on offer at present prices, by dense index. */
 public final class MachineTypeCatalog {
-  private static final long REFRESH_MS = 30_000;
-  private static final long RETRY_MS = 1_000;
+  private static final long REFRESH_INTERVAL_MS = 30_000;
+  private static final long RETRY_DELAY_MS = 1_000;
 
   private final NameIndex zones = new NameIndex();
   private final NameIndex typeNames = new NameIndex();
@@ -33,31 +33,34 @@
     cloud.listTypes(
         types -> {
           types.ifPresent(listed -> listed.forEach(this::update));
-          loop.after(types.isPresent() ? REFRESH_MS : RETRY_MS, this::start);
+          loop.after(types.isPresent() ? REFRESH_INTERVAL_MS : RETRY_DELAY_MS, this::start);
         });
   }
 
-  void update(CloudMessages.Type t) {
-    int i = typeNames.index(t.name());
-    int[] at = t.zones() == null ? new int[0] : t.zones().stream().mapToInt(zones::index).toArray();
+  void update(CloudMessages.Type listed) {
+    int index = typeNames.index(listed.name());
+    int[] zoneIndexes =
+        listed.zones() == null
+            ? new int[0]
+            : listed.zones().stream().mapToInt(zones::index).toArray();
     MachineType type =
         new MachineType(
-            i,
-            t.name(),
-            new MachineType.Size(t.cores(), t.gpus(), t.memoryGb()),
-            new MachineType.ImageCache(t.cacheGb(), t.fetchGbPerS()),
-            new MachineType.Prices(t.price(), t.spotPrice()),
-            t.bootS(),
-            at);
-    if (i < types.size()) {
-      types.set(i, type);
+            index,
+            listed.name(),
+            new MachineType.Resources(listed.cores(), listed.gpus(), listed.memoryGb()),
+            new MachineType.ImageCache(listed.cacheGb(), listed.fetchGbPerSecond()),
+            new MachineType.Prices(listed.onDemandPrice(), listed.spotPrice()),
+            listed.bootSeconds(),
+            zoneIndexes);
+    if (index < types.size()) {
+      types.set(index, type);
     } else {
       types.add(type);
     }
   }
 
   /** Whether the types have been read. */
-  public boolean known() {
+  public boolean isLoaded() {
     return !types.isEmpty();
   }
 
@@ -73,12 +76,12 @@
 
   /** Null if there is no such type. */
   public MachineType find(String name) {
-    int i = typeNames.find(name);
-    return i < 0 ? null : types.get(i);
+    int index = typeNames.find(name);
+    return index < 0 ? null : types.get(index);
   }
 
   /** The cores of the largest type; 1 before the types are known. */
-  public double largestCores() {
+  public double maxCores() {
     return all().stream().mapToDouble(MachineType::cores).max().orElse(1);
   }
 }
--- a/src/main/java/dev/windbend/machine/OrphanedMachine.java
+++ b/src/main/java/dev/windbend/machine/OrphanedMachine.java
@@ -4,7 +4,7 @@
 public record OrphanedMachine(String type, String zone, boolean spot) {
   /** Whether the request, which has no answer yet, may have brought it. */
   boolean mayBelongTo(ScaleOutRecord request) {
-    return request.open()
+    return request.unanswered()
         && request.spot() == spot
         && request.type().equals(type)
         && request.zone().equals(zone);
--- a/src/main/java/dev/windbend/machine/OrphanedMachines.java
+++ b/src/main/java/dev/windbend/machine/OrphanedMachines.java
@@ -19,12 +19,12 @@
  */
 public final class OrphanedMachines {
   private static final long SEARCH_DELAY_MS = 1_000;
-  private static final int MAX_CANDIDATES = 150;
+  private static final int MAX_CANDIDATES_PER_SEARCH = 150;
 
   private final EventLoop loop;
   private final StoreClient store;
   private final Fleet fleet;
-  private final int shards;
+  private final int shardCount;
   private final Map<String, OrphanedMachine> candidates = new LinkedHashMap<>();
 
   /**
@@ -38,11 +38,11 @@
   private int nextShard;
 
   /** Adopts through this fleet, for all shards in turn. */
-  public OrphanedMachines(EventLoop loop, StoreClient store, Fleet fleet, int shards) {
+  public OrphanedMachines(EventLoop loop, StoreClient store, Fleet fleet, int shardCount) {
     this.loop = loop;
     this.store = store;
     this.fleet = fleet;
-    this.shards = shards;
+    this.shardCount = shardCount;
   }
 
   /** Adopts no more. */
@@ -52,7 +52,7 @@
 
   /** A machine that seems to be on no record; a search of the records follows. */
   public void addCandidate(String machine, OrphanedMachine orphaned) {
-    if (candidates.size() < MAX_CANDIDATES && !adopted.contains(machine)) {
+    if (candidates.size() < MAX_CANDIDATES_PER_SEARCH && !adopted.contains(machine)) {
       candidates.put(machine, orphaned);
     }
     if (!searching && !closed && !candidates.isEmpty()) {
@@ -70,13 +70,14 @@
   /**
    * Reads the records from this key on.
    *
-   * @param open candidates that no request without an answer may have brought
+   * @param remaining candidates that no request without an answer may have brought
    * @param recorded names on the records read so far
    */
-  private void searchPage(String from, Map<String, OrphanedMachine> open, Set<String> recorded) {
+  private void searchPage(
+      String startAfter, Map<String, OrphanedMachine> remaining, Set<String> recorded) {
     store.list(
-        ScaleOutRecord.KEYS,
-        from,
+        ScaleOutRecord.KEY_PREFIX,
+        startAfter,
         page -> {
           if (closed) {
             return;
@@ -85,28 +86,28 @@
             searching = false;
             return;
           }
-          page.items().forEach(item -> exclude(item, open, recorded));
+          page.items().forEach(item -> exclude(item, remaining, recorded));
           String next = page.nextStartAfter();
           if (next != null) {
-            searchPage(next, open, recorded);
+            searchPage(next, remaining, recorded);
             return;
           }
           searching = false;
-          open.keySet().removeAll(recorded);
-          open.keySet().removeAll(adopted);
-          adopted.addAll(open.keySet());
-          distribute(open);
+          remaining.keySet().removeAll(recorded);
+          remaining.keySet().removeAll(adopted);
+          adopted.addAll(remaining.keySet());
+          distribute(remaining);
         });
   }
 
   private static void exclude(
-      KeyValue item, Map<String, OrphanedMachine> open, Set<String> recorded) {
+      KeyValue item, Map<String, OrphanedMachine> remaining, Set<String> recorded) {
     ScaleOutRecord record = Json.read(item.value(), ScaleOutRecord.class);
     if (record == null) {
       return;
     }
-    if (record.open()) {
-      open.values().removeIf(orphaned -> orphaned.mayBelongTo(record));
+    if (record.unanswered()) {
+      remaining.values().removeIf(orphaned -> orphaned.mayBelongTo(record));
     } else {
       recorded.addAll(record.machines());
     }
@@ -114,16 +115,16 @@
 
   private void distribute(Map<String, OrphanedMachine> orphaned) {
     List<Map<OrphanedMachine, List<String>>> byShard = new ArrayList<>();
-    for (int shard = 0; shard < shards; shard++) {
+    for (int shard = 0; shard < shardCount; shard++) {
       byShard.add(new LinkedHashMap<>());
     }
     orphaned.forEach(
         (name, kind) ->
             byShard
-                .get(nextShard++ % shards)
+                .get(nextShard++ % shardCount)
                 .computeIfAbsent(kind, key -> new ArrayList<>())
                 .add(name));
-    for (int shard = 0; shard < shards; shard++) {
+    for (int shard = 0; shard < shardCount; shard++) {
       int toShard = shard;
       byShard.get(shard).forEach((kind, names) -> fleet.adopt(kind, names, toShard));
     }
--- a/src/main/java/dev/windbend/machine/RecordNames.java
+++ b/src/main/java/dev/windbend/machine/RecordNames.java
@@ -21,7 +21,7 @@
 
   /** Key of the next transfer to a shard. */
   String nextTransferKey(int toShard) {
-    return ScaleOutRecord.prefix(toShard) + "g" + nextSuffix();
+    return ScaleOutRecord.shardPrefix(toShard) + "g" + nextSuffix();
   }
 
   private String nextSuffix() {
--- a/src/main/java/dev/windbend/machine/ScaleIn.java
+++ b/src/main/java/dev/windbend/machine/ScaleIn.java
@@ -10,15 +10,15 @@
 /** Returns machines to the cloud, in batches one after the other, until it has confirmed. */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
-  private static final int BATCH_SIZE = 100;
-  private static final long RETRY_MS = 1_500;
+  private static final int MAX_BATCH_SIZE = 100;
+  private static final long RETRY_DELAY_MS = 1_500;
 
   private final EventLoop loop;
   private final CloudClient cloud;
   private final FleetRecords records;
   private final Fleet.Listener listener;
-  private final Runnable pursue;
-  private final Set<Machine> returning = new LinkedHashSet<>();
+  private final Runnable processPending;
+  private final Set<Machine> terminating = new LinkedHashSet<>();
   private boolean callInProgress;
   private boolean closed;
 
@@ -28,46 +28,46 @@
       CloudClient cloud,
       FleetRecords records,
       Fleet.Listener listener,
-      Runnable pursue) {
+      Runnable processPending) {
     this.loop = loop;
     this.cloud = cloud;
     this.records = records;
     this.listener = listener;
-    this.pursue = pursue;
+    this.processPending = processPending;
   }
 
   void close() {
     closed = true;
   }
 
-  int returningCount() {
-    return returning.size();
+  int terminatingCount() {
+    return terminating.size();
   }
 
   /** Returns machines in this order, in as few calls as there can be. */
   void request(List<Machine> machines, String cause) {
-    boolean any = false;
+    boolean anyAdded = false;
     for (Machine machine : machines) {
-      if (!machine.returning() && !machine.gone()) {
+      if (!machine.terminating() && !machine.terminated()) {
         LOG.info("scale-in requested: machine={} cause={}", machine.name(), cause);
-        machine.beginReturn();
-        returning.add(machine);
-        any = true;
+        machine.beginTermination();
+        terminating.add(machine);
+        anyAdded = true;
       }
     }
-    if (any) {
-      pursue.run();
+    if (anyAdded) {
+      processPending.run();
     }
   }
 
   /** Calls the cloud for the next batch, unless a call is in progress. */
-  void pursue() {
-    if (callInProgress || returning.isEmpty()) {
+  void sendNextBatch() {
+    if (callInProgress || terminating.isEmpty()) {
       return;
     }
-    List<Machine> batch = returning.stream().limit(BATCH_SIZE).toList();
+    List<Machine> batch = terminating.stream().limit(MAX_BATCH_SIZE).toList();
     callInProgress = true;
-    cloud.returnInstances(
+    cloud.terminateInstances(
         batch.stream().map(Machine::name).toList(),
         () -> !closed && listener.mayAct(),
         result -> {
@@ -81,23 +81,23 @@
     switch (result) {
       case CONFIRMED -> {
         callInProgress = false;
-        batch.forEach(this::recordReturned);
-        pursue.run();
+        batch.forEach(this::recordTermination);
+        processPending.run();
       }
       case UNKNOWN ->
           loop.after(
-              RETRY_MS,
+              RETRY_DELAY_MS,
               () -> {
                 callInProgress = false;
-                pursue.run();
+                processPending.run();
               });
     }
   }
 
-  private void recordReturned(Machine machine) {
-    returning.remove(machine);
-    machine.recordGone();
+  private void recordTermination(Machine machine) {
+    terminating.remove(machine);
+    machine.recordTermination();
     records.remove(machine);
-    listener.machineGone(machine);
+    listener.machineTerminated(machine);
   }
 }
--- a/src/main/java/dev/windbend/machine/ScaleOut.java
+++ b/src/main/java/dev/windbend/machine/ScaleOut.java
@@ -13,12 +13,12 @@
 /** Requests machines of the cloud, each time until it has surely answered. */
 final class ScaleOut {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
-  private static final int BATCH_SIZE = 50;
+  private static final int MAX_BATCH_SIZE = 50;
 
   /** How long a kind is not requested after the cloud had not enough of it. */
   private static final long REFUSED_BACKOFF_MS = 8_000;
 
-  private static final long RETRY_MS = 1_500;
+  private static final long RETRY_DELAY_MS = 1_500;
 
   private final EventLoop loop;
   private final CloudClient cloud;
@@ -26,12 +26,12 @@
   private final FleetRecords records;
   private final RecordNames names;
   private final Fleet.Listener listener;
-  private final Runnable pursue;
+  private final Runnable processPending;
   private final Object2LongOpenHashMap<InstanceKind> refusedUntilMs =
       new Object2LongOpenHashMap<>();
 
   /** Kinds that were refused, and not granted in full since. */
-  private final Set<InstanceKind> scarce = new HashSet<>();
+  private final Set<InstanceKind> scarceKinds = new HashSet<>();
 
   private boolean closed;
 
@@ -43,25 +43,25 @@
       FleetRecords records,
       RecordNames names,
       Fleet.Listener listener,
-      Runnable pursue) {
+      Runnable processPending) {
     this.loop = loop;
     this.cloud = cloud;
     this.catalog = catalog;
     this.records = records;
     this.names = names;
     this.listener = listener;
-    this.pursue = pursue;
+    this.processPending = processPending;
   }
 
   void close() {
     closed = true;
   }
 
-  boolean isRefused(InstanceKind kind) {
+  boolean recentlyRefused(InstanceKind kind) {
     return refusedUntilMs.getLong(kind) > loop.nowMs();
   }
 
-  boolean anyRefused() {
+  boolean anyRecentlyRefused() {
     long nowMs = loop.nowMs();
     return refusedUntilMs.values().longStream().anyMatch(untilMs -> untilMs > nowMs);
   }
@@ -88,10 +88,10 @@
    * lacked again and again would use up the changes that submissions and starts need.
    */
   void request(MachineType type, int zone, boolean spot, int count) {
-    boolean probe = scarce.contains(new InstanceKind(type.index(), zone, spot));
-    int total = probe ? Math.min(count, BATCH_SIZE) : count;
-    for (int left = total; left > 0; left -= BATCH_SIZE) {
-      requestBatch(type, zone, spot, Math.min(left, BATCH_SIZE));
+    boolean probe = scarceKinds.contains(new InstanceKind(type.index(), zone, spot));
+    int total = probe ? Math.min(count, MAX_BATCH_SIZE) : count;
+    for (int remaining = total; remaining > 0; remaining -= MAX_BATCH_SIZE) {
+      requestBatch(type, zone, spot, Math.min(remaining, MAX_BATCH_SIZE));
     }
   }
 
@@ -111,12 +111,12 @@
   }
 
   /** Calls the cloud for requests that are on record and have no answer. */
-  void pursue() {
+  void sendPending() {
     for (ScaleOutRequest request : List.copyOf(records.requests())) {
       if (request.answered || !request.recorded() || request.callInProgress) {
         continue;
       }
-      if (!request.sent && isRefused(InstanceKind.of(request))) {
+      if (!request.sent && recentlyRefused(InstanceKind.of(request))) {
         // A moment ago there were none of its kind; never sent, so nothing can come of it.
         records.finish(request);
       } else {
@@ -161,7 +161,7 @@
     if (machineNames.size() < request.record.count()) {
       backOff(request);
     } else {
-      scarce.remove(InstanceKind.of(request));
+      scarceKinds.remove(InstanceKind.of(request));
     }
     records.finishEmptied();
     listener.fleetChanged();
@@ -170,16 +170,16 @@
   /** It may have been carried out: the same name again, until there is an answer. */
   private void retryLater(ScaleOutRequest request) {
     loop.after(
-        RETRY_MS,
+        RETRY_DELAY_MS,
         () -> {
           request.callInProgress = false;
-          pursue.run();
+          processPending.run();
         });
   }
 
   private void backOff(ScaleOutRequest request) {
     InstanceKind kind = InstanceKind.of(request);
-    scarce.add(kind);
+    scarceKinds.add(kind);
     refusedUntilMs.put(kind, loop.nowMs() + REFUSED_BACKOFF_MS);
   }
 }
--- a/src/main/java/dev/windbend/machine/ScaleOutRecord.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRecord.java
@@ -20,29 +20,29 @@
     @JsonProperty("machines") List<String> machines,
     @JsonProperty("fence") Long fence) {
   /** Below it: shard, then the name. */
-  public static final String KEYS = "w/h/";
+  public static final String KEY_PREFIX = "w/h/";
 
   /** What the keys of a shard's records begin with. */
-  public static String prefix(int shard) {
-    return KEYS + shard + "/";
+  public static String shardPrefix(int shard) {
+    return KEY_PREFIX + shard + "/";
   }
 
   /** The shard of a key, -1 if it has none. */
-  static int shard(String key) {
-    int end = key.indexOf('/', KEYS.length());
+  static int shardOf(String key) {
+    int end = key.indexOf('/', KEY_PREFIX.length());
     try {
-      return end < 0 ? -1 : Integer.parseInt(key.substring(KEYS.length(), end));
+      return end < 0 ? -1 : Integer.parseInt(key.substring(KEY_PREFIX.length(), end));
     } catch (NumberFormatException e) {
       return -1;
     }
   }
 
   /** The cloud has not answered the request yet. */
-  public boolean open() {
+  public boolean unanswered() {
     return machines == null;
   }
 
-  long fence(long version) {
+  long effectiveFence(long version) {
     return fence == null ? 0 : fence > 0 ? fence : version;
   }
 }
