--- a/src/main/java/dev/windbend/machine/ScaleOutRequest.java
+++ b/src/main/java/dev/windbend/machine/ScaleOutRequest.java
@@ -42,13 +42,13 @@
   private long changeCount;
 
   /** How many of the changes are stored. */
-  private long writtenCount;
+  private long storedCount;
 
   /** How many of the changes are in the write under way; -1: there is none. */
-  private long writingCount = -1;
+  private long inFlightCount = -1;
 
   /** When the oldest change that is not written was made (steady clock). */
-  private long unwrittenSinceMs;
+  private long unstoredSinceMs;
 
   private boolean urgent;
 
@@ -65,27 +65,27 @@
       long version,
       long nowMs) {
     this.name = name;
-    this.key = ScaleOutRecord.prefix(shard) + name;
+    this.key = ScaleOutRecord.shardPrefix(shard) + name;
     this.record = record;
     this.type = type;
     this.zone = zone;
     this.version = version;
-    this.fence = record.fence(version);
+    this.fence = record.effectiveFence(version);
     this.requestedMs = nowMs;
-    this.answered = !record.open();
+    this.answered = !record.unanswered();
     this.sent = version > 0;
     if (version == 0) {
-      changed(nowMs, true);
+      markChanged(nowMs, true);
     }
   }
 
   /** The record differs from what is stored. */
-  void changed(long nowMs, boolean soon) {
-    if (changeCount == writtenCount) {
-      unwrittenSinceMs = nowMs;
+  void markChanged(long nowMs, boolean changeUrgent) {
+    if (changeCount == storedCount) {
+      unstoredSinceMs = nowMs;
     }
     changeCount++;
-    urgent |= soon;
+    urgent |= changeUrgent;
   }
 
   /** Some version of it is stored. */
@@ -96,13 +96,13 @@
   /** The cloud has answered; the machines may be used once this is written. */
   void recordAnswer(long nowMs) {
     answered = true;
-    changed(nowMs, true);
+    markChanged(nowMs, true);
   }
 
   /** Returned, or another shard's: the record may name it a while longer. */
   void remove(Machine machine, long nowMs) {
     if (machines.remove(machine)) {
-      changed(nowMs, false);
+      markChanged(nowMs, false);
     }
   }
 
@@ -110,17 +110,17 @@
   void finish(long nowMs) {
     finished = true;
     // While it stands without an answer, nobody may adopt a machine of its kind.
-    changed(nowMs, !answered);
+    markChanged(nowMs, !answered);
   }
 
   @Override
   public boolean dirty() {
-    return writingCount < 0 && !deleted && changeCount > writtenCount;
+    return inFlightCount < 0 && !deleted && changeCount > storedCount;
   }
 
   @Override
   public boolean urgent(long nowMs) {
-    return urgent || nowMs - unwrittenSinceMs >= MAX_WRITE_DELAY_MS;
+    return urgent || nowMs - unstoredSinceMs >= MAX_WRITE_DELAY_MS;
   }
 
   @Override
@@ -129,15 +129,15 @@
   }
 
   @Override
-  public void addTo(TransactionBuilder draft) {
-    writingCount = changeCount;
+  public void addTo(TransactionBuilder transaction) {
+    inFlightCount = changeCount;
     urgent = false;
-    draft.ifVersion(key, version);
+    transaction.ifVersion(key, version);
     if (finished) {
-      draft.delete(key);
+      transaction.delete(key);
     } else {
       List<String> names = answered ? machines.stream().map(Machine::name).toList() : null;
-      draft.put(
+      transaction.put(
           key,
           new ScaleOutRecord(
               record.type(),
@@ -153,27 +153,27 @@
   @Override
   public void onApplied(long revision) {
     version = revision;
-    writtenCount = writingCount;
-    writingCount = -1;
+    storedCount = inFlightCount;
+    inFlightCount = -1;
     deleted = finished;
     for (Machine machine : machines) {
-      if (machine.recordWriting()) {
-        machine.recordWritten();
+      if (machine.recordWriteInProgress()) {
+        machine.completeRecordWrite();
       }
     }
   }
 
   @Override
   public void onNotApplied() {
-    writingCount = -1;
+    inFlightCount = -1;
     urgent = true;
-    machines.forEach(machine -> machine.abandonRecordWrite());
+    machines.forEach(machine -> machine.recordWriteFailed());
   }
 
   @Override
-  public void onConflict(String changedKey, VersionedValue now) {
-    version = now == null ? 0 : now.version();
-    deleted = finished && now == null;
+  public void onConflict(String changedKey, VersionedValue stored) {
+    version = stored == null ? 0 : stored.version();
+    deleted = finished && stored == null;
   }
 
   @Override
--- a/src/main/java/dev/windbend/machine/TransferRecord.java
+++ b/src/main/java/dev/windbend/machine/TransferRecord.java
@@ -10,13 +10,13 @@
  */
 final class TransferRecord extends RecordWrite {
   private final ScaleOutRecord record;
-  private final Runnable done;
+  private final Runnable onWritten;
   private boolean written;
 
-  TransferRecord(String key, ScaleOutRecord record, Runnable done) {
+  TransferRecord(String key, ScaleOutRecord record, Runnable onWritten) {
     super(key);
     this.record = record;
-    this.done = done;
+    this.onWritten = onWritten;
   }
 
   @Override
@@ -25,9 +25,9 @@
   }
 
   @Override
-  protected void addChange(TransactionBuilder draft) {
-    draft.ifAbsent(key);
-    draft.put(key, record);
+  protected void addChange(TransactionBuilder transaction) {
+    transaction.ifAbsent(key);
+    transaction.put(key, record);
   }
 
   @Override
@@ -38,13 +38,13 @@
   private void finish() {
     if (!written) {
       written = true;
-      done.run();
+      onWritten.run();
     }
   }
 
   @Override
-  public void onConflict(String changedKey, VersionedValue now) {
-    if (now != null) {
+  public void onConflict(String changedKey, VersionedValue stored) {
+    if (stored != null) {
       // Applied by a write of ours whose answer was lost.
       finish();
     }
--- a/src/main/java/dev/windbend/machine/TransferWriter.java
+++ b/src/main/java/dev/windbend/machine/TransferWriter.java
@@ -11,7 +11,7 @@
 /** Writes the records by which machines get to a shard from another, or from no shard. */
 final class TransferWriter {
   private static final Logger LOG = LoggerFactory.getLogger(TransferWriter.class);
-  private static final int BATCH_SIZE = 50;
+  private static final int MAX_BATCH_SIZE = 50;
 
   private final MachineTypeCatalog catalog;
   private final FleetRecords records;
@@ -43,8 +43,8 @@
       byKind.computeIfAbsent(InstanceKind.of(machine), kind -> new ArrayList<>()).add(machine);
     }
     for (List<Machine> group : byKind.values()) {
-      for (int from = 0; from < group.size(); from += BATCH_SIZE) {
-        int to = Math.min(group.size(), from + BATCH_SIZE);
+      for (int from = 0; from < group.size(); from += MAX_BATCH_SIZE) {
+        int to = Math.min(group.size(), from + MAX_BATCH_SIZE);
         transferBatch(List.copyOf(group.subList(from, to)), toShard);
       }
     }
@@ -69,8 +69,8 @@
       boolean spot,
       List<String> machineNames,
       int toShard,
-      Runnable written) {
+      Runnable onWritten) {
     ScaleOutRecord record = new ScaleOutRecord(type, zone, spot, 0, machineNames, 0L);
-    listener.recordChanged(new TransferRecord(names.nextTransferKey(toShard), record, written));
+    listener.recordChanged(new TransferRecord(names.nextTransferKey(toShard), record, onWritten));
   }
 }
--- a/src/main/java/dev/windbend/machine/WorkerLiveness.java
+++ b/src/main/java/dev/windbend/machine/WorkerLiveness.java
@@ -39,29 +39,29 @@
   }
 
   /** Whether a heartbeat is newer than all before. */
-  public boolean isNewer(long agentIncarnation, long sequence) {
-    return agentIncarnation > incarnation
-        || (agentIncarnation == incarnation && sequence > heartbeatSequence);
+  public boolean isNewer(long workerIncarnation, long sequence) {
+    return workerIncarnation > incarnation
+        || (workerIncarnation == incarnation && sequence > heartbeatSequence);
   }
 
   /**
    * Takes in what its newest heartbeat says of the agent.
    *
-   * @param agentAddress where it takes direct commands; null: not known
-   * @param underOurToken whether it carried the token that this shard uses for the machine
+   * @param workerAddress where it takes direct commands; null: not known
+   * @param underLeaderToken whether it carried the token that this shard uses for the machine
    * @param nowMs steady clock
    */
   public void recordHeartbeat(
-      long agentIncarnation,
+      long workerIncarnation,
       long sequence,
-      String agentAddress,
-      boolean underOurToken,
+      String workerAddress,
+      boolean underLeaderToken,
       long nowMs) {
-    incarnation = agentIncarnation;
+    incarnation = workerIncarnation;
     heartbeatSequence = sequence;
     lastHeartbeatMs = nowMs;
-    address = agentAddress;
-    confirmedUnderToken = underOurToken;
+    address = workerAddress;
+    confirmedUnderToken = underLeaderToken;
   }
 
   /** A heartbeat of it waits for its response, so it can be sent something at once. */
--- a/src/main/java/dev/windbend/peer/CancellationBroadcaster.java
+++ b/src/main/java/dev/windbend/peer/CancellationBroadcaster.java
@@ -83,7 +83,7 @@
         || message.cancelled().stream().anyMatch(Objects::isNull)) {
       return ServerResponse.ofStatus(HttpStatus.BAD_REQUEST);
     }
-    cancellations.learn(message.cancelled());
+    cancellations.addFromPeers(message.cancelled());
     return ServerResponse.ofStatus(HttpStatus.OK);
   }
 }
--- a/src/main/java/dev/windbend/peer/StoreOutageDetector.java
+++ b/src/main/java/dev/windbend/peer/StoreOutageDetector.java
@@ -142,7 +142,7 @@
     }
     long knownFromAllPeersMs = Arrays.stream(cancellationsKnownMs).min().getAsLong();
     return !anyPeerServed()
-        && loop.nowMs() - Math.max(cancellations.knownUntilMs(), knownFromAllPeersMs)
+        && loop.nowMs() - Math.max(cancellations.completeUntilMs(), knownFromAllPeersMs)
             <= leaseRenewalWindowMs;
   }
 
@@ -163,7 +163,8 @@
     return ServerResponse.of(
         HttpStatus.OK,
         new PeerMessages.StoreStatus(
-            loop.nowMs() - store.lastAnsweredSentMs(), cancellations.since(message.knownUpTo())));
+            loop.nowMs() - store.lastAnsweredSentMs(),
+            cancellations.listSince(message.knownUpTo())));
   }
 
   private void pollPeers() {
@@ -171,7 +172,8 @@
       peerServedMs = NEVER_MS;
       return;
     }
-    byte[] body = Json.write(new PeerMessages.StoreStatusRequest(cancellations.knownUpTo()));
+    byte[] body =
+        Json.write(new PeerMessages.StoreStatusRequest(cancellations.completeUpToRevision()));
     for (int i = 0; i < addresses.size(); i++) {
       int peer = i;
       long sentMs = loop.nowMs();
@@ -194,7 +196,7 @@
   private void recordStatus(int peer, long sentMs, PeerMessages.StoreStatus status) {
     lastStatusMs = loop.nowMs();
     if (status.cancelled() != null) {
-      cancellations.learn(status.cancelled());
+      cancellations.addFromPeers(status.cancelled());
       cancellationsKnownMs[peer] = sentMs;
     }
     if (status.lastServedMsAgo() < SERVED_RECENTLY_MS
--- a/src/main/java/dev/windbend/plan/AdvanceReservations.java
+++ b/src/main/java/dev/windbend/plan/AdvanceReservations.java
@@ -22,7 +22,7 @@
    */
   void reserve(JobCursor cursor, int keep, long byMs, boolean orInTime) {
     PendingJob job = cursor.job();
-    long latestStartMs = job.objectives().dueMs() - cursor.estimateMs();
+    long latestStartMs = job.objectives().dueMs() - cursor.estimatedRunTimeMs();
     long untilMs = orInTime ? Math.max(byMs, latestStartMs) : byMs;
     if (state.unavailableSizes().contains(cursor.resources(), untilMs)) {
       return;
--- a/src/main/java/dev/windbend/plan/BinPacking.java
+++ b/src/main/java/dev/windbend/plan/BinPacking.java
@@ -56,14 +56,14 @@
     PendingJob.Requirements task = cursor.job().requirements();
     long fetchMs = machine.fetchMs(task);
     if (machine.freeNow().fits(task.resources())
-        && machine.fitsNow(task.estimateMs() + fetchMs, task.resources())) {
+        && machine.fitsNow(task.estimatedRunTimeMs() + fetchMs, task.resources())) {
       if (extensionCost(task, machine) <= maxExtensionCost) {
         candidates.add(Candidate.startingNow(machine, score.scoreImmediateStart(machine, fetchMs)));
       } else {
         state.trace().recordObstacle(cursor, DecisionTrace.Obstacle.EXTENSION_COST);
       }
     } else if (fetchMs == 0 && mayWaitForImage(cursor.job())) {
-      long freeMs = machine.firstFitMs(task.estimateMs(), task.resources());
+      long freeMs = machine.firstFitMs(task.estimatedRunTimeMs(), task.resources());
       long waitMs = freeMs - state.nowMs();
       if (waitMs < task.imageGb() * MS_PER_SECOND / machine.attributes().fetchGbPerSecond()) {
         candidates.add(
@@ -102,7 +102,7 @@
   /** Running past the paid block extends it. That must not cost more than a new machine would. */
   private double extensionCost(PendingJob.Requirements task, MachineReservations machine) {
     MachineCapacity capacity = machine.capacity();
-    long pastMs = state.nowMs() + task.estimateMs() - capacity.lifetime().paidUntilMs();
+    long pastMs = state.nowMs() + task.estimatedRunTimeMs() - capacity.lifetime().paidUntilMs();
     return pastMs <= 0 ? 0 : capacity.attributes().pricePerHour() * pastMs;
   }
 }
--- a/src/main/java/dev/windbend/plan/Deadline.java
+++ b/src/main/java/dev/windbend/plan/Deadline.java
@@ -14,12 +14,12 @@
    *
    * @param limitsSeconds ascending, from submission
    * @param ageSeconds time since submission
-   * @param estimateSeconds how long the job runs, as estimated
+   * @param estimatedRunTimeSeconds how long the job runs, as estimated
    */
   public static Deadline nextAttainable(
-      double[] limitsSeconds, double ageSeconds, double estimateSeconds) {
+      double[] limitsSeconds, double ageSeconds, double estimatedRunTimeSeconds) {
     for (double limitSeconds : limitsSeconds) {
-      if (ageSeconds + estimateSeconds <= limitSeconds) {
+      if (ageSeconds + estimatedRunTimeSeconds <= limitSeconds) {
         return new Deadline(limitSeconds, false);
       }
     }
--- a/src/main/java/dev/windbend/plan/JobCursor.java
+++ b/src/main/java/dev/windbend/plan/JobCursor.java
@@ -43,8 +43,8 @@
     return job.requirements().resources();
   }
 
-  long estimateMs() {
-    return job.requirements().estimateMs();
+  long estimatedRunTimeMs() {
+    return job.requirements().estimatedRunTimeMs();
   }
 
   /** Whether the zones of its other tasks bind the next one. */
--- a/src/main/java/dev/windbend/plan/JobOrder.java
+++ b/src/main/java/dev/windbend/plan/JobOrder.java
@@ -36,7 +36,7 @@
   private static long latestStartMsIfDisplaced(JobCursor cursor) {
     PendingJob job = cursor.job();
     return job.progress().displaced()
-        ? job.objectives().dueMs() - job.requirements().estimateMs()
+        ? job.objectives().dueMs() - job.requirements().estimatedRunTimeMs()
         : 0;
   }
 
--- a/src/main/java/dev/windbend/plan/MachineReservations.java
+++ b/src/main/java/dev/windbend/plan/MachineReservations.java
@@ -102,7 +102,7 @@
 
   /** How long a task takes on the machine, as estimated, with the fetch of its image. */
   long runMs(PendingJob.Requirements task) {
-    return task.estimateMs() + fetchMs(task);
+    return task.estimatedRunTimeMs() + fetchMs(task);
   }
 
   private long endMs(RunningTask task) {
--- a/src/main/java/dev/windbend/plan/PendingJob.java
+++ b/src/main/java/dev/windbend/plan/PendingJob.java
@@ -26,9 +26,10 @@
    * @param resources what it uses while it runs
    * @param image the index of its image
    * @param imageGb the image's size
-   * @param estimateMs how long it runs, as estimated
+   * @param estimatedRunTimeMs how long it runs, as estimated
    */
-  public record Requirements(Resources resources, int image, double imageGb, long estimateMs) {}
+  public record Requirements(
+      Resources resources, int image, double imageGb, long estimatedRunTimeMs) {}
 
   /**
    * Where and from when tasks may be placed.
@@ -94,6 +95,6 @@
 
   /** The work that waits, in core milliseconds. */
   double waitingWork() {
-    return progress.waiting * requirements.resources.cores() * requirements.estimateMs;
+    return progress.waiting * requirements.resources.cores() * requirements.estimatedRunTimeMs;
   }
 }
--- a/src/main/java/dev/windbend/plan/Planner.java
+++ b/src/main/java/dev/windbend/plan/Planner.java
@@ -163,8 +163,8 @@
   }
 
   private boolean slackAllowsWaiting(PendingJob job, long bootMs) {
-    long estimateMs = job.requirements().estimateMs();
-    long slackMs = job.objectives().dueMs() - snapshot.nowMs() - estimateMs - bootMs;
-    return slackMs > estimateMs + snapshot.limits().cyclePeriodMs();
+    long estimatedRunTimeMs = job.requirements().estimatedRunTimeMs();
+    long slackMs = job.objectives().dueMs() - snapshot.nowMs() - estimatedRunTimeMs - bootMs;
+    return slackMs > estimatedRunTimeMs + snapshot.limits().cyclePeriodMs();
   }
 }
--- a/src/main/java/dev/windbend/plan/Preemption.java
+++ b/src/main/java/dev/windbend/plan/Preemption.java
@@ -75,7 +75,7 @@
     }
     preemptible.sort(Comparator.comparingDouble(i -> running.get(i).lostWork()));
     Resources need = job.requirements().resources();
-    Resources free = machine.minFree(job.requirements().estimateMs());
+    Resources free = machine.minFree(job.requirements().estimatedRunTimeMs());
     double lostWork = startDelayMs(job, machine) * need.cores();
     List<Integer> victims = new ArrayList<>();
     for (int task : preemptible) {
@@ -86,7 +86,7 @@
       lostWork += running.get(task).lostWork();
       victims.add(task);
     }
-    double gainedWork = need.cores() * job.requirements().estimateMs();
+    double gainedWork = need.cores() * job.requirements().estimatedRunTimeMs();
     if (free.fits(need) && lostWork < gainedWork) {
       candidates.add(Candidate.preempting(machine, lostWork, victims));
     } else if (free.fits(need)) {
--- a/src/main/java/dev/windbend/plan/RunTimeEstimates.java
+++ b/src/main/java/dev/windbend/plan/RunTimeEstimates.java
@@ -27,7 +27,7 @@
   }
 
   /** How long a task runs, in seconds; the user's own figure until two tasks have finished. */
-  public double estimateSeconds(String user, double declaredSeconds) {
+  public double estimatedRunTimeSeconds(String user, double declaredSeconds) {
     RunTimes times = recentByUser.get(user);
     return times == null || times.previousSeconds < 0
         ? declaredSeconds
@@ -38,8 +38,8 @@
    * The estimate of a task that has run for so long: it is doubled until the task hasn't outlived
    * it (paper, section 4.2).
    */
-  public static double correctedSeconds(double estimateSeconds, double elapsedSeconds) {
-    double corrected = Math.max(MIN_ESTIMATE_SECONDS, estimateSeconds);
+  public static double correctedSeconds(double estimatedRunTimeSeconds, double elapsedSeconds) {
+    double corrected = Math.max(MIN_ESTIMATE_SECONDS, estimatedRunTimeSeconds);
     while (corrected < elapsedSeconds) {
       corrected *= 2;
     }
--- a/src/main/java/dev/windbend/plan/ScaleOutPlanner.java
+++ b/src/main/java/dev/windbend/plan/ScaleOutPlanner.java
@@ -58,8 +58,10 @@
       if (offer.available()
           && job.constraints().allows(offer.attributes())
           && offer.capacity().fits(task.resources())
-          && state.nowMs() + offer.bootMs() + task.estimateMs() <= job.objectives().dueMs()) {
-        double cost = offer.attributes().pricePerHour() * (task.estimateMs() + offer.bootMs());
+          && state.nowMs() + offer.bootMs() + task.estimatedRunTimeMs()
+              <= job.objectives().dueMs()) {
+        double cost =
+            offer.attributes().pricePerHour() * (task.estimatedRunTimeMs() + offer.bootMs());
         least = Math.min(least, cost);
       }
     }
--- a/src/main/java/dev/windbend/runtime/ConnectionPool.java
+++ b/src/main/java/dev/windbend/runtime/ConnectionPool.java
@@ -30,7 +30,7 @@
   /** Connections that are open or being opened, idle ones included. */
   private int open;
 
-  private boolean usedLately;
+  private boolean usedSinceLastCheck;
 
   /**
    * A pool without connections.
@@ -54,18 +54,18 @@
    * @return whether the pool is empty and can be forgotten
    */
   boolean closeIfUnused() {
-    if (!usedLately) {
+    if (!usedSinceLastCheck) {
       open -= idle.size();
       idle.forEach(IoUtils::safeClose);
       idle.clear();
     }
-    usedLately = false;
+    usedSinceLastCheck = false;
     return open == 0 && waiting.isEmpty();
   }
 
   /** Sends the call over an idle or a new connection, or queues it; over the bound it fails. */
   void submit(PendingCall call) {
-    usedLately = true;
+    usedSinceLastCheck = true;
     ClientConnection connection;
     while ((connection = idle.pollLast()) != null) {
       if (connection.isOpen()) {
--- a/src/main/java/dev/windbend/runtime/HttpServer.java
+++ b/src/main/java/dev/windbend/runtime/HttpServer.java
@@ -59,7 +59,7 @@
         .getRequestReceiver()
         .receiveFullBytes(
             (received, body) ->
-                XnioEventLoop.run(
+                XnioEventLoop.runLoggingErrors(
                     () ->
                         handler.handle(
                             request(received, body), response -> respond(received, response))),
--- a/src/main/java/dev/windbend/runtime/PendingCall.java
+++ b/src/main/java/dev/windbend/runtime/PendingCall.java
@@ -82,7 +82,7 @@
     if (!finished) {
       finished = true;
       timeout.cancel();
-      XnioEventLoop.run(() -> done.accept(response));
+      XnioEventLoop.runLoggingErrors(() -> done.accept(response));
     }
   }
 
@@ -101,9 +101,9 @@
 
   private void closeConnection() {
     if (connection != null) {
-      ClientConnection closed = connection;
+      ClientConnection openConnection = connection;
       connection = null;
-      IoUtils.safeClose(closed);
+      IoUtils.safeClose(openConnection);
       pool.releaseClosed();
     }
   }
@@ -121,8 +121,8 @@
     }
   }
 
-  void send(ClientConnection over) {
-    connection = over;
+  void send(ClientConnection openConnection) {
+    connection = openConnection;
     if (loop.nowMs() >= timeoutAtMs) {
       // This process stood still: what it meant to say then may be wrong by now.
       timedOut();
--- a/src/main/java/dev/windbend/runtime/XnioEventLoop.java
+++ b/src/main/java/dev/windbend/runtime/XnioEventLoop.java
@@ -40,7 +40,7 @@
 
   @Override
   public Timer after(long delayMs, Runnable task) {
-    Runnable guarded = () -> run(task);
+    Runnable guarded = () -> runLoggingErrors(task);
     if (delayMs <= 0) {
       thread.execute(guarded);
       return () -> {};
@@ -50,7 +50,7 @@
   }
 
   /** Runs the task; what it throws is logged. */
-  static void run(Runnable task) {
+  static void runLoggingErrors(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
--- a/src/main/java/dev/windbend/shard/CapacityProvisioner.java
+++ b/src/main/java/dev/windbend/shard/CapacityProvisioner.java
@@ -65,11 +65,12 @@
   private void addOffer(
       List<InstanceOffer> offers, MachineType type, Resources capacity, int zone, boolean spot) {
     boolean available =
-        !state.fleet().isRefused(type.index(), zone, spot) && state.zones().scaleOutLimit(zone) > 0;
-    double price = spot ? type.spotPrice() : type.price();
+        !state.fleet().recentlyRefused(type.index(), zone, spot)
+            && state.zones().scaleOutLimit(zone) > 0;
+    double price = spot ? type.spotPrice() : type.onDemandPrice();
     MachineAttributes kind =
-        new MachineAttributes(type.index(), zone, spot, price, type.fetchGbPerS());
-    offers.add(new InstanceOffer(kind, capacity, Units.toMs(type.bootS()), available));
+        new MachineAttributes(type.index(), zone, spot, price, type.fetchGbPerSecond());
+    offers.add(new InstanceOffer(kind, capacity, Units.toMs(type.bootSeconds()), available));
   }
 
   /**
@@ -103,8 +104,8 @@
     if (mayRequest && (decision.coresAwaitingMachines() > 0 || starvedTasks != null)) {
       transfers.request(
           decision.coresAwaitingMachines(),
-          state.catalog().largestCores(),
-          !state.fleet().anyRefused(),
+          state.catalog().maxCores(),
+          !state.fleet().anyRecentlyRefused(),
           starvedTasks,
           incomingMachines -> {
             if (mayAct.getAsBoolean()) {
@@ -146,7 +147,7 @@
         state
             .fleet()
             .scaleOut(state.catalog().type(kind.type()), kind.zone(), kind.spot(), machines);
-        state.zones().scaledOut(kind.zone(), machines);
+        state.zones().recordScaleOut(kind.zone(), machines);
       }
     }
   }
--- a/src/main/java/dev/windbend/shard/CloudListCheck.java
+++ b/src/main/java/dev/windbend/shard/CloudListCheck.java
@@ -78,7 +78,9 @@
         && nowMs - lastReconciliationMs >= RECONCILIATION_INTERVAL_LAGS * listLagMs) {
       lastReconciliationMs = nowMs;
       fleet.reconcileWithCloud(
-          (long) (ORPHANED_AFTER_LAGS * listLagMs), index::knows, orphanedMachines::addCandidate);
+          (long) (ORPHANED_AFTER_LAGS * listLagMs),
+          index::contains,
+          orphanedMachines::addCandidate);
     }
   }
 }
--- a/src/main/java/dev/windbend/shard/JobDeadlines.java
+++ b/src/main/java/dev/windbend/shard/JobDeadlines.java
@@ -45,11 +45,11 @@
   double estimatedRunTimeSeconds(Job job) {
     return Math.max(
         MIN_ESTIMATED_RUN_TIME_SECONDS,
-        estimates.estimateSeconds(estimateKey(job), job.spec().estimateS()));
+        estimates.estimatedRunTimeSeconds(estimateKey(job), job.spec().estimatedRunTimeSeconds()));
   }
 
   @Override
-  public long estimateMs(Job job) {
+  public long estimatedRunTimeMs(Job job) {
     return Units.toMs(estimatedRunTimeSeconds(job));
   }
 
@@ -65,8 +65,8 @@
             .objectives()
             .timeLimitsSeconds(
                 job.spec().kind(),
-                job.spec().dueS(),
-                policy.impliedDeadlineFactor() * job.spec().estimateS(),
+                job.spec().dueSeconds(),
+                policy.impliedDeadlineFactor() * job.spec().estimatedRunTimeSeconds(),
                 policy.deadlinesFromObjectives());
     return Deadline.nextAttainable(
         timeLimitsSeconds, Units.toSeconds(ageMs), estimatedRunTimeSeconds(job));
@@ -80,11 +80,11 @@
 
   /** Boot time of the machine type that boots slowest; 0 if no machine type is known. */
   double maxBootSeconds() {
-    return catalog.all().stream().mapToDouble(MachineType::bootS).max().orElse(0);
+    return catalog.all().stream().mapToDouble(MachineType::bootSeconds).max().orElse(0);
   }
 
   @Override
-  public long bootMs() {
+  public long maxBootMs() {
     return Units.toMs(maxBootSeconds());
   }
 }
--- a/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
+++ b/src/main/java/dev/windbend/shard/MachineCapacityBuilder.java
@@ -115,8 +115,8 @@
   }
 
   private static MachineAttributes kind(MachineType type, int zone, boolean spot) {
-    double price = spot ? type.spotPrice() : type.price();
-    return new MachineAttributes(type.index(), zone, spot, price, type.fetchGbPerS());
+    double price = spot ? type.spotPrice() : type.onDemandPrice();
+    return new MachineAttributes(type.index(), zone, spot, price, type.fetchGbPerSecond());
   }
 
   static Resources resources(Job job) {
@@ -148,13 +148,13 @@
     }
     MachineType type = machine.type();
     long bootingSeconds = (nowMs - machine.requestedMs()) / 1_000;
-    return bootingSeconds > LATE_BOOT_FACTOR * type.bootS()
-        ? nowMs + (long) (Units.MS_PER_SECOND * LATE_BOOT_REMAINING_FACTOR * type.bootS())
+    return bootingSeconds > LATE_BOOT_FACTOR * type.bootSeconds()
+        ? nowMs + (long) (Units.MS_PER_SECOND * LATE_BOOT_REMAINING_FACTOR * type.bootSeconds())
         : expectedBootEndMs(machine.requestedMs(), type, nowMs);
   }
 
   private static long expectedBootEndMs(long requestedMs, MachineType type, long nowMs) {
-    return Math.max(requestedMs + Units.toMs(type.bootS()), nowMs + MIN_EXPECTED_DELAY_MS);
+    return Math.max(requestedMs + Units.toMs(type.bootSeconds()), nowMs + MIN_EXPECTED_DELAY_MS);
   }
 
   /**
@@ -173,28 +173,28 @@
    * task must not be stopped.
    */
   private static long lostRunTimeMs(Placement task, long nowMs) {
-    boolean stateUnknown = task.inherited() && !task.seen();
-    if (task.stopping() || stateUnknown) {
+    boolean stateUnknown = task.inherited() && !task.reported();
+    if (task.stopRequested() || stateUnknown) {
       return NOT_STOPPABLE;
     }
-    long runTimeMs = task.runningMs() < 0 ? 0 : nowMs - task.runningMs();
-    long checkpointIntervalMs = Units.toMs(task.job().spec().checkpointS());
+    long runTimeMs = task.runningSinceMs() < 0 ? 0 : nowMs - task.runningSinceMs();
+    long checkpointIntervalMs = Units.toMs(task.job().spec().checkpointIntervalSeconds());
     return checkpointIntervalMs > 0 ? runTimeMs % checkpointIntervalMs : runTimeMs;
   }
 
   /** When the task is expected to end (monotonic clock, ms). */
   private long expectedEndMs(Placement task, MachineType type, long nowMs) {
-    if (task.stopping()) {
+    if (task.stopRequested()) {
       return nowMs + Units.toMs(task.stopGraceS()) + MIN_EXPECTED_DELAY_MS;
     }
     double estimatedRunTimeSeconds = deadlines.estimatedRunTimeSeconds(task.job());
-    if (task.runningMs() < 0) {
+    if (task.runningSinceMs() < 0) {
       double fetchSeconds =
-          task.job().spec().imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, type.fetchGbPerS());
+          task.job().spec().imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, type.fetchGbPerSecond());
       return task.placedMs() + Units.toMs(estimatedRunTimeSeconds + fetchSeconds);
     }
-    double runTimeSeconds = Units.toSeconds(nowMs - task.runningMs());
-    return task.runningMs()
+    double runTimeSeconds = Units.toSeconds(nowMs - task.runningSinceMs());
+    return task.runningSinceMs()
         + Units.toMs(RunTimeEstimates.correctedSeconds(estimatedRunTimeSeconds, runTimeSeconds));
   }
 }
--- a/src/main/java/dev/windbend/shard/MachineTransfers.java
+++ b/src/main/java/dev/windbend/shard/MachineTransfers.java
@@ -148,7 +148,7 @@
     double cores = 0;
     for (Machine machine : fleet.machines()) {
       cores +=
-          machine.returning() || machine.promisedTo() >= 0 || !filter.test(machine)
+          machine.terminating() || machine.reservedForShard() >= 0 || !filter.test(machine)
               ? 0
               : machine.type().cores();
     }
@@ -220,10 +220,10 @@
   void tick(long nowMs) {
     if (nowMs - freeCapacityWindowStartMs >= FREE_CAPACITY_WINDOW_MS) {
       freeCapacityWindowStartMs = nowMs;
-      fleet.machines().forEach(Machine::beginWindow);
+      fleet.machines().forEach(Machine::beginFreeCapacityWindow);
     }
     for (Machine machine : fleet.machines()) {
-      if (machine.evictByMs() >= 0 && nowMs >= machine.evictByMs()) {
+      if (machine.evictAtMs() >= 0 && nowMs >= machine.evictAtMs()) {
         machine.tasks().values().forEach(MachineTransfers::stopGracefully);
       }
     }
@@ -240,13 +240,15 @@
   private int evictForOverdue(int toShard, TaskRequirements task, int count) {
     List<Machine> candidates = new ArrayList<>(fleet.machines());
     candidates.sort(
-        Comparator.<Machine, Boolean>comparing(machine -> machine.promisedTo() != toShard)
+        Comparator.<Machine, Boolean>comparing(machine -> machine.reservedForShard() != toShard)
             .thenComparingDouble(this::lostWorkOnEviction));
     int incoming = 0;
     for (Machine machine : candidates) {
       boolean suitable =
           incoming < count
-              && (machine.promisedTo() == toShard ? task.allows(machine) : mayEvict(machine, task));
+              && (machine.reservedForShard() == toShard
+                  ? task.allows(machine)
+                  : mayEvict(machine, task));
       if (suitable) {
         evict(machine, toShard);
         incoming++;
@@ -256,14 +258,14 @@
   }
 
   private void evict(Machine machine, int toShard) {
-    if (machine.evictByMs() < 0) {
+    if (machine.evictAtMs() < 0) {
       LOG.info(
           "machine evicted for transfer: shard={} machine={} to_shard={} cause=\"overdue task\"",
           shard,
           machine.name(),
           toShard);
       reserve(machine, toShard);
-      machine.evictBy(loop.nowMs() + EVICTION_GRACE_MS);
+      machine.evictAt(loop.nowMs() + EVICTION_GRACE_MS);
     }
   }
 
@@ -276,11 +278,11 @@
   private boolean mayEvict(Machine machine, TaskRequirements task) {
     long nowMs = loop.nowMs();
     boolean recentlyReceived =
-        machine.received() && nowMs - machine.requestedMs() < MIN_RECEIVED_RETENTION_MS;
+        machine.receivedByTransfer() && nowMs - machine.requestedMs() < MIN_RECEIVED_RETENTION_MS;
     if (!machine.usable(nowMs)
         || recentlyReceived
-        || machine.steadilyFreeCores() < task.cores()
-        || !task.hasRoomOn(machine)) {
+        || machine.sustainedFreeCores() < task.cores()
+        || !task.hasCapacityOn(machine)) {
       return false;
     }
     double remainingCores = retainedCores(other -> other != machine && other.usable(nowMs));
@@ -295,7 +297,7 @@
   private int reservedCount(int toShard) {
     int reserved = 0;
     for (Machine machine : fleet.machines()) {
-      reserved += machine.promisedTo() == toShard ? 1 : 0;
+      reserved += machine.reservedForShard() == toShard ? 1 : 0;
     }
     return reserved;
   }
@@ -336,9 +338,9 @@
    * finish first.
    */
   private static void reserve(Machine machine, int toShard) {
-    machine.promiseTo(toShard);
+    machine.reserveForShard(toShard);
     machine.tasks().values().stream()
-        .filter(placement -> placement.job().spec().checkpointS() > 0)
+        .filter(placement -> placement.job().spec().checkpointIntervalSeconds() > 0)
         .forEach(MachineTransfers::stopGracefully);
   }
 
@@ -346,7 +348,7 @@
    * Stops a task with a grace period of 1 s more than its job specifies for writing a checkpoint.
    */
   static void stopGracefully(Placement placement) {
-    placement.stop(placement.job().spec().saveS() + 1);
+    placement.requestStop(placement.job().spec().checkpointSaveSeconds() + 1);
   }
 
   /**
@@ -359,7 +361,10 @@
     for (Placement placement : machine.tasks().values()) {
       JobSpec spec = placement.job().spec();
       lost +=
-          spec.cores() * (spec.checkpointS() > 0 ? 1 : Math.max(1, nowMs - placement.placedMs()));
+          spec.cores()
+              * (spec.checkpointIntervalSeconds() > 0
+                  ? 1
+                  : Math.max(1, nowMs - placement.placedMs()));
     }
     return lost;
   }
--- a/src/main/java/dev/windbend/shard/OldestWaitingJob.java
+++ b/src/main/java/dev/windbend/shard/OldestWaitingJob.java
@@ -57,16 +57,16 @@
 
   private static Optional<WaitReason.ZoneUnreachable> unreachableZone(Job job, ShardState state) {
     return Optional.ofNullable(job.spec().zone())
-        .filter(state.zones()::unreachable)
+        .filter(state.zones()::isUnreachable)
         .map(WaitReason.ZoneUnreachable::new);
   }
 
   private static Optional<WaitReason.TeamQuota> exhaustedQuota(
       Job job, ShardState state, DeploymentSpec deployment) {
     int teams = deployment.teams().size();
-    double usedCores = TeamUsage.cores(state.jobs().all(), teams)[job.team()];
-    double usedGpus = TeamUsage.gpus(state.jobs().all(), teams)[job.team()];
-    DeploymentSpec.TeamQuota quota = deployment.teams().get(job.team());
+    double usedCores = TeamUsage.cores(state.jobs().all(), teams)[job.teamIndex()];
+    double usedGpus = TeamUsage.gpus(state.jobs().all(), teams)[job.teamIndex()];
+    DeploymentSpec.TeamQuota quota = deployment.teams().get(job.teamIndex());
     boolean exhausted =
         usedCores + job.spec().cores() > quota.maxCores() + Units.RESOURCE_TOLERANCE
             || usedGpus + job.spec().gpus() > quota.maxGpus() + Units.RESOURCE_TOLERANCE;
@@ -118,13 +118,13 @@
         boolean heartbeatReceived = machine.lastHeartbeatMs() >= 0;
         booting += heartbeatReceived ? 0 : 1;
         unavailable += heartbeatReceived && !usable ? 1 : 0;
-        available |= usable && task.hasRoomOn(machine);
+        available |= usable && task.hasCapacityOn(machine);
       }
       int requested =
           fleet.pendingScaleOuts().stream().mapToInt(Fleet.PendingScaleOut::count).sum();
       return new Capacity(
           available,
-          new WaitReason.NoCapacity(booting, requested, unavailable, fleet.anyRefused()));
+          new WaitReason.NoCapacity(booting, requested, unavailable, fleet.anyRecentlyRefused()));
     }
   }
 }
--- a/src/main/java/dev/windbend/shard/PendingJobBuilder.java
+++ b/src/main/java/dev/windbend/shard/PendingJobBuilder.java
@@ -39,7 +39,7 @@
       Job job, long nowMs, Object2IntOpenHashMap<String> machineIndexByName, boolean guaranteed) {
     long ageMs = deadlines.ageMs(job);
     return new PendingJob(
-        job.team(),
+        job.teamIndex(),
         job.spec().urgency().rank(),
         requirements(job),
         constraints(job, machineIndexByName),
@@ -52,7 +52,7 @@
         MachineCapacityBuilder.resources(job),
         state.images().index(job.spec().image()),
         job.spec().imageGb(),
-        deadlines.estimateMs(job));
+        deadlines.estimatedRunTimeMs(job));
   }
 
   private PendingJob.Constraints constraints(
@@ -73,9 +73,9 @@
         job.waitingCount(),
         starvedJobs.placedTasksPerZone(job),
         ageMs,
-        job.begun(),
+        job.started(),
         StarvedJobs.isStarved(job, nowMs),
-        state.zones().displaced(job));
+        state.zones().isDisplaced(job));
   }
 
   private PendingJob.Objectives objectives(Job job, boolean guaranteed, long nowMs, long ageMs) {
--- a/src/main/java/dev/windbend/shard/ReconciliationLoop.java
+++ b/src/main/java/dev/windbend/shard/ReconciliationLoop.java
@@ -76,7 +76,7 @@
     checkMachines(now);
     components.jobs.finishCancelled();
     components.transfers.tick(now);
-    components.fleet.pursue();
+    components.fleet.processPending();
     components.scheduling.runIfDue(SCHEDULING_INTERVAL_MS);
     components.committer.commitDue();
     statusLog.logIfDue(now);
@@ -86,12 +86,12 @@
 
   private void yieldIfNoWorkerContact(long now) {
     long lastContactMs = Math.max(leaseValidSinceMs, leadership.lastWorkerContactMs());
-    if (components.health.lostWorkers(now, lastContactMs)) {
+    if (components.health.isIsolatedFromWorkers(now, lastContactMs)) {
       leadership.yieldLeadership();
     }
   }
 
   private void checkMachines(long now) {
-    components.health.check(now, leaseValidSinceMs, components.zones.availability()::evacuates);
+    components.health.check(now, leaseValidSinceMs, components.zones.availability()::isEvacuated);
   }
 }
--- a/src/main/java/dev/windbend/shard/SchedulingLoop.java
+++ b/src/main/java/dev/windbend/shard/SchedulingLoop.java
@@ -183,7 +183,7 @@
     List<Machine> machines = new ArrayList<>();
     for (Machine machine : state.fleet().machines()) {
       if (inUsableZone(machine)
-          && !machine.returning()
+          && !machine.terminating()
           && !machine.cordoned()
           && machine.liveness().missedResponses() == 0
           && nowMs >= machine.startsRefusedUntilMs()) {
@@ -196,7 +196,7 @@
   /** One that boots in a zone that is opened again counts, so that it is not requested twice. */
   private boolean inUsableZone(Machine machine) {
     return !machine.zoneClosed()
-        || (machine.lastHeartbeatMs() < 0 && !state.zones().evacuates(machine.zone()));
+        || (machine.lastHeartbeatMs() < 0 && !state.zones().isEvacuated(machine.zone()));
   }
 
   private boolean allInheritedMachinesConfirmed() {
@@ -217,7 +217,7 @@
           placement.machineName(),
           placement.taskName(),
           state.token());
-      placement.stop(0);
+      placement.requestStop(0);
     }
   }
 
@@ -227,9 +227,10 @@
     for (SchedulingDecision.PlacedTask place : decision.placements()) {
       Job job = jobs.get(place.job());
       Machine machine = machines.get(place.machine());
-      machine.add(job.place(job.nextWaiting(), machine.name(), nowMs, state.token(), cycleCount));
+      machine.add(
+          job.place(job.nextWaitingTask(), machine.name(), nowMs, state.token(), cycleCount));
       changed.add(job);
     }
-    changed.forEach(state.jobs()::touched);
+    changed.forEach(state.jobs()::markChanged);
   }
 }
--- a/src/main/java/dev/windbend/shard/ShardFailover.java
+++ b/src/main/java/dev/windbend/shard/ShardFailover.java
@@ -53,7 +53,7 @@
     if (leadership.ended()) {
       return;
     }
-    if (replica.revision() < leadership.token() || !catalog.known()) {
+    if (replica.revision() < leadership.token() || !catalog.isLoaded()) {
       loop.after(RECHECK_INTERVAL_MS, () -> run(onRecovered));
       return;
     }
@@ -64,7 +64,7 @@
   }
 
   private void restoreMachines() {
-    String prefix = ScaleOutRecord.prefix(leadership.shard());
+    String prefix = ScaleOutRecord.shardPrefix(leadership.shard());
     for (Map.Entry<String, VersionedValue> entry : replica.withPrefix(prefix).entrySet()) {
       machines.restore(entry.getKey().substring(prefix.length()), entry.getValue(), true);
     }
@@ -72,8 +72,8 @@
 
   private void restoreJobs(long now) {
     SortedMap<String, JsonNode> entries =
-        pages.restore(replica.withPrefix(JobRecord.pages(leadership.shard())));
-    for (VersionedValue record : replica.withPrefix(JobRecord.LIVE).values()) {
+        pages.restore(replica.withPrefix(JobRecord.pagesPrefix(leadership.shard())));
+    for (VersionedValue record : replica.withPrefix(JobRecord.LIVE_PREFIX).values()) {
       jobs.restore(record, entries, now);
     }
     pages.finishRestore();
--- a/src/main/java/dev/windbend/shard/ShardJobs.java
+++ b/src/main/java/dev/windbend/shard/ShardJobs.java
@@ -54,7 +54,7 @@
    * @return whether it is a live job of this shard
    */
   boolean restore(VersionedValue record, SortedMap<String, JsonNode> entries, long nowMs) {
-    Job job = registry.take(record, entries, nowMs);
+    Job job = registry.restore(record, entries, nowMs);
     if (job == null) {
       return false;
     }
@@ -64,13 +64,13 @@
         machine.add(placement);
       } else {
         // The machine's record goes only once the cloud has confirmed its end, or it is empty.
-        job.gone(placement);
+        job.confirmTerminated(placement);
       }
     }
-    if (job.cancelled() || cancellations.ahead(job.spec().uid())) {
+    if (job.cancelled() || cancellations.isKnownCancelled(job.spec().uid())) {
       job.cancel();
     }
-    registry.touched(job);
+    registry.markChanged(job);
     return true;
   }
 
@@ -103,7 +103,7 @@
       return;
     }
     boolean cancelledBefore = job.cancelled();
-    job.changed(live, record.version());
+    job.onRecordChange(live, record.version());
     if (job.cancelled() && !cancelledBefore) {
       stopCancelled(job);
     }
@@ -121,27 +121,27 @@
   private void stopCancelled(Job job) {
     LOG.info("job cancelled: shard={} job={}", leadership.shard(), job.spec().uid());
     heartbeats.stopTasks(job);
-    registry.touched(job);
+    registry.markChanged(job);
     scheduling.requestCycle();
   }
 
   /** Has the end written of cancelled jobs of which no task is left. */
   void finishCancelled() {
     for (Job job : registry.all()) {
-      if (job.cancelled() && job.over()) {
-        registry.touched(job);
+      if (job.cancelled() && job.finished()) {
+        registry.markChanged(job);
       }
     }
   }
 
   /** Forgets the jobs of which the end has been written. */
   void removeEnded() {
-    registry.archived().forEach(this::remove);
+    registry.archivedJobs().forEach(this::remove);
   }
 
   private void remove(Job job) {
-    registry.forget(job);
-    if (job.doneCount() == 0) {
+    registry.remove(job);
+    if (job.completedCount() == 0) {
       fleet.machines().forEach(machine -> machine.forgetFailedJob(job.spec().uid()));
     }
     for (Placement placement : job.placements()) {
--- a/src/main/java/dev/windbend/shard/ShardMachines.java
+++ b/src/main/java/dev/windbend/shard/ShardMachines.java
@@ -60,7 +60,7 @@
 
   /** A record of machines has changed: another shard may have transferred some to this one. */
   void recordChanged(String key, VersionedValue stored) {
-    String prefix = ScaleOutRecord.prefix(leadership.shard());
+    String prefix = ScaleOutRecord.shardPrefix(leadership.shard());
     if (leadership.ready() && stored != null && key.startsWith(prefix)) {
       restore(key.substring(prefix.length()), stored, false);
       scheduling.requestCycle();
@@ -86,8 +86,8 @@
     zones.machineGone(machine);
     for (Placement placement : List.copyOf(machine.tasks().values())) {
       machine.remove(placement, now);
-      placement.job().gone(placement);
-      registry.touched(placement.job());
+      placement.job().confirmTerminated(placement);
+      registry.markChanged(placement.job());
     }
     scheduling.requestCycle();
   }
--- a/src/main/java/dev/windbend/shard/ShardServices.java
+++ b/src/main/java/dev/windbend/shard/ShardServices.java
@@ -93,7 +93,7 @@
 
   private PagedStore newPages() {
     return new PagedStore(
-        JobRecord.pages(leadership.shard()),
+        JobRecord.pagesPrefix(leadership.shard()),
         context.deployment().store().maxValueBytes(),
         context.coordination().store().maxWritesPerTransaction());
   }
@@ -246,7 +246,7 @@
     }
 
     @Override
-    public void machineGone(Machine machine) {
+    public void machineTerminated(Machine machine) {
       machines.onMachineTerminated(machine);
     }
 
--- a/src/main/java/dev/windbend/shard/ShardZones.java
+++ b/src/main/java/dev/windbend/shard/ShardZones.java
@@ -20,7 +20,9 @@
   private ShardZones(Optional<ZoneMonitor> monitor) {
     this.monitor = monitor;
     this.availability =
-        monitor.<ZoneAvailability>map(zoneMonitor -> zoneMonitor).orElse(ZoneAvailability.OPEN);
+        monitor
+            .<ZoneAvailability>map(zoneMonitor -> zoneMonitor)
+            .orElse(ZoneAvailability.UNRESTRICTED);
   }
 
   /** Creates the zone monitoring of a shard, or a disabled one if the policy disables it. */
@@ -36,15 +38,15 @@
       return new ShardZones(Optional.empty());
     }
     DeploymentSpec.WorkerTiming workers = context.deployment().workers();
-    ZoneMonitor.Place place =
-        new ZoneMonitor.Place(
+    ZoneMonitor.Config place =
+        new ZoneMonitor.Config(
             shard,
             context.layout().shardCount(),
             context.zones().ownZone(),
             workers.heartbeatSeconds(),
             workers.leaseSeconds());
-    ZoneMonitor.Records records =
-        new ZoneMonitor.Records(context.coordination().replica()::get, committer::enqueue);
+    ZoneMonitor.RecordStore records =
+        new ZoneMonitor.RecordStore(context.coordination().replica()::get, committer::enqueue);
     return new ShardZones(
         Optional.of(
             new ZoneMonitor(
@@ -66,7 +68,7 @@
 
   /** Restores the state that the previous leader stored; called on failover. */
   void recover(NameIndex zoneNames) {
-    monitor.ifPresent(zoneMonitor -> zoneMonitor.takeOver(zoneNames));
+    monitor.ifPresent(zoneMonitor -> zoneMonitor.recover(zoneNames));
   }
 
   /**
@@ -77,16 +79,16 @@
    *     interruption (monotonic clock)
    */
   void check(long nowMs, long leaseValidSinceMs) {
-    monitor.ifPresent(zoneMonitor -> zoneMonitor.look(nowMs, leaseValidSinceMs));
+    monitor.ifPresent(zoneMonitor -> zoneMonitor.check(nowMs, leaseValidSinceMs));
   }
 
   /** Called when the cloud has confirmed that the machine no longer exists. */
   void machineGone(Machine machine) {
-    monitor.ifPresent(zoneMonitor -> zoneMonitor.gone(machine));
+    monitor.ifPresent(zoneMonitor -> zoneMonitor.machineTerminated(machine));
   }
 
   /** The status of each monitored zone; empty if monitoring is disabled. */
   List<ZoneStatus> status() {
-    return monitor.map(ZoneMonitor::status).orElse(List.of());
+    return monitor.map(ZoneMonitor::statuses).orElse(List.of());
   }
 }
--- a/src/main/java/dev/windbend/shard/SnapshotBuilder.java
+++ b/src/main/java/dev/windbend/shard/SnapshotBuilder.java
@@ -128,7 +128,7 @@
   private void addPendingScaleOuts(List<MachineCapacity> capacities, long nowMs) {
     for (Fleet.PendingScaleOut request : state.fleet().pendingScaleOuts()) {
       // Machines requested in a zone under evacuation are not expected to become usable.
-      if (!state.zones().evacuates(request.zone())) {
+      if (!state.zones().isEvacuated(request.zone())) {
         for (int i = 0; i < request.count(); i++) {
           capacities.add(machineCapacities.fromPendingScaleOut(request, nowMs));
         }
@@ -173,7 +173,7 @@
     double[] gpus = new double[cores.length];
     Set<Job> guaranteed = new HashSet<>();
     for (Job job : jobs) {
-      int team = job.team();
+      int team = job.teamIndex();
       int openTasks = job.waitingCount() + job.placements().size();
       cores[team] += openTasks * job.spec().cores();
       gpus[team] += openTasks * job.spec().gpus();
--- a/src/main/java/dev/windbend/shard/StarvedJobs.java
+++ b/src/main/java/dev/windbend/shard/StarvedJobs.java
@@ -34,7 +34,7 @@
   static boolean isStarved(Job job, long nowMs) {
     return job.waitingCount() > 0
         && job.notBeforeMs() <= nowMs
-        && job.sinceProgressMs(nowMs) >= STARVED_AFTER_MS;
+        && job.timeSinceProgressMs(nowMs) >= STARVED_AFTER_MS;
   }
 
   /**
@@ -49,24 +49,24 @@
     double lackingCores = 0;
     double[] usedCores = TeamUsage.cores(state.jobs().all(), deployment.teams().size());
     for (Job job : state.jobs().all()) {
-      double maxCores = deployment.teams().get(job.team()).maxCores();
+      double maxCores = deployment.teams().get(job.teamIndex()).maxCores();
       if (!isStarved(job, nowMs)
           || failsOnAllMachines(job)
-          || usedCores[job.team()] + job.spec().cores() > maxCores
+          || usedCores[job.teamIndex()] + job.spec().cores() > maxCores
           || anyMachineHasCapacity(nextTaskRequirements(job), nowMs)) {
         continue;
       }
-      usedCores[job.team()] += job.spec().cores();
+      usedCores[job.teamIndex()] += job.spec().cores();
       lackingCores += job.spec().cores();
       if (longestWaiting == null
-          || longestWaiting.sinceProgressMs(nowMs) < job.sinceProgressMs(nowMs)) {
+          || longestWaiting.timeSinceProgressMs(nowMs) < job.timeSinceProgressMs(nowMs)) {
         longestWaiting = job;
       }
     }
     if (longestWaiting == null) {
       return Optional.empty();
     }
-    int machines = (int) Math.ceil(lackingCores / state.catalog().largestCores());
+    int machines = (int) Math.ceil(lackingCores / state.catalog().maxCores());
     return Optional.of(
         new MachineTransferMessages.OverdueTasks(nextTaskRequirements(longestWaiting), machines));
   }
@@ -76,12 +76,12 @@
    * most likely submitted with an error, so no machine is evicted for it.
    */
   private static boolean failsOnAllMachines(Job job) {
-    return job.backOffs() > 0 && job.doneCount() == 0;
+    return job.backOffCount() > 0 && job.completedCount() == 0;
   }
 
   private boolean anyMachineHasCapacity(TaskRequirements task, long nowMs) {
     return state.fleet().machines().stream()
-        .anyMatch(machine -> machine.usable(nowMs) && task.hasRoomOn(machine));
+        .anyMatch(machine -> machine.usable(nowMs) && task.hasCapacityOn(machine));
   }
 
   /** Requirements of the job's next task, given the zones in which its other tasks are placed. */
--- a/src/main/java/dev/windbend/shard/TaskFailures.java
+++ b/src/main/java/dev/windbend/shard/TaskFailures.java
@@ -65,7 +65,7 @@
    */
   private boolean countsAgainstMachines(String uid) {
     Job job = jobs.find(uid);
-    return job == null || job.doneCount() > 0;
+    return job == null || job.completedCount() > 0;
   }
 
   private void quarantine(Machine machine) {
@@ -83,7 +83,7 @@
   /** Machines are not blamed any more for a job that fails everywhere. */
   private void backOff(Job job) {
     job.backOffUntil(
-        loop.nowMs() + (INITIAL_BACKOFF_MS << Math.min(job.backOffs(), MAX_BACKOFF_DOUBLINGS)));
+        loop.nowMs() + (INITIAL_BACKOFF_MS << Math.min(job.backOffCount(), MAX_BACKOFF_DOUBLINGS)));
     fleet.machines().forEach(machine -> machine.forgetFailedJob(job.spec().uid()));
     job.clearFailedMachines();
   }
--- a/src/main/java/dev/windbend/shard/TaskOutcomes.java
+++ b/src/main/java/dev/windbend/shard/TaskOutcomes.java
@@ -39,19 +39,19 @@
   @Override
   public boolean isCancelled(String uid) {
     Job job = registry.find(uid);
-    return (job != null && job.cancelled()) || cancellations.ahead(uid);
+    return (job != null && job.cancelled()) || cancellations.isKnownCancelled(uid);
   }
 
   @Override
   public void jobChanged(Job job) {
-    registry.touched(job);
+    registry.markChanged(job);
   }
 
   @Override
   public void taskCompleted(Placement placement, long nowMs) {
-    if (placement.runningMs() >= 0) {
+    if (placement.runningSinceMs() >= 0) {
       deadlines.recordCompletedTask(
-          placement.job(), Units.toSeconds(nowMs - placement.runningMs()));
+          placement.job(), Units.toSeconds(nowMs - placement.runningSinceMs()));
     }
   }
 
--- a/src/main/java/dev/windbend/shard/TeamUsage.java
+++ b/src/main/java/dev/windbend/shard/TeamUsage.java
@@ -22,7 +22,7 @@
   private static double[] sum(Collection<Job> jobs, int teams, ToDoubleFunction<Job> perTask) {
     double[] used = new double[teams];
     for (Job job : jobs) {
-      used[job.team()] += job.placements().size() * perTask.applyAsDouble(job);
+      used[job.teamIndex()] += job.placements().size() * perTask.applyAsDouble(job);
     }
     return used;
   }
--- a/src/main/java/dev/windbend/worker/HeartbeatHandler.java
+++ b/src/main/java/dev/windbend/worker/HeartbeatHandler.java
@@ -154,7 +154,7 @@
             heartbeat.address(),
             heartbeat.token() == machineToken,
             nowMs);
-    if (heartbeat.recallS() != null && machine.recallMs() < 0) {
+    if (heartbeat.recallS() != null && machine.recallAtMs() < 0) {
       machine.recordRecall(nowMs + (long) (heartbeat.recallS() * 1000));
       LOG.info(
           "machine recalled by the cloud: machine={} recall_s={}",
@@ -199,7 +199,7 @@
     int tasksBefore = machine.tasks().size();
     machine.liveness().beginAwaitingResponse();
     reconciler.reconcile(machine, heartbeat, nowMs);
-    if (machine.recallMs() >= 0) {
+    if (machine.recallAtMs() >= 0) {
       stopCheckpointingTasks(machine, nowMs);
     }
     if (machine.tasks().size() < tasksBefore || tasksBefore == 0) {
@@ -213,8 +213,8 @@
    */
   private static void stopUnstartedPlacements(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
-      if (!placement.seen() && !placement.inherited()) {
-        placement.stop(0);
+      if (!placement.reported() && !placement.inherited()) {
+        placement.requestStop(0);
       }
     }
   }
@@ -225,11 +225,11 @@
    */
   private void stopCheckpointingTasks(Machine machine, long nowMs) {
     for (Placement placement : machine.tasks().values()) {
-      double saveS = placement.job().spec().saveS();
-      if (placement.job().spec().checkpointS() > 0
+      double saveS = placement.job().spec().checkpointSaveSeconds();
+      if (placement.job().spec().checkpointIntervalSeconds() > 0
           && nowMs + RECALL_MARGIN_MS + saveS * 1000 + 2 * timing.heartbeatMs()
-              >= machine.recallMs()) {
-        placement.stop(saveS + 1);
+              >= machine.recallAtMs()) {
+        placement.requestStop(saveS + 1);
       }
     }
   }
@@ -274,7 +274,7 @@
   }
 
   private static ResponseKind leaderResponseKind(Machine machine) {
-    boolean mayStart = !machine.returning() && !machine.cordoned() && machine.recorded();
+    boolean mayStart = !machine.terminating() && !machine.cordoned() && machine.recorded();
     return mayStart ? ResponseKind.RENEW_STOP_AND_START : ResponseKind.RENEW_AND_STOP;
   }
 
@@ -317,7 +317,7 @@
 
   private static boolean hasFreeCapacity(Machine machine) {
     return !machine.cordoned()
-        && !machine.returning()
+        && !machine.terminating()
         && machine.recorded()
         && machine.freeCores() >= 1;
   }
@@ -325,7 +325,7 @@
   /** Whether the machine has a placed task whose start may be sent now. */
   private static boolean hasPendingStart(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
-      if (!placement.seen() && placement.job().startable(placement)) {
+      if (!placement.reported() && placement.job().mayStart(placement)) {
         return true;
       }
     }
@@ -336,9 +336,9 @@
   private static boolean hasPendingWrite(Machine machine) {
     for (Placement placement : machine.tasks().values()) {
       if (!placement.inherited()
-          && !placement.seen()
-          && !placement.stopping()
-          && !placement.job().startable(placement)) {
+          && !placement.reported()
+          && !placement.stopRequested()
+          && !placement.job().mayStart(placement)) {
         return true;
       }
     }
@@ -363,7 +363,7 @@
   }
 
   private static boolean mayBeOnMachine(Placement placement) {
-    return placement.seen() || placement.inherited() || placement.sentSequence() >= 0;
+    return placement.reported() || placement.inherited() || placement.startSentSequence() >= 0;
   }
 
   private void sendStops(Machine machine, List<Command> stops) {
--- a/src/main/java/dev/windbend/worker/TaskReconciler.java
+++ b/src/main/java/dev/windbend/worker/TaskReconciler.java
@@ -95,10 +95,10 @@
 
   private void recordReportedState(
       Machine machine, Placement placement, TaskState reported, long nowMs) {
-    placement.recordSeen();
+    placement.recordReported();
     if (reported.exited()) {
       recordExit(machine, placement, reported, nowMs);
-    } else if (reported.running() && placement.runningMs() < 0) {
+    } else if (reported.running() && placement.runningSinceMs() < 0) {
       placement.recordRunning(nowMs);
       machine.recordImage(events.imageIndex(placement.job().spec().image()));
     }
@@ -130,7 +130,7 @@
 
   private void removePlacement(Machine machine, Placement placement, long nowMs) {
     machine.remove(placement, nowMs);
-    placement.job().gone(placement);
+    placement.job().confirmTerminated(placement);
     events.jobChanged(placement.job());
   }
 
@@ -141,13 +141,13 @@
   private void completeAbandonedAttempt(TaskState reported, long nowMs) {
     Job job = findJob(reported.task());
     int task = taskIndex(reported.task());
-    if (job == null || !hasTask(job, task) || job.isDone(task)) {
+    if (job == null || !hasTask(job, task) || job.isCompleted(task)) {
       return;
     }
     job.complete(task, nowMs);
     Placement otherAttempt = job.placement(task);
     if (otherAttempt != null) {
-      otherAttempt.stop(0);
+      otherAttempt.requestStop(0);
     }
     events.jobChanged(job);
   }
@@ -160,9 +160,9 @@
    * was sent after the response with the start was processed or discarded.
    */
   private static boolean isConfirmedTerminated(Placement placement, Heartbeat heartbeat) {
-    return placement.seen()
+    return placement.reported()
         || placement.inherited()
-        || (placement.stopping() && startSentBefore(placement, heartbeat));
+        || (placement.stopRequested() && startSentBefore(placement, heartbeat));
   }
 
   /**
@@ -170,13 +170,13 @@
    * incarnation.
    */
   private static boolean startSentBefore(Placement placement, Heartbeat heartbeat) {
-    return placement.sentIncarnation() < heartbeat.incarnation()
+    return placement.startSentIncarnation() < heartbeat.incarnation()
         || startSentBeforeInIncarnation(placement, heartbeat);
   }
 
   private static boolean startSentBeforeInIncarnation(Placement placement, Heartbeat heartbeat) {
-    return placement.sentIncarnation() == heartbeat.incarnation()
-        && placement.sentSequence() < heartbeat.sequence();
+    return placement.startSentIncarnation() == heartbeat.incarnation()
+        && placement.startSentSequence() < heartbeat.sequence();
   }
 
   /**
@@ -185,8 +185,8 @@
    */
   boolean hasMissingStart(Machine machine, Heartbeat heartbeat) {
     for (Placement placement : machine.tasks().values()) {
-      if (!placement.seen()
-          && !placement.stopping()
+      if (!placement.reported()
+          && !placement.stopRequested()
           && startSentBeforeInIncarnation(placement, heartbeat)
           && !heartbeat.reports(placement.taskName(), placement.attempt())) {
         return true;
@@ -219,7 +219,7 @@
     Placement placement = machine.tasks().get(reported.task());
     if (placement == null || placement.attempt() != reported.attempt()) {
       commands.add(Command.stop(reported.task(), reported.attempt(), 0));
-    } else if (placement.stopping()
+    } else if (placement.stopRequested()
         && (!reported.savingCheckpoint() || placement.stopGraceS() == 0)) {
       commands.add(Command.stop(reported.task(), reported.attempt(), placement.stopGraceS()));
     }
@@ -232,7 +232,7 @@
   List<Command> commandsWithStarts(Machine machine, Heartbeat heartbeat) {
     List<Command> commands = commandsWithoutStarts(machine, heartbeat);
     for (Placement placement : machine.tasks().values()) {
-      if (!placement.seen() && placement.job().startable(placement)) {
+      if (!placement.reported() && placement.job().mayStart(placement)) {
         String taskName = placement.taskName();
         if (!heartbeat.reports(taskName, placement.attempt())) {
           placement.recordStartSent(heartbeat.incarnation(), heartbeat.sequence());
@@ -272,7 +272,7 @@
     }
     Job job = findJob(reported.task());
     int task = taskIndex(reported.task());
-    return job == null || !hasTask(job, task) || job.doneRecorded(task);
+    return job == null || !hasTask(job, task) || job.completionRecorded(task);
   }
 
   private static boolean hasTask(Job job, int task) {
--- a/src/main/java/dev/windbend/zone/EvacuationPlan.java
+++ b/src/main/java/dev/windbend/zone/EvacuationPlan.java
@@ -12,7 +12,7 @@
  */
 final class EvacuationPlan {
   /** The chance that a zone is back before its workers' leases end, while nothing is known. */
-  private static final double RETURN_CHANCE = 0.5;
+  private static final double RETURN_PROBABILITY = 0.5;
 
   private EvacuationPlan() {}
 
@@ -23,9 +23,15 @@
    * @param dueMs when its job is due
    * @param remainingMs what it would run elsewhere, from its last checkpoint
    * @param unsavedMs how much of its progress would be lost
-   * @param bound it may run in this zone only
+   * @param restrictedToZone it may run in this zone only
    */
-  record Task(int rank, long dueMs, long remainingMs, long unsavedMs, double cores, boolean bound) {
+  record Task(
+      int rank,
+      long dueMs,
+      long remainingMs,
+      long unsavedMs,
+      double cores,
+      boolean restrictedToZone) {
 
     /** How late it may start elsewhere and still be in time. */
     private long slackMs(long nowMs) {
@@ -38,63 +44,67 @@
    *
    * @param leaseEndMs when its tasks have surely ended if nobody answers its worker
    */
-  record Lost(String machine, long leaseEndMs, List<Task> tasks) {
-    private int rank() {
+  record LostMachine(String machine, long leaseEndMs, List<Task> tasks) {
+    private int highestRank() {
       return tasks.stream().mapToInt(Task::rank).min().orElse(Integer.MAX_VALUE);
     }
 
-    private long dueMs() {
-      return urgent().mapToLong(Task::dueMs).min().orElse(Long.MAX_VALUE);
+    private long earliestDueMs() {
+      return highestRankTasks().mapToLong(Task::dueMs).min().orElse(Long.MAX_VALUE);
     }
 
     private long latestStartMs() {
-      return urgent().mapToLong(t -> t.slackMs(0)).min().orElse(Long.MAX_VALUE);
+      return highestRankTasks().mapToLong(t -> t.slackMs(0)).min().orElse(Long.MAX_VALUE);
     }
 
-    private java.util.stream.Stream<Task> urgent() {
-      int rank = rank();
-      return tasks.stream().filter(t -> t.rank() == rank);
+    private java.util.stream.Stream<Task> highestRankTasks() {
+      int highestRank = highestRank();
+      return tasks.stream().filter(t -> t.rank() == highestRank);
     }
   }
 
   /** Declared priority first, then what is due first, then what is closest to its limit. */
-  private static final Comparator<Lost> ORDER =
-      Comparator.comparingInt(Lost::rank)
-          .thenComparingLong(Lost::dueMs)
-          .thenComparingLong(Lost::latestStartMs)
-          .thenComparing(Lost::machine);
+  private static final Comparator<LostMachine> ORDER =
+      Comparator.comparingInt(LostMachine::highestRank)
+          .thenComparingLong(LostMachine::earliestDueMs)
+          .thenComparingLong(LostMachine::latestStartMs)
+          .thenComparing(LostMachine::machine);
 
   /** The machines to be given up now, in this order; the others keep their chance to come back. */
-  static List<Lost> giveUp(List<Lost> machines, long bootMs, long nowMs) {
-    List<Lost> now = new ArrayList<>();
-    for (Lost machine : machines) {
-      if (mayGo(machine, bootMs, nowMs)) {
-        now.add(machine);
+  static List<LostMachine> machinesToScaleIn(
+      List<LostMachine> machines, long maxBootMs, long nowMs) {
+    List<LostMachine> toScaleIn = new ArrayList<>();
+    for (LostMachine machine : machines) {
+      if (shouldScaleIn(machine, maxBootMs, nowMs)) {
+        toScaleIn.add(machine);
       }
     }
-    now.sort(ORDER);
-    return now;
+    toScaleIn.sort(ORDER);
+    return toScaleIn;
   }
 
-  private static boolean mayGo(Lost machine, long bootMs, long nowMs) {
+  private static boolean shouldScaleIn(LostMachine machine, long maxBootMs, long nowMs) {
     if (nowMs >= machine.leaseEndMs()) {
       return true;
     }
-    double lost = 0;
-    double waited = 0;
+    double expectedLossCoreMs = 0;
+    double expectedWaitCoreMs = 0;
     for (Task task : machine.tasks()) {
-      if (wouldBeLate(task, machine.leaseEndMs(), bootMs, nowMs)) {
+      if (waitingWouldMissDeadline(task, machine.leaseEndMs(), maxBootMs, nowMs)) {
         return true;
       }
-      double waitMs = task.bound() ? 0 : machine.leaseEndMs() - nowMs;
-      lost += RETURN_CHANCE * task.unsavedMs() * task.cores();
-      waited += (1 - RETURN_CHANCE) * waitMs * task.cores();
+      double waitMs = task.restrictedToZone() ? 0 : machine.leaseEndMs() - nowMs;
+      expectedLossCoreMs += RETURN_PROBABILITY * task.unsavedMs() * task.cores();
+      expectedWaitCoreMs += (1 - RETURN_PROBABILITY) * waitMs * task.cores();
     }
-    return waited > lost;
+    return expectedWaitCoreMs > expectedLossCoreMs;
   }
 
   /** In time if it is moved now, late if its lease is waited for. */
-  private static boolean wouldBeLate(Task task, long leaseEndMs, long bootMs, long nowMs) {
-    return !task.bound() && task.slackMs(nowMs) >= bootMs && task.slackMs(leaseEndMs) < bootMs;
+  private static boolean waitingWouldMissDeadline(
+      Task task, long leaseEndMs, long maxBootMs, long nowMs) {
+    return !task.restrictedToZone()
+        && task.slackMs(nowMs) >= maxBootMs
+        && task.slackMs(leaseEndMs) < maxBootMs;
   }
 }
--- a/src/main/java/dev/windbend/zone/Zone.java
+++ b/src/main/java/dev/windbend/zone/Zone.java
@@ -8,65 +8,65 @@
 final class Zone {
   final int index;
   final String name;
-  final ZoneTracker tracker;
-  final ReturnRamp ramp;
-  final ZoneRecordWrite write;
+  final ZoneStateMachine stateMachine;
+  final ReturnRateLimiter returnRateLimiter;
+  final ZoneRecordWrite recordWrite;
   ZoneEvidence evidence = new ZoneEvidence(0, 0, 0, true);
 
   /** Machines of a returning zone that are in use again, by name. */
-  private final Set<String> takenBack = new HashSet<>();
+  private final Set<String> readmittedMachines = new HashSet<>();
 
-  private boolean allBack;
-  private long enteredWallMs;
-  private long lostMs;
+  private boolean allMachinesUsable;
+  private long stateSinceWallMs;
+  private long lastLostMs;
 
-  Zone(int index, String name, ZonePolicy policy, ZoneRecordWrite write, long nowMs) {
+  Zone(int index, String name, ZonePolicy policy, ZoneRecordWrite recordWrite, long nowMs) {
     this.index = index;
     this.name = name;
-    this.tracker = new ZoneTracker(policy, nowMs);
-    this.ramp = new ReturnRamp(policy);
-    this.write = write;
-    ramp.restart(nowMs);
+    this.stateMachine = new ZoneStateMachine(policy, nowMs);
+    this.returnRateLimiter = new ReturnRateLimiter(policy);
+    this.recordWrite = recordWrite;
+    returnRateLimiter.restart(nowMs);
   }
 
   ZoneState state() {
-    return tracker.state();
+    return stateMachine.state();
   }
 
   /** Every machine is in use, as far as the state allows that. */
-  boolean allBack() {
-    return allBack;
+  boolean allMachinesUsable() {
+    return allMachinesUsable;
   }
 
   /** Neither lost nor on its way back. */
-  boolean calm() {
+  boolean inNormalOperation() {
     return state() == ZoneState.HEALTHY || state() == ZoneState.DEGRADED;
   }
 
   /** When it was lost last. */
-  long lostMs() {
-    return lostMs;
+  long lastLostMs() {
+    return lastLostMs;
   }
 
   /** When it entered its state, by the time of day. */
-  long enteredWallMs() {
-    return enteredWallMs;
+  long stateSinceWallMs() {
+    return stateSinceWallMs;
   }
 
   /** As a former owner left it, so long ago. */
-  void restore(ZoneRecord record, long agoMs, long nowMs) {
-    tracker.restore(record.state(), record.losses(), agoMs, nowMs);
-    enteredWallMs = record.sinceWallMs();
-    lostMs = tracker.sinceMs();
+  void restore(ZoneRecord record, long stateAgeMs, long nowMs) {
+    stateMachine.restore(record.state(), record.losses(), stateAgeMs, nowMs);
+    stateSinceWallMs = record.stateSinceWallMs();
+    lastLostMs = stateMachine.stateSinceMs();
   }
 
   /** The state has changed: a return begins with one machine. */
-  void entered(long wallMs, long nowMs) {
-    takenBack.clear();
-    ramp.restart(nowMs);
-    enteredWallMs = wallMs;
+  void recordStateChange(long wallMs, long nowMs) {
+    readmittedMachines.clear();
+    returnRateLimiter.restart(nowMs);
+    stateSinceWallMs = wallMs;
     if (state() == ZoneState.UNREACHABLE) {
-      lostMs = nowMs;
+      lastLostMs = nowMs;
     }
   }
 
@@ -75,37 +75,37 @@
    *
    * @return how many were taken back just now
    */
-  int admit(Iterable<Machine> machines, long nowMs) {
+  int updateUsableMachines(Iterable<Machine> machines, long nowMs) {
     if (state() != ZoneState.RETURNING) {
-      boolean closed = state() == ZoneState.UNREACHABLE;
-      machines.forEach(m -> m.setZoneOpen(!closed));
-      allBack = !closed;
+      boolean unreachable = state() == ZoneState.UNREACHABLE;
+      machines.forEach(machine -> machine.setZoneOpen(!unreachable));
+      allMachinesUsable = !unreachable;
       return 0;
     }
     if (evidence.lost() > 0) {
-      ramp.restart(nowMs);
+      returnRateLimiter.restart(nowMs);
     } else {
-      ramp.advance(nowMs);
+      returnRateLimiter.advance(nowMs);
     }
-    int before = takenBack.size();
-    allBack = true;
-    for (Machine m : machines) {
-      m.setZoneOpen(mayBeUsed(m));
-      allBack &= !m.zoneClosed();
+    int readmittedBefore = readmittedMachines.size();
+    allMachinesUsable = true;
+    for (Machine machine : machines) {
+      machine.setZoneOpen(tryReadmit(machine));
+      allMachinesUsable &= !machine.zoneClosed();
     }
-    return takenBack.size() - before;
+    return readmittedMachines.size() - readmittedBefore;
   }
 
   /** Only a machine that has reported under our token, and as fast as the ramp allows. */
-  private boolean mayBeUsed(Machine m) {
-    if (takenBack.contains(m.name())) {
+  private boolean tryReadmit(Machine machine) {
+    if (readmittedMachines.contains(machine.name())) {
       return true;
     }
-    if (!m.confirmedUnderToken() || ramp.available() < 1) {
+    if (!machine.confirmedUnderToken() || returnRateLimiter.availableMachines() < 1) {
       return false;
     }
-    ramp.take(1);
-    takenBack.add(m.name());
+    returnRateLimiter.consume(1);
+    readmittedMachines.add(machine.name());
     return true;
   }
 }
--- a/src/main/java/dev/windbend/zone/ZoneAvailability.java
+++ b/src/main/java/dev/windbend/zone/ZoneAvailability.java
@@ -5,7 +5,7 @@
 /** What scheduling, scale-out and machine health ask of the view of zones. */
 public interface ZoneAvailability {
   /** All zones are open, as where zones are not looked after. */
-  ZoneAvailability OPEN =
+  ZoneAvailability UNRESTRICTED =
       new ZoneAvailability() {
         @Override
         public int scaleOutLimit(int zone) {
@@ -13,22 +13,22 @@
         }
 
         @Override
-        public void scaledOut(int zone, int machines) {
+        public void recordScaleOut(int zone, int machines) {
           // nothing is counted
         }
 
         @Override
-        public boolean evacuates(int zone) {
+        public boolean isEvacuated(int zone) {
           return false;
         }
 
         @Override
-        public boolean displaced(Job job) {
+        public boolean isDisplaced(Job job) {
           return false;
         }
 
         @Override
-        public boolean unreachable(String zone) {
+        public boolean isUnreachable(String zone) {
           return false;
         }
       };
@@ -37,14 +37,14 @@
   int scaleOutLimit(int zone);
 
   /** So many machines were requested in the zone. */
-  void scaledOut(int zone, int machines);
+  void recordScaleOut(int zone, int machines);
 
   /** Lost machines of this zone are given up in the order of its evacuation. */
-  boolean evacuates(int zone);
+  boolean isEvacuated(int zone);
 
   /** Tasks of the job lost their machine with a zone, and have not run since. */
-  boolean displaced(Job job);
+  boolean isDisplaced(Job job);
 
   /** Jobs that may run in this zone only have to wait. */
-  boolean unreachable(String zone);
+  boolean isUnreachable(String zone);
 }
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -28,31 +28,31 @@
   private static final Logger LOG = LoggerFactory.getLogger(ZoneMonitor.class);
 
   /** The record's list of displaced jobs is renewed at most so often. */
-  private static final long RECORD_GAP_MS = 5_000;
+  private static final long RECORD_REFRESH_INTERVAL_MS = 5_000;
 
   /** So many machines are given up at once, so that a more urgent one need not wait for many. */
-  private static final int MOST_LEAVING = 100;
+  private static final int MAX_TERMINATING_MACHINES = 100;
 
   /** A controller that hears its own zone alone can't tell that so many others are lost. */
-  private static final int OTHERS_LOST = 2;
+  private static final int MIN_LOST_ZONES_FOR_ISOLATION = 2;
 
-  private static final int FEWEST_ZONES = 2;
+  private static final int MIN_MONITORED_ZONES = 2;
 
-  private static final double MS = 1_000;
+  private static final double MS_PER_SECOND = 1_000;
 
-  private final Place place;
+  private final Config config;
   private final ZonePolicy policy;
   private final EventLoop loop;
   private final Fleet fleet;
   private final MachineHealth health;
-  private final JobTimes times;
-  private final Records records;
+  private final JobTimes jobTimes;
+  private final RecordStore recordStore;
   private final ZoneMetrics metrics;
-  private final Displacements displacements;
-  private final EvacuationTasks evacuationTasks;
+  private final DisplacedJobs displacedJobs;
+  private final EvacuationTaskBuilder evacuationTaskBuilder;
   private final Map<Integer, Zone> zones = new TreeMap<>();
   private final long leaseMs;
-  private long recordedMs;
+  private long lastRecordRefreshMs;
 
   /** What is known of a job's times. */
   public interface JobTimes {
@@ -60,49 +60,56 @@
     long dueMs(Job job, long nowMs);
 
     /** How long a task of it runs, as estimated. */
-    long estimateMs(Job job);
+    long estimatedRunTimeMs(Job job);
 
     /** How long the machines it may run on take to boot, at most. */
-    long bootMs();
+    long maxBootMs();
   }
 
   /**
    * The state service, as the monitor needs it.
    *
-   * @param stored reads this node's copy of a key
-   * @param touch has a changed record written
+   * @param lookup reads this node's copy of a key
+   * @param enqueueWrite has a changed record written
    */
-  public record Records(Function<String, VersionedValue> stored, Consumer<PendingWrite> touch) {}
+  public record RecordStore(
+      Function<String, VersionedValue> lookup, Consumer<PendingWrite> enqueueWrite) {}
 
   /**
    * Where the monitor stands.
    *
    * @param ownZone the zone of this controller
    */
-  public record Place(int shard, int shards, String ownZone, double reportS, double leaseS) {}
+  public record Config(
+      int shard,
+      int shardCount,
+      String ownZone,
+      double heartbeatIntervalSeconds,
+      double leaseSeconds) {}
 
   public ZoneMonitor(
-      Place place,
+      Config config,
       ZonePolicy policy,
       EventLoop loop,
       Fleet fleet,
       MachineHealth health,
       JobRegistry jobs,
-      JobTimes times,
-      Records records,
+      JobTimes jobTimes,
+      RecordStore recordStore,
       ZoneMetrics metrics) {
-    this.place = place;
+    this.config = config;
     this.policy = policy;
     this.loop = loop;
     this.fleet = fleet;
     this.health = health;
-    this.times = times;
-    this.records = records;
+    this.jobTimes = jobTimes;
+    this.recordStore = recordStore;
     this.metrics = metrics;
-    this.displacements = new Displacements(jobs, metrics);
-    this.evacuationTasks = new EvacuationTasks(times);
-    this.leaseMs = (long) (MS * (place.leaseS() + 2 * place.reportS()));
-    this.recordedMs = loop.nowMs();
+    this.displacedJobs = new DisplacedJobs(jobs, metrics);
+    this.evacuationTaskBuilder = new EvacuationTaskBuilder(jobTimes);
+    this.leaseMs =
+        (long) (MS_PER_SECOND * (config.leaseSeconds() + 2 * config.heartbeatIntervalSeconds()));
+    this.lastRecordRefreshMs = loop.nowMs();
   }
 
   /**
@@ -110,28 +117,28 @@
    * elsewhere: then no zone is closed, whatever its record says, and machines are judged one by
    * one.
    */
-  public void takeOver(NameIndex zoneNames) {
-    long now = loop.nowMs();
+  public void recover(NameIndex zoneNames) {
+    long nowMs = loop.nowMs();
     for (int index = 0; index < zoneNames.size(); index++) {
       String name = zoneNames.name(index);
-      if (policy.watches(name)) {
-        zones.put(index, restored(index, name, now));
+      if (policy.isMonitored(name)) {
+        zones.put(index, restoreZone(index, name, nowMs));
       }
     }
-    if (zones.size() < FEWEST_ZONES) {
+    if (zones.size() < MIN_MONITORED_ZONES) {
       zones.clear();
     }
   }
 
-  private Zone restored(int index, String name, long now) {
-    String key = ZoneRecord.key(place.shard(), name);
-    VersionedValue stored = records.stored().apply(key);
+  private Zone restoreZone(int index, String name, long nowMs) {
+    String key = ZoneRecord.key(config.shard(), name);
+    VersionedValue stored = recordStore.lookup().apply(key);
     ZoneRecord record = ZoneRecord.read(stored);
-    Zone zone = new Zone(index, name, policy, new ZoneRecordWrite(key, record, stored), now);
+    Zone zone = new Zone(index, name, policy, new ZoneRecordWrite(key, record, stored), nowMs);
     if (record != null) {
-      zone.restore(record, loop.wallMs() - record.sinceWallMs(), now);
-      record.displaced().forEach(uid -> displacements.restore(uid, index, zone.lostMs()));
-      LOG.info("shard {}: zone {} was {} before", place.shard(), name, zone.state().label());
+      zone.restore(record, loop.wallMs() - record.stateSinceWallMs(), nowMs);
+      record.displacedUids().forEach(uid -> displacedJobs.restore(uid, index, zone.lastLostMs()));
+      LOG.info("shard {}: zone {} was {} before", config.shard(), name, zone.state().label());
     }
     return zone;
   }
@@ -139,164 +146,180 @@
   /**
    * Looks at all machines once.
    *
-   * @param sureSinceMs since when this owner has been able to hear and answer
+   * @param reachableSinceMs since when this owner has been able to hear and answer
    */
-  public void look(long now, long sureSinceMs) {
+  public void check(long nowMs, long reachableSinceMs) {
     if (zones.isEmpty()) {
       return;
     }
-    Map<Integer, List<Machine>> machines = machinesByZone();
-    weighEvidence(machines, now, sureSinceMs);
+    Map<Integer, List<Machine>> machinesByZone = groupMachinesByZone();
+    collectEvidence(machinesByZone, nowMs, reachableSinceMs);
     for (Zone zone : zones.values()) {
-      List<Machine> own = machines.getOrDefault(zone.index, List.of());
-      ZoneState before = zone.state();
-      if (zone.tracker.observe(zone.evidence, zone.allBack(), now)) {
-        changed(zone, before, now);
+      List<Machine> zoneMachines = machinesByZone.getOrDefault(zone.index, List.of());
+      ZoneState previousState = zone.state();
+      if (zone.stateMachine.observe(zone.evidence, zone.allMachinesUsable(), nowMs)) {
+        handleChange(zone, previousState, nowMs);
       }
-      metrics.takenBack(zone.admit(own, now));
+      metrics.recordReadmittedMachines(zone.updateUsableMachines(zoneMachines, nowMs));
       if (zone.state() == ZoneState.UNREACHABLE) {
-        evacuate(zone, own, now, sureSinceMs);
+        evacuate(zone, zoneMachines, nowMs, reachableSinceMs);
       }
     }
-    displacements.update(now);
-    if (now - recordedMs >= RECORD_GAP_MS) {
-      recordedMs = now;
-      zones.values().forEach(this::record);
+    displacedJobs.update(nowMs);
+    if (nowMs - lastRecordRefreshMs >= RECORD_REFRESH_INTERVAL_MS) {
+      lastRecordRefreshMs = nowMs;
+      zones.values().forEach(this::updateRecord);
     }
   }
 
-  private Map<Integer, List<Machine>> machinesByZone() {
-    Map<Integer, List<Machine>> all = new TreeMap<>();
-    for (Machine m : fleet.machines()) {
-      if (!m.returning()) {
-        all.computeIfAbsent(m.zone(), zone -> new ArrayList<>()).add(m);
+  private Map<Integer, List<Machine>> groupMachinesByZone() {
+    Map<Integer, List<Machine>> machinesByZone = new TreeMap<>();
+    for (Machine machine : fleet.machines()) {
+      if (!machine.terminating()) {
+        machinesByZone.computeIfAbsent(machine.zone(), zone -> new ArrayList<>()).add(machine);
       }
     }
-    return all;
+    return machinesByZone;
   }
 
   /** A zone is judged only from an elsewhere that is heard well. */
-  private void weighEvidence(Map<Integer, List<Machine>> machines, long now, long sureSinceMs) {
-    int heard = 0;
+  private void collectEvidence(
+      Map<Integer, List<Machine>> machinesByZone, long nowMs, long reachableSinceMs) {
+    int responsive = 0;
     int lost = 0;
-    int lostZones = 0;
-    boolean othersHeard = false;
+    int otherZonesLost = 0;
+    boolean anyOtherZoneResponsive = false;
     for (Zone zone : zones.values()) {
-      zone.evidence = count(machines.getOrDefault(zone.index, List.of()), now, sureSinceMs);
-      heard += zone.evidence.heard();
+      zone.evidence =
+          countMachines(
+              machinesByZone.getOrDefault(zone.index, List.of()), nowMs, reachableSinceMs);
+      responsive += zone.evidence.responsive();
       lost += zone.evidence.lost();
-      if (!zone.name.equals(place.ownZone())) {
-        othersHeard |= zone.evidence.heard() > 0;
-        lostZones += zone.evidence.zoneLost() ? 1 : 0;
+      if (!zone.name.equals(config.ownZone())) {
+        anyOtherZoneResponsive |= zone.evidence.responsive() > 0;
+        otherZonesLost += zone.evidence.isZoneLost() ? 1 : 0;
       }
     }
-    boolean ownAlone = !othersHeard && lostZones >= OTHERS_LOST;
+    boolean likelyIsolated =
+        !anyOtherZoneResponsive && otherZonesLost >= MIN_LOST_ZONES_FOR_ISOLATION;
     for (Zone zone : zones.values()) {
-      ZoneEvidence e = zone.evidence;
-      boolean elsewhereHeard = heard - e.heard() > lost - e.lost();
+      ZoneEvidence counts = zone.evidence;
+      boolean othersMostlyResponsive = responsive - counts.responsive() > lost - counts.lost();
       zone.evidence =
-          new ZoneEvidence(e.heard(), e.silent(), e.deaf(), ownAlone || !elsewhereHeard);
+          new ZoneEvidence(
+              counts.responsive(),
+              counts.silent(),
+              counts.unresponsive(),
+              likelyIsolated || !othersMostlyResponsive);
     }
   }
 
-  private ZoneEvidence count(List<Machine> machines, long now, long sureSinceMs) {
-    int heard = 0;
+  private ZoneEvidence countMachines(List<Machine> machines, long nowMs, long reachableSinceMs) {
+    int responsive = 0;
     int silent = 0;
-    int deaf = 0;
-    for (Machine m : machines) {
-      switch (health.condition(m, now, sureSinceMs)) {
-        case RESPONSIVE -> heard++;
+    int unresponsive = 0;
+    for (Machine machine : machines) {
+      switch (health.condition(machine, nowMs, reachableSinceMs)) {
+        case RESPONSIVE -> responsive++;
         case SILENT -> silent++;
-        case UNRESPONSIVE -> deaf++;
+        case UNRESPONSIVE -> unresponsive++;
         default -> {
           // it boots, and tells nothing
         }
       }
     }
-    return new ZoneEvidence(heard, silent, deaf, false);
+    return new ZoneEvidence(responsive, silent, unresponsive, false);
   }
 
-  private void changed(Zone zone, ZoneState before, long now) {
-    ZoneState after = zone.state();
-    if (before != after) {
+  private void handleChange(Zone zone, ZoneState previousState, long nowMs) {
+    ZoneState newState = zone.state();
+    if (previousState != newState) {
       LOG.info(
           "shard {}: zone {} {} -> {} ({}; lost on record of {} of {} other shards), losses {}",
-          place.shard(),
+          config.shard(),
           zone.name,
-          before.label(),
-          after.label(),
+          previousState.label(),
+          newState.label(),
           zone.evidence,
-          othersLost(zone),
-          place.shards() - 1,
-          zone.tracker.losses());
-      zone.entered(loop.wallMs(), now);
-      if (after == ZoneState.UNREACHABLE) {
-        metrics.lost(before == ZoneState.RETURNING);
+          countOtherShardsUnreachable(zone),
+          config.shardCount() - 1,
+          zone.stateMachine.losses());
+      zone.recordStateChange(loop.wallMs(), nowMs);
+      if (newState == ZoneState.UNREACHABLE) {
+        metrics.recordLoss(previousState == ZoneState.RETURNING);
       }
     }
-    record(zone);
+    updateRecord(zone);
   }
 
   /** Nothing is on record before the first loss and once its backoff has decayed. */
-  private void record(Zone zone) {
-    List<String> displaced = displacements.recorded(zone.index);
-    boolean nothing = zone.calm() && zone.tracker.losses() == 0 && displaced.isEmpty();
-    zone.write.want(
-        nothing
+  private void updateRecord(Zone zone) {
+    List<String> displacedUids = displacedJobs.uidsToRecord(zone.index);
+    boolean recordUnneeded =
+        zone.inNormalOperation() && zone.stateMachine.losses() == 0 && displacedUids.isEmpty();
+    zone.recordWrite.setDesired(
+        recordUnneeded
             ? null
-            : new ZoneRecord(zone.state(), zone.enteredWallMs(), zone.tracker.losses(), displaced));
-    if (zone.write.dirty()) {
-      records.touch().accept(zone.write);
+            : new ZoneRecord(
+                zone.state(), zone.stateSinceWallMs(), zone.stateMachine.losses(), displacedUids));
+    if (zone.recordWrite.dirty()) {
+      recordStore.enqueueWrite().accept(zone.recordWrite);
     }
   }
 
-  private int othersLost(Zone zone) {
-    int lost = 0;
-    for (int other = 0; other < place.shards(); other++) {
-      ZoneRecord record = ZoneRecord.read(records.stored().apply(ZoneRecord.key(other, zone.name)));
-      boolean says = record != null && record.state() == ZoneState.UNREACHABLE;
-      lost += other != place.shard() && says ? 1 : 0;
+  private int countOtherShardsUnreachable(Zone zone) {
+    int unreachableCount = 0;
+    for (int shard = 0; shard < config.shardCount(); shard++) {
+      ZoneRecord record =
+          ZoneRecord.read(recordStore.lookup().apply(ZoneRecord.key(shard, zone.name)));
+      boolean unreachable = record != null && record.state() == ZoneState.UNREACHABLE;
+      unreachableCount += shard != config.shard() && unreachable ? 1 : 0;
     }
-    return lost;
+    return unreachableCount;
   }
 
   // ---- evacuation
 
-  private void evacuate(Zone zone, List<Machine> machines, long now, long sureSinceMs) {
-    int room = MOST_LEAVING - fleet.returningCount();
-    if (room <= 0) {
+  private void evacuate(Zone zone, List<Machine> machines, long nowMs, long reachableSinceMs) {
+    int maxScaleIns = MAX_TERMINATING_MACHINES - fleet.terminatingCount();
+    if (maxScaleIns <= 0) {
       return;
     }
-    Map<String, Machine> byName = new TreeMap<>();
-    List<EvacuationPlan.Lost> lost = new ArrayList<>();
-    for (Machine m : machines) {
-      MachineHealth.Condition condition = health.condition(m, now, sureSinceMs);
-      boolean deaf = condition == MachineHealth.Condition.UNRESPONSIVE;
-      if (deaf || condition == MachineHealth.Condition.SILENT) {
-        long lastMs = deaf ? zone.tracker.sinceMs() : Math.max(m.lastHeartbeatMs(), sureSinceMs);
-        byName.put(m.name(), m);
-        lost.add(
-            new EvacuationPlan.Lost(
-                m.name(), lastMs + leaseMs, evacuationTasks.on(m, zone.name, now)));
+    Map<String, Machine> machinesByName = new TreeMap<>();
+    List<EvacuationPlan.LostMachine> lostMachines = new ArrayList<>();
+    for (Machine machine : machines) {
+      MachineHealth.Condition condition = health.condition(machine, nowMs, reachableSinceMs);
+      boolean unresponsive = condition == MachineHealth.Condition.UNRESPONSIVE;
+      if (unresponsive || condition == MachineHealth.Condition.SILENT) {
+        long lastRenewalMs =
+            unresponsive
+                ? zone.stateMachine.stateSinceMs()
+                : Math.max(machine.lastHeartbeatMs(), reachableSinceMs);
+        machinesByName.put(machine.name(), machine);
+        lostMachines.add(
+            new EvacuationPlan.LostMachine(
+                machine.name(),
+                lastRenewalMs + leaseMs,
+                evacuationTaskBuilder.tasksOn(machine, zone.name, nowMs)));
       }
     }
-    List<Machine> leaving =
-        EvacuationPlan.giveUp(lost, times.bootMs(), now).stream()
-            .limit(room)
-            .map(l -> byName.get(l.machine()))
+    List<Machine> toScaleIn =
+        EvacuationPlan.machinesToScaleIn(lostMachines, jobTimes.maxBootMs(), nowMs).stream()
+            .limit(maxScaleIns)
+            .map(l -> machinesByName.get(l.machine()))
             .toList();
-    if (!leaving.isEmpty()) {
-      metrics.evacuated(leaving.size());
-      fleet.scaleIn(leaving, "its zone " + zone.name + " is unreachable");
+    if (!toScaleIn.isEmpty()) {
+      metrics.recordEvacuatedMachines(toScaleIn.size());
+      fleet.scaleIn(toScaleIn, "its zone " + zone.name + " is unreachable");
     }
   }
 
   /** The cloud has confirmed that the machine is gone; its tasks are still noted on it. */
-  public void gone(Machine m) {
-    Zone zone = zones.get(m.zone());
-    if (zone != null && !zone.calm()) {
-      for (Placement p : m.tasks().values()) {
-        displacements.add(p.job(), zone.index, zone.lostMs());
+  public void machineTerminated(Machine machine) {
+    Zone zone = zones.get(machine.zone());
+    if (zone != null && !zone.inNormalOperation()) {
+      for (Placement placement : machine.tasks().values()) {
+        displacedJobs.add(placement.job(), zone.index, zone.lastLostMs());
       }
     }
   }
@@ -305,63 +328,63 @@
 
   @Override
   public int scaleOutLimit(int zone) {
-    Zone asked = zones.get(zone);
-    if (asked == null) {
+    Zone monitoredZone = zones.get(zone);
+    if (monitoredZone == null) {
       return Integer.MAX_VALUE;
     }
-    return switch (asked.state()) {
+    return switch (monitoredZone.state()) {
       case HEALTHY, DEGRADED -> Integer.MAX_VALUE;
-      case RETURNING -> asked.ramp.available();
+      case RETURNING -> monitoredZone.returnRateLimiter.availableMachines();
       case UNREACHABLE -> 0;
     };
   }
 
   @Override
-  public void scaledOut(int zone, int machines) {
-    Zone asked = zones.get(zone);
-    if (asked != null && asked.state() == ZoneState.RETURNING) {
-      asked.ramp.take(machines);
+  public void recordScaleOut(int zone, int machines) {
+    Zone monitoredZone = zones.get(zone);
+    if (monitoredZone != null && monitoredZone.state() == ZoneState.RETURNING) {
+      monitoredZone.returnRateLimiter.consume(machines);
     }
   }
 
   @Override
-  public boolean evacuates(int zone) {
-    Zone asked = zones.get(zone);
-    return asked != null && asked.state() == ZoneState.UNREACHABLE;
+  public boolean isEvacuated(int zone) {
+    Zone monitoredZone = zones.get(zone);
+    return monitoredZone != null && monitoredZone.state() == ZoneState.UNREACHABLE;
   }
 
   @Override
-  public boolean displaced(Job job) {
-    return displacements.contains(job);
+  public boolean isDisplaced(Job job) {
+    return displacedJobs.contains(job);
   }
 
   @Override
-  public boolean unreachable(String name) {
+  public boolean isUnreachable(String name) {
     return zones.values().stream()
         .anyMatch(z -> z.name.equals(name) && z.state() == ZoneState.UNREACHABLE);
   }
 
   /** How all zones stand, for operators. */
-  public List<ZoneStatus> status() {
-    long now = loop.nowMs();
-    List<ZoneStatus> all = new ArrayList<>();
+  public List<ZoneStatus> statuses() {
+    long nowMs = loop.nowMs();
+    List<ZoneStatus> statuses = new ArrayList<>();
     for (Zone zone : zones.values()) {
-      boolean lost = zone.state() == ZoneState.UNREACHABLE;
-      long returnMs = lost ? Math.max(0, zone.tracker.returnNotBeforeMs() - now) : 0;
-      all.add(
+      boolean unreachable = zone.state() == ZoneState.UNREACHABLE;
+      long returnInMs = unreachable ? Math.max(0, zone.stateMachine.earliestReturnMs() - nowMs) : 0;
+      statuses.add(
           new ZoneStatus(
-              place.shard(),
+              config.shard(),
               zone.name,
               zone.state(),
-              (long) ((now - zone.tracker.sinceMs()) / MS),
-              zone.evidence.heard(),
+              (long) ((nowMs - zone.stateMachine.stateSinceMs()) / MS_PER_SECOND),
+              zone.evidence.responsive(),
               zone.evidence.silent(),
-              zone.evidence.deaf(),
-              zone.tracker.losses(),
-              (long) Math.ceil(returnMs / MS),
-              othersLost(zone),
-              displacements.count(zone.index)));
+              zone.evidence.unresponsive(),
+              zone.stateMachine.losses(),
+              (long) Math.ceil(returnInMs / MS_PER_SECOND),
+              countOtherShardsUnreachable(zone),
+              displacedJobs.countInZone(zone.index)));
     }
-    return all;
+    return statuses;
   }
 }
--- a/src/main/java/dev/windbend/zone/ZoneRecord.java
+++ b/src/main/java/dev/windbend/zone/ZoneRecord.java
@@ -9,24 +9,24 @@
  * A zone as the owner of a shard last saw it, kept in the state service from its first loss until
  * its backoff has decayed, so that a successor goes on where its predecessor ended.
  *
- * @param sinceWallMs when the state was entered, by the time of day
+ * @param stateSinceWallMs when the state was entered, by the time of day
  * @param losses losses that still count for the backoff
- * @param displaced jobs of which tasks lost their machine there and have not run since
+ * @param displacedUids jobs of which tasks lost their machine there and have not run since
  */
 public record ZoneRecord(
     @JsonProperty("state") ZoneState state,
-    @JsonProperty("since_ms") long sinceWallMs,
+    @JsonProperty("since_ms") long stateSinceWallMs,
     @JsonProperty("losses") int losses,
-    @JsonProperty("displaced") List<String> displaced) {
+    @JsonProperty("displaced") List<String> displacedUids) {
   public ZoneRecord {
-    displaced = displaced == null ? List.of() : displaced;
+    displacedUids = displacedUids == null ? List.of() : displacedUids;
   }
 
   /** Below it: shard, then the zone. */
-  private static final String KEYS = "w/z/";
+  private static final String KEY_PREFIX = "w/z/";
 
   public static String key(int shard, String zone) {
-    return KEYS + shard + "/" + zone;
+    return KEY_PREFIX + shard + "/" + zone;
   }
 
   /** Null: no such record, or one of a later format. */
--- a/src/main/java/dev/windbend/zone/ZoneRecordWrite.java
+++ b/src/main/java/dev/windbend/zone/ZoneRecordWrite.java
@@ -7,52 +7,52 @@
 
 /** Keeps one zone's record in the state service; there is none while all is well. */
 final class ZoneRecordWrite extends RecordWrite {
-  private ZoneRecord wanted;
+  private ZoneRecord desired;
   private ZoneRecord stored;
-  private ZoneRecord underWay;
+  private ZoneRecord inFlightRecord;
   private long version;
 
   /**
    * @param record what the key holds, null: nothing that this version can read
-   * @param found the same as stored, null: there is none
+   * @param storedValue the same as stored, null: there is none
    */
-  ZoneRecordWrite(String key, ZoneRecord record, VersionedValue found) {
+  ZoneRecordWrite(String key, ZoneRecord record, VersionedValue storedValue) {
     super(key);
-    this.wanted = record;
+    this.desired = record;
     this.stored = record;
-    this.version = found == null ? 0 : found.version();
+    this.version = storedValue == null ? 0 : storedValue.version();
   }
 
   /** What the record has to say from now on; null: nothing. */
-  void want(ZoneRecord record) {
-    wanted = record;
+  void setDesired(ZoneRecord record) {
+    desired = record;
   }
 
   @Override
   protected boolean hasUnstoredChange() {
-    return !Objects.equals(wanted, stored);
+    return !Objects.equals(desired, stored);
   }
 
   @Override
-  protected void addChange(TransactionBuilder draft) {
-    underWay = wanted;
-    draft.ifVersion(key, version);
-    if (wanted == null) {
-      draft.delete(key);
+  protected void addChange(TransactionBuilder transaction) {
+    inFlightRecord = desired;
+    transaction.ifVersion(key, version);
+    if (desired == null) {
+      transaction.delete(key);
     } else {
-      draft.put(key, wanted);
+      transaction.put(key, desired);
     }
   }
 
   @Override
   protected void applied(long revision) {
-    stored = underWay;
+    stored = inFlightRecord;
     version = stored == null ? 0 : revision;
   }
 
   @Override
-  public void onConflict(String changedKey, VersionedValue now) {
-    stored = ZoneRecord.read(now);
-    version = now == null ? 0 : now.version();
+  public void onConflict(String changedKey, VersionedValue current) {
+    stored = ZoneRecord.read(current);
+    version = current == null ? 0 : current.version();
   }
 }
--- a/src/test/java/dev/windbend/daemon/ArgumentsTest.java
+++ b/src/test/java/dev/windbend/daemon/ArgumentsTest.java
@@ -20,9 +20,9 @@
     "--help --version,HELP,,",
     "--train-class-archive,TRAIN_CLASS_ARCHIVE,,",
   })
-  void reads(String words, Arguments.Action action, String config, String settings)
+  void parsesOptions(String commandLine, Arguments.Action action, String config, String settings)
       throws Arguments.InvalidArgumentsException {
-    Arguments arguments = Arguments.parse(words.split(" "));
+    Arguments arguments = Arguments.parse(commandLine.split(" "));
     assertThat(arguments.action()).isEqualTo(action);
     assertThat(String.valueOf(arguments.config().orElse(null))).isEqualTo(String.valueOf(config));
     assertThat(String.valueOf(arguments.settings().orElse(null)))
@@ -37,8 +37,8 @@
     "--config a.toml b.toml,Unknown option: 'b.toml'",
     "--quiet --config a.toml,Unknown option: '--quiet'",
   })
-  void namesWhatIsWrong(String words, String message) {
-    assertThatThrownBy(() -> Arguments.parse(words.split(" ")))
+  void rejectsInvalidCommandLineWithReason(String commandLine, String message) {
+    assertThatThrownBy(() -> Arguments.parse(commandLine.split(" ")))
         .isInstanceOf(Arguments.InvalidArgumentsException.class)
         .hasMessageContaining(message);
   }
--- a/src/test/java/dev/windbend/daemon/CommandLineTest.java
+++ b/src/test/java/dev/windbend/daemon/CommandLineTest.java
@@ -31,9 +31,9 @@
       """;
 
   /** How a process ended, and what it printed. */
-  private record Ended(int code, String out, String err) {}
+  private record ProcessResult(int exitCode, String standardOutput, String standardError) {}
 
-  private static Ended run(Path directory, String... arguments)
+  private static ProcessResult run(Path directory, String... arguments)
       throws IOException, InterruptedException {
     Path out = directory.resolve("out");
     Path err = directory.resolve("err");
@@ -52,54 +52,72 @@
     } finally {
       process.destroyForcibly();
     }
-    return new Ended(process.exitValue(), Files.readString(out), Files.readString(err));
+    return new ProcessResult(process.exitValue(), Files.readString(out), Files.readString(err));
   }
 
   @ParameterizedTest
   @CsvSource({"--help", "-h"})
-  void prints(String option, @TempDir Path directory) throws IOException, InterruptedException {
-    assertThat(run(directory, option)).isEqualTo(new Ended(0, HELP, ""));
+  void printsHelp(String option, @TempDir Path directory) throws IOException, InterruptedException {
+    assertThat(run(directory, option)).isEqualTo(new ProcessResult(0, HELP, ""));
   }
 
   @ParameterizedTest
   @CsvSource({"--version", "-V"})
-  void printsItsVersion(String option, @TempDir Path directory)
+  void printsVersion(String option, @TempDir Path directory)
       throws IOException, InterruptedException {
-    assertThat(run(directory, option)).isEqualTo(new Ended(0, "windbend (unpackaged)\n", ""));
+    assertThat(run(directory, option))
+        .isEqualTo(new ProcessResult(0, "windbend (unpackaged)\n", ""));
   }
 
   @Test
-  void endsWith2ForAWrongCommandLine(@TempDir Path directory)
+  void exitsWithCode2OnInvalidCommandLine(@TempDir Path directory)
       throws IOException, InterruptedException {
     assertThat(run(directory, "--quiet"))
-        .isEqualTo(new Ended(2, "", "windbend: Unknown option: '--quiet'\n" + HELP));
+        .isEqualTo(new ProcessResult(2, "", "windbend: Unknown option: '--quiet'\n" + HELP));
     assertThat(run(directory))
-        .isEqualTo(new Ended(2, "", "windbend: --config FILE is needed; see --help\n" + HELP));
+        .isEqualTo(
+            new ProcessResult(2, "", "windbend: --config FILE is needed; see --help\n" + HELP));
   }
 
   @Test
-  void endsWith2ForWrongSettings(@TempDir Path directory) throws IOException, InterruptedException {
-    Path toml = directory.resolve("a.toml");
-    Files.writeString(toml, SettingsKeysTest.PLATFORM.replace("size = 3", "size = 0"));
-    assertThat(run(directory, "--config", toml.toString()))
-        .isEqualTo(new Ended(2, "", "windbend: missing or invalid: facts.size\n"));
-    Files.writeString(toml, SettingsKeysTest.PLATFORM);
-    Path ini = directory.resolve("own.ini");
-    Files.writeString(ini, "[zone]\nenabled = yes\n");
-    assertThat(run(directory, "--config", toml.toString(), "--settings", ini.toString()))
+  void exitsWithCode2OnInvalidSettings(@TempDir Path directory)
+      throws IOException, InterruptedException {
+    Path platformSettingsFile = directory.resolve("a.toml");
+    Files.writeString(
+        platformSettingsFile, SettingsKeysTest.PLATFORM_TOML.replace("size = 3", "size = 0"));
+    assertThat(run(directory, "--config", platformSettingsFile.toString()))
+        .isEqualTo(new ProcessResult(2, "", "windbend: missing or invalid: facts.size\n"));
+    Files.writeString(platformSettingsFile, SettingsKeysTest.PLATFORM_TOML);
+    Path operatorSettingsFile = directory.resolve("own.ini");
+    Files.writeString(operatorSettingsFile, "[zone]\nenabled = yes\n");
+    assertThat(
+            run(
+                directory,
+                "--config",
+                platformSettingsFile.toString(),
+                "--settings",
+                operatorSettingsFile.toString()))
         .isEqualTo(
-            new Ended(2, "", "windbend: " + ini + ": [zone] enabled must be true or false: yes\n"));
+            new ProcessResult(
+                2,
+                "",
+                "windbend: "
+                    + operatorSettingsFile
+                    + ": [zone] enabled must be true or false: yes\n"));
   }
 
   @Test
-  void endsWith1IfItCanNotListen(@TempDir Path directory) throws IOException, InterruptedException {
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      Path toml = directory.resolve("a.toml");
-      String address = taken.getInetAddress().getHostAddress() + ":" + taken.getLocalPort();
-      Files.writeString(toml, SettingsKeysTest.PLATFORM.replace("10.0.0.1:8081", address));
-      Ended ended = run(directory, "--config", toml.toString());
-      assertThat(ended.code()).isEqualTo(1);
-      assertThat(ended.err()).contains("windbend: cannot start: ");
+  void exitsWithCode1IfListenAddressIsInUse(@TempDir Path directory)
+      throws IOException, InterruptedException {
+    try (ServerSocket occupiedPort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      Path platformSettingsFile = directory.resolve("a.toml");
+      String address =
+          occupiedPort.getInetAddress().getHostAddress() + ":" + occupiedPort.getLocalPort();
+      Files.writeString(
+          platformSettingsFile, SettingsKeysTest.PLATFORM_TOML.replace("10.0.0.1:8081", address));
+      ProcessResult result = run(directory, "--config", platformSettingsFile.toString());
+      assertThat(result.exitCode()).isEqualTo(1);
+      assertThat(result.standardError()).contains("windbend: cannot start: ");
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/ControllerTest.java
+++ b/src/test/java/dev/windbend/daemon/ControllerTest.java
@@ -10,7 +10,7 @@
 
 /** What a controller answers to single requests. */
 class ControllerTest {
-  private static final String JOB =
+  private static final String SUBMISSION =
       "{'uid':'wk-000001','fleet':'k','crew':'red','shape':'batch','urgency':'idle','drops':2,"
           + "'cores':1.0,'cards':0.0,'ram_gb':1.0,'load':'i','pull_gb':1.0,'rigs':null,"
           + "'yard':null,'together':false,'spread':false,'standby':true,'haul_s':5.0,"
@@ -25,11 +25,11 @@
     cluster.time.runUntil(4_000);
   }
 
-  private ClientResponse ask(int node, String method, String path, String body) {
+  private ClientResponse sendRequest(int controller, String method, String path, String body) {
     ClientResponse[] received = {ClientResponse.NO_RESPONSE};
     cluster.call(
         "users",
-        "n" + node + ":80",
+        "n" + controller + ":80",
         method,
         path,
         body.replace('\'', '"').getBytes(StandardCharsets.UTF_8),
@@ -53,8 +53,8 @@
     "POST,/v1/jobs,400",
     "POST,/hello,400",
   })
-  void answersPlainRequests(String method, String path, int status) {
-    assertThat(ask(0, method, path, "").status()).isEqualTo(status);
+  void returnsStatusForRequestWithoutBody(String method, String path, int status) {
+    assertThat(sendRequest(0, method, path, "").status()).isEqualTo(status);
   }
 
   @ParameterizedTest(name = "{0} -> {1}: {2}")
@@ -72,21 +72,23 @@
         "'drops':2,'drops':100000,201",
         "'drops':2,'drops':-2,400",
       })
-  void admitsOrRejectsSubmissions(String from, String to, int status) {
-    assertThat(JOB).contains(from);
-    assertThat(ask(1, "POST", "/v1/jobs", JOB.replace(from, to)).status()).isEqualTo(status);
+  void admitsOrRejectsSubmissions(String original, String replacement, int status) {
+    assertThat(SUBMISSION).contains(original);
+    assertThat(
+            sendRequest(1, "POST", "/v1/jobs", SUBMISSION.replace(original, replacement)).status())
+        .isEqualTo(status);
   }
 
   @Test
-  void knowsAJobOnEveryControllerAndForEver() {
-    assertThat(ask(0, "POST", "/v1/jobs", JOB).status()).isEqualTo(201);
-    assertThat(ask(1, "POST", "/v1/jobs", JOB).status()).isEqualTo(200);
-    assertThat(ask(2, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(200);
-    ClientResponse cancelled = ask(2, "POST", "/v1/jobs/wk-000001/cancel", "");
+  void everyControllerKnowsJobAfterItsEnd() {
+    assertThat(sendRequest(0, "POST", "/v1/jobs", SUBMISSION).status()).isEqualTo(201);
+    assertThat(sendRequest(1, "POST", "/v1/jobs", SUBMISSION).status()).isEqualTo(200);
+    assertThat(sendRequest(2, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(200);
+    ClientResponse cancelled = sendRequest(2, "POST", "/v1/jobs/wk-000001/cancel", "");
     assertThat(cluster.json(cancelled.body()).path("status").asText()).isEqualTo("aborted");
     cluster.time.runUntil(60_000);
-    for (int node = 0; node < 3; node++) {
-      ClientResponse response = ask(node, "POST", "/v1/jobs", JOB);
+    for (int controller = 0; controller < 3; controller++) {
+      ClientResponse response = sendRequest(controller, "POST", "/v1/jobs", SUBMISSION);
       assertThat(response.status()).isEqualTo(200);
       assertThat(cluster.json(response.body()).path("status").asText()).isEqualTo("aborted");
     }
@@ -94,32 +96,40 @@
 
   /** The largest job there may be: kept in few keys, asked about and cancelled like any other. */
   @Test
-  void keepsAJobOfAHundredThousandTasks() {
-    String largest = JOB.replace("'drops':2", "'drops':100000");
-    assertThat(ask(0, "POST", "/v1/jobs", largest).status()).isEqualTo(201);
+  void runsAndCancelsJobWith100000Tasks() {
+    String largest = SUBMISSION.replace("'drops':2", "'drops':100000");
+    assertThat(sendRequest(0, "POST", "/v1/jobs", largest).status()).isEqualTo(201);
     cluster.time.runUntil(60_000);
-    assertThat(cluster.json(ask(1, "GET", "/v1/jobs/wk-000001", "").body()).path("status").asText())
+    assertThat(
+            cluster
+                .json(sendRequest(1, "GET", "/v1/jobs/wk-000001", "").body())
+                .path("status")
+                .asText())
         .isEqualTo("running");
     assertThat(cluster.store.largestValue).as("bytes of a value").isLessThan(4096);
-    assertThat(ask(2, "POST", "/v1/jobs/wk-000001/cancel", "").status()).isEqualTo(200);
+    assertThat(sendRequest(2, "POST", "/v1/jobs/wk-000001/cancel", "").status()).isEqualTo(200);
     cluster.time.runUntil(120_000);
     assertThat(cluster.store.liveKeys("w/j/")).isZero();
-    assertThat(cluster.json(ask(0, "GET", "/v1/jobs/wk-000001", "").body()).path("status").asText())
+    assertThat(
+            cluster
+                .json(sendRequest(0, "GET", "/v1/jobs/wk-000001", "").body())
+                .path("status")
+                .asText())
         .isEqualTo("aborted");
   }
 
   @Test
-  void answersAtOnceThatItCanNotDecideInAnOutage() {
+  void returns503DuringStoreOutage() {
     cluster.store.outage = true;
-    assertThat(ask(0, "POST", "/v1/jobs", JOB).status()).isEqualTo(503);
-    assertThat(ask(0, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(503);
+    assertThat(sendRequest(0, "POST", "/v1/jobs", SUBMISSION).status()).isEqualTo(503);
+    assertThat(sendRequest(0, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(503);
     cluster.store.recover();
-    assertThat(ask(0, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(404);
+    assertThat(sendRequest(0, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(404);
   }
 
   /** Under load the record of an adoption is long in coming: the machine is dealt out once. */
   @Test
-  void adoptsAMachineOnceEvenIfTheRecordComesLate() {
+  void adoptsMachineOnceIfRecordWriteIsDelayed() {
     cluster.store.holdWrites = "w/h/";
     for (int i = 0; i < 5; i++) {
       cluster.boot("a", false);
@@ -140,8 +150,8 @@
             + "'tally':1,'baton':0,'recall_s':null,'drops':[{'drop':'wk-000001/0','run':1,"
             + "'status':'exited','cause':'done'}]}";
     int handled = 0;
-    for (int node = 0; node < 3; node++) {
-      ClientResponse response = ask(node, "POST", "/hello", staleHeartbeat);
+    for (int controller = 0; controller < 3; controller++) {
+      ClientResponse response = sendRequest(controller, "POST", "/hello", staleHeartbeat);
       if (response.status() == 200) {
         handled++;
         assertThat(cluster.json(response.body()).path("orders")).isEmpty();
--- a/src/test/java/dev/windbend/daemon/DeploymentSpecMapperTest.java
+++ b/src/test/java/dev/windbend/daemon/DeploymentSpecMapperTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 
 class DeploymentSpecMapperTest {
-  private static final OptionalDouble NONE = OptionalDouble.empty();
+  private static final OptionalDouble ABSENT = OptionalDouble.empty();
 
   private static Settings.Objective objective(
-      String kind, String jobKind, OptionalDouble withinSeconds, OptionalDouble factor) {
-    return new Settings.Objective(kind, jobKind, withinSeconds, factor);
+      String kind, String jobKind, OptionalDouble withinSeconds, OptionalDouble deadlineFactor) {
+    return new Settings.Objective(kind, jobKind, withinSeconds, deadlineFactor);
   }
 
-  private static DeploymentSpec map(double listLagSeconds, Settings.Objective... objectives) {
+  private static DeploymentSpec map(double maxListLagSeconds, Settings.Objective... objectives) {
     Settings.Deployment deployment =
         new Settings.Deployment(
             3,
@@ -24,12 +24,12 @@
             List.of(objectives),
             new Settings.Workers(5, 6, 7),
             new Settings.StateService(8, 9, 1.5, 10),
-            new Settings.Cloud(11, listLagSeconds));
+            new Settings.Cloud(11, maxListLagSeconds));
     return DeploymentSpecMapper.map(deployment, 4);
   }
 
   @Test
-  void mapsQuotasAndLimits() {
+  void mapsTeamQuotasAndServiceLimits() {
     DeploymentSpec spec = map(12);
     assertThat(spec.teams()).containsExactly(new DeploymentSpec.TeamQuota("team", 1, 2, 3, 4));
     assertThat(spec)
@@ -49,14 +49,14 @@
     DeploymentSpec.ServiceObjectives objectives =
         map(
                 1,
-                objective("finished", "train", OptionalDouble.of(30), NONE),
-                objective("finished", "train", OptionalDouble.of(10), NONE),
-                objective("deadline", "train", NONE, OptionalDouble.of(2)),
-                objective("deadline", "train", NONE, OptionalDouble.of(1)),
-                objective("wait", "train", OptionalDouble.of(5), NONE),
-                objective("wait", "train", OptionalDouble.of(7), NONE),
-                objective("wait", "train", OptionalDouble.of(6), NONE),
-                objective("guarantee", null, OptionalDouble.of(8), NONE))
+                objective("finished", "train", OptionalDouble.of(30), ABSENT),
+                objective("finished", "train", OptionalDouble.of(10), ABSENT),
+                objective("deadline", "train", ABSENT, OptionalDouble.of(2)),
+                objective("deadline", "train", ABSENT, OptionalDouble.of(1)),
+                objective("wait", "train", OptionalDouble.of(5), ABSENT),
+                objective("wait", "train", OptionalDouble.of(7), ABSENT),
+                objective("wait", "train", OptionalDouble.of(6), ABSENT),
+                objective("guarantee", null, OptionalDouble.of(8), ABSENT))
             .objectives();
     assertThat(objectives.finishWithinSeconds().get("train")).containsExactly(10, 30);
     assertThat(objectives.deadlineFactors().get("train")).containsExactly(1, 2);
@@ -65,17 +65,17 @@
   }
 
   @Test
-  void ignoresObjectivesThatLackWhatTheirKindNeeds() {
+  void ignoresObjectivesWithMissingFieldsOrUnknownKind() {
     DeploymentSpec.ServiceObjectives objectives =
         map(
                 1,
-                objective("finished", "train", NONE, OptionalDouble.of(1)),
-                objective("finished", null, OptionalDouble.of(1), NONE),
-                objective("deadline", "train", OptionalDouble.of(1), NONE),
-                objective("wait", null, OptionalDouble.of(1), NONE),
-                objective("guarantee", "train", NONE, OptionalDouble.of(1)),
+                objective("finished", "train", ABSENT, OptionalDouble.of(1)),
+                objective("finished", null, OptionalDouble.of(1), ABSENT),
+                objective("deadline", "train", OptionalDouble.of(1), ABSENT),
+                objective("wait", null, OptionalDouble.of(1), ABSENT),
+                objective("guarantee", "train", ABSENT, OptionalDouble.of(1)),
                 objective("other", "train", OptionalDouble.of(1), OptionalDouble.of(1)),
-                objective(null, null, NONE, NONE))
+                objective(null, null, ABSENT, ABSENT))
             .objectives();
     assertThat(objectives.finishWithinSeconds()).isEmpty();
     assertThat(objectives.deadlineFactors()).isEmpty();
--- a/src/test/java/dev/windbend/daemon/SettingsKeysTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsKeysTest.java
@@ -14,7 +14,7 @@
 class SettingsKeysTest {
   private static final List<String> ZONES = List.of("a", "b");
 
-  static final String PLATFORM =
+  static final String PLATFORM_TOML =
       """
       host_name = "mast-0"
       domain = "b"
@@ -69,8 +69,8 @@
 
   /** Each key of the platform's file; what is not known is ignored everywhere. */
   @Test
-  void readsEachKeyOfThePlatformsFile() throws InvalidSettingsException {
-    assertThat(SettingsReader.parse(PLATFORM))
+  void readsEveryPlatformSettingsKey() throws InvalidSettingsException {
+    assertThat(SettingsReader.parse(PLATFORM_TOML))
         .isEqualTo(
             new Settings(
                 "mast-0",
@@ -93,7 +93,7 @@
                     new Settings.Cloud(14.5, 15.5))));
   }
 
-  private static final Policy DEFAULTS =
+  private static final Policy DEFAULT_POLICY =
       new Policy(
           10_000,
           true,
@@ -106,7 +106,7 @@
 
   /** Each key of the operators' file; what is not known is ignored everywhere. */
   @Test
-  void readsEachKeyOfTheOperatorsFile() throws InvalidSettingsException {
+  void readsEveryOperatorSettingsKey() throws InvalidSettingsException {
     String ini =
         """
         [plan]
@@ -143,14 +143,14 @@
   }
 
   @Test
-  void hasTheseDefaults() throws InvalidSettingsException {
-    assertThat(OperatorSettings.parse("", ZONES)).isEqualTo(DEFAULTS);
-    assertThat(OperatorSettings.defaults()).isEqualTo(DEFAULTS);
+  void usesDefaultsForMissingOperatorSettings() throws InvalidSettingsException {
+    assertThat(OperatorSettings.parse("", ZONES)).isEqualTo(DEFAULT_POLICY);
+    assertThat(OperatorSettings.defaults()).isEqualTo(DEFAULT_POLICY);
   }
 
   /** The file in the repository says so of itself: the defaults, but for enabled. */
   @Test
-  void shipsAFileOfTheDefaults() throws InvalidSettingsException {
+  void shippedZoneSettingsFileContainsDefaults() throws InvalidSettingsException {
     Path file = Path.of("deploy", "zones.ini");
     ZonePolicy zones =
         new ZonePolicy(true, List.of(), 3_000, 3_000, 10_000, 300_000, 600_000, 5, 5_000);
--- a/src/test/java/dev/windbend/daemon/SettingsTest.java
+++ b/src/test/java/dev/windbend/daemon/SettingsTest.java
@@ -18,7 +18,7 @@
 class SettingsTest {
   private static final List<String> ZONES = List.of("a", "b");
 
-  private static final String GOOD =
+  private static final String VALID_TOML =
       """
       host_name = "mast-0"
       unknown = 7
@@ -47,9 +47,9 @@
       """;
 
   @Test
-  void readsThePlatformsFileAndIgnoresWhatItDoesNotKnow() throws InvalidSettingsException {
-    Settings settings = SettingsReader.parse(GOOD);
-    assertThat(settings.node()).isEqualTo("mast-0");
+  void readsPlatformSettingsAndIgnoresUnknownKeys() throws InvalidSettingsException {
+    Settings settings = SettingsReader.parse(VALID_TOML);
+    assertThat(settings.controllerName()).isEqualTo("mast-0");
     assertThat(settings.deployment().teams().get(0).maxCores()).isEqualTo(2);
     assertThat(settings.peers()).isEmpty();
   }
@@ -68,26 +68,30 @@
         "[facts.cloud]|[facts.clouds]|facts.cloud",
         "rps = 120.0|rps = = 1|not TOML",
       })
-  void saysWhatIsWrong(String from, String to, String named) {
-    assertThat(GOOD).contains(from);
-    assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace(from, to == null ? "" : to)))
+  void rejectsInvalidPlatformSettingsWithKey(
+      String original, String replacement, String expectedMessagePart) {
+    assertThat(VALID_TOML).contains(original);
+    assertThatThrownBy(
+            () ->
+                SettingsReader.parse(
+                    VALID_TOML.replace(original, replacement == null ? "" : replacement)))
         .isInstanceOf(InvalidSettingsException.class)
-        .hasMessageContaining(named);
+        .hasMessageContaining(expectedMessagePart);
   }
 
   /** A guest team: taken for a limit of no cores at all, every job of it was refused with 422. */
   @Test
-  void aLimitOfZeroIsNone() throws InvalidSettingsException {
+  void treatsZeroTeamLimitAsUnlimited() throws InvalidSettingsException {
     Settings settings =
         SettingsReader.parse(
-            GOOD.replace("cpus = 1.0", "cpus = 0.0").replace("_max = 2.0", "_max = 0.0"));
+            VALID_TOML.replace("cpus = 1.0", "cpus = 0.0").replace("_max = 2.0", "_max = 0.0"));
     assertThat(settings.deployment().teams().get(0).guaranteedCores()).isZero();
     assertThat(settings.deployment().teams().get(0).maxCores()).isInfinite();
     assertThat(settings.deployment().teams().get(0).maxGpus()).isInfinite();
   }
 
   @Test
-  void operatorsMaySetTheDesignsNumbers() throws InvalidSettingsException {
+  void operatorSettingsOverrideDefaults() throws InvalidSettingsException {
     Policy policy =
         OperatorSettings.parse("[plan]\nperiod_s = 5\nrounds_on_events = false\n", ZONES);
     assertThat(policy.cyclePeriodMs()).isEqualTo(5_000);
@@ -108,7 +112,7 @@
         "[zone]\nreturn_per_s = 0",
         "[zone]\nzones = a, nowhere",
       })
-  void operatorsMistakesAreNamed(String ini) {
+  void rejectsInvalidOperatorSettings(String ini) {
     assertThatThrownBy(() -> OperatorSettings.parse(ini, ZONES))
         .isInstanceOf(InvalidSettingsException.class)
         .hasMessageContaining("must be");
@@ -122,22 +126,22 @@
         "widen_s = 5000|[zone] widen_s must be a number from 1.0 to 3600.0: 5000",
         "zones = nowhere|[zone] zones must be zones of the deployment, which are a, b: nowhere",
       })
-  void mistakesOfZonesAreNamedInFull(String line, String message) {
+  void rejectsInvalidZoneSettingsWithFullMessage(String line, String message) {
     assertThatThrownBy(() -> OperatorSettings.parse("[zone]\n" + line, ZONES))
         .isInstanceOf(InvalidSettingsException.class)
         .hasMessage(message);
   }
 
   @Test
-  void zonesAreLookedAfterWhereTheFileSaysSo() throws InvalidSettingsException {
+  void enablesZoneMonitoringForListedZones() throws InvalidSettingsException {
     ZonePolicy zones = OperatorSettings.parse("[zone]\nenabled = true\nzones = b\n", ZONES).zones();
     assertThat(zones.enabled()).isTrue();
-    assertThat(zones.watched()).containsExactly("b");
+    assertThat(zones.monitoredZones()).containsExactly("b");
     assertThat(OperatorSettings.defaults().zones().enabled()).isFalse();
   }
 
   @Test
-  void aFormerNameIsAnsweredWithTheNewOne() {
+  void rejectsFormerSectionNameWithCurrentName() {
     assertThatThrownBy(() -> OperatorSettings.parse("[part]\nhold_s = 4", ZONES))
         .isInstanceOf(InvalidSettingsException.class)
         .hasMessageContaining("[shard]");
@@ -152,14 +156,15 @@
         "[plan]#rounds_on_events = 1|plan|rounds_on_events|true or false",
         "[zone]#zones = nowhere|zone|zones|zones of the deployment, which are a, b",
       })
-  void anOperatorsMistakeIsLocated(String ini, String section, String key, String accepted) {
+  void reportsSectionKeyAndExpectedValuesOfInvalidOperatorSetting(
+      String ini, String section, String key, String expected) {
     assertThatThrownBy(() -> OperatorSettings.parse(ini.replace('#', '\n'), ZONES))
         .isInstanceOfSatisfying(
             InvalidSettingsException.class,
             e -> {
               assertThat(e.section()).contains(section);
               assertThat(e.key()).contains(key);
-              assertThat(e.accepted()).contains(accepted);
+              assertThat(e.expected()).contains(expected);
               assertThat(e.file()).isEmpty();
             });
   }
@@ -175,10 +180,13 @@
         "lease_s = 30.0||facts.workers|lease_s|missing or invalid: facts.workers.lease_s",
         "peer_bind = \"10.0.0.1:8081\"|||peer_bind|missing or invalid: peer_bind (host:port)",
       })
-  void aMistakeOfThePlatformIsLocated(
-      String from, String to, String section, String key, String message) {
-    assertThat(GOOD).contains(from);
-    assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace(from, to == null ? "" : to)))
+  void reportsSectionAndKeyOfInvalidPlatformSetting(
+      String original, String replacement, String section, String key, String message) {
+    assertThat(VALID_TOML).contains(original);
+    assertThatThrownBy(
+            () ->
+                SettingsReader.parse(
+                    VALID_TOML.replace(original, replacement == null ? "" : replacement)))
         .isInstanceOfSatisfying(
             InvalidSettingsException.class,
             e -> {
@@ -189,7 +197,7 @@
   }
 
   @Test
-  void anOperatorsMistakeNamesTheFile(@TempDir Path directory) throws IOException {
+  void reportsFileOfInvalidOperatorSetting(@TempDir Path directory) throws IOException {
     Path file = Files.writeString(directory.resolve("own.ini"), "[plan]\nperiod_s = 0");
     assertThatThrownBy(() -> OperatorSettings.read(file, ZONES))
         .isInstanceOfSatisfying(
@@ -203,7 +211,7 @@
   }
 
   @Test
-  void aMissingFileIsNamed(@TempDir Path directory) {
+  void reportsMissingFile(@TempDir Path directory) {
     Path file = directory.resolve("none.toml");
     assertThatThrownBy(() -> SettingsReader.read(file))
         .isInstanceOfSatisfying(
--- a/src/test/java/dev/windbend/daemon/StoredDay.java
+++ b/src/test/java/dev/windbend/daemon/StoredDay.java
@@ -106,7 +106,7 @@
     add(record.cancelled() ? Kind.CANCELLED_LIVE_JOB : Kind.LIVE_JOB);
     addIf(record.spec().types() != null, Kind.JOB_WITH_TYPES);
     addIf(record.spec().zone() != null, Kind.JOB_WITH_ZONE);
-    addIf(record.spec().dueS() != null, Kind.JOB_WITH_DUE_TIME);
+    addIf(record.spec().dueSeconds() != null, Kind.JOB_WITH_DUE_TIME);
   }
 
   private void ended(String key, JobRecord.Ended record) {
@@ -125,11 +125,11 @@
             (id, value) -> {
               if (id.indexOf(BATCH_MARK) >= 0) {
                 JobRecord.PlacementBatch batch = read(id, value, JobRecord.PlacementBatch.class);
-                require(batch.attempt() > 0 && batch.front() != null, id);
-                require(batch.rest() != null && batch.placed() != null, id);
+                require(batch.attempt() > 0 && batch.namePrefix() != null, id);
+                require(batch.nameSuffixes() != null && batch.runData() != null, id);
                 add(Kind.PLACEMENTS);
               } else {
-                require(read(id, value, JobRecord.Piece.class).done() != null, id);
+                require(read(id, value, JobRecord.CompletedTasks.class).completed() != null, id);
                 add(Kind.DONE_TASKS);
               }
             });
@@ -137,7 +137,7 @@
 
   private void machines(String key, String shard, ScaleOutRecord record) {
     require(record.type() != null && record.zone() != null, key);
-    if (record.open()) {
+    if (record.unanswered()) {
       add(Kind.OPEN_RENTAL);
       return;
     }
@@ -146,8 +146,8 @@
   }
 
   private void zone(String key, ZoneRecord record) {
-    require(record.state() != null && record.sinceWallMs() > 0, key);
-    counts.merge(Kind.DISPLACED_JOBS, record.displaced().size(), Integer::sum);
+    require(record.state() != null && record.stateSinceWallMs() > 0, key);
+    counts.merge(Kind.DISPLACED_JOBS, record.displacedUids().size(), Integer::sum);
     addIf(record.state().label().equals("unreachable"), Kind.UNREACHABLE_ZONE);
   }
 
--- a/src/test/java/dev/windbend/job/JobRecordTest.java
+++ b/src/test/java/dev/windbend/job/JobRecordTest.java
@@ -48,7 +48,7 @@
       "types":["g8","t4"],"zone":"a","together":true,"spread":false,"spot":true,
       "estimateS":240.0,"checkpointS":30.0,"saveS":4.0,"dueS":900.0}""";
 
-  private static final JobSpec LEAST =
+  private static final JobSpec MINIMAL =
       new JobSpec(
           "wk-000001",
           "web",
@@ -70,7 +70,7 @@
           0.0,
           null);
 
-  private static final String LEAST_JSON =
+  private static final String MINIMAL_JSON =
       """
       {"uid":"wk-000001","kind":"web","team":"guests","urgency":"IDLE","tasks":1,
       "cores":1.0,"cards":0.0,"ram":0.0,"image":"img-01","imageGb":0.0,
@@ -80,22 +80,22 @@
   static Stream<Arguments> records() {
     return Stream.of(
         arguments("spec", FULL, FULL_JSON),
-        arguments("spec without what may be missing", LEAST, LEAST_JSON),
+        arguments("spec without what may be missing", MINIMAL, MINIMAL_JSON),
         arguments(
             "live job",
             new JobRecord.Live(FULL, 1_760_000_000_123L, true),
             "{\"spec\":" + FULL_JSON + ",\"at\":1760000000123,\"cancelled\":true}"),
         arguments(
             "live job without what may be missing",
-            new JobRecord.Live(LEAST, 0, false),
-            "{\"spec\":" + LEAST_JSON + ",\"at\":0,\"cancelled\":false}"),
+            new JobRecord.Live(MINIMAL, 0, false),
+            "{\"spec\":" + MINIMAL_JSON + ",\"at\":0,\"cancelled\":false}"),
         arguments("ended job", new JobRecord.Ended("done", 16), "{\"s\":\"done\",\"n\":16}"),
         arguments("ended job without status", new JobRecord.Ended(null, 0), "{\"n\":0}"));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("records")
-  void isStoredAs(String name, Object object, String json) {
+  void matchesStoredFormat(String name, Object object, String json) {
     assertPinned(object, json);
   }
 
@@ -103,10 +103,11 @@
     return Stream.of(
         arguments(
             "piece: tasks 0, 2 and 15 are done",
-            new JobRecord.Piece(new byte[] {5, (byte) 128}),
+            new JobRecord.CompletedTasks(new byte[] {5, (byte) 128}),
             "{\"d\":\"BYA=\"}"),
-        arguments("piece: no task is done", new JobRecord.Piece(new byte[0]), "{\"d\":\"\"}"),
-        arguments("piece without tasks", new JobRecord.Piece(null), "{}"),
+        arguments(
+            "piece: no task is done", new JobRecord.CompletedTasks(new byte[0]), "{\"d\":\"\"}"),
+        arguments("piece without tasks", new JobRecord.CompletedTasks(null), "{}"),
         arguments(
             "placement batch",
             new JobRecord.PlacementBatch(
@@ -132,22 +133,23 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("recordsWithArrays")
-  void isStoredAsWithArrays(String name, Object object, String json) {
+  void matchesStoredFormatOfArrays(String name, Object object, String json) {
     assertPinnedWithArrays(object, json);
   }
 
   @Test
-  void readsArraysBack() {
-    JobRecord.Piece piece = read("{\"d\":\"BYA=\"}", JobRecord.Piece.class);
-    assertThat(piece.done()).containsExactly(5, 128);
+  void readsStoredArrays() {
+    JobRecord.CompletedTasks completedTasks =
+        read("{\"d\":\"BYA=\"}", JobRecord.CompletedTasks.class);
+    assertThat(completedTasks.completed()).containsExactly(5, 128);
     JobRecord.PlacementBatch batch =
         read(
             "{\"a\":7,\"x\":\"host-0000\",\"m\":[\"12\",\"34\"],\"p\":[0,8,0,8,4,1]}",
             JobRecord.PlacementBatch.class);
     assertThat(batch.attempt()).isEqualTo(7);
-    assertThat(batch.front()).isEqualTo("host-0000");
-    assertThat(batch.rest()).containsExactly("12", "34");
-    assertThat(batch.placed()).containsExactly(0, 8, 0, 8, 4, 1);
+    assertThat(batch.namePrefix()).isEqualTo("host-0000");
+    assertThat(batch.nameSuffixes()).containsExactly("12", "34");
+    assertThat(batch.runData()).containsExactly(0, 8, 0, 8, 4, 1);
   }
 
   private static <T> T read(String json, Class<T> type) {
@@ -157,32 +159,32 @@
   /** Stored in capitals, though users write it in small letters. */
   @ParameterizedTest
   @CsvSource({"PRODUCTION,0", "URGENT,1", "STANDARD,2", "IDLE,3"})
-  void storesUrgencies(String stored, int rank) {
+  void storesUrgencyInUpperCase(String stored, int rank) {
     Urgency urgency = read("\"" + stored + "\"", Urgency.class);
     assertThat(urgency.rank()).isEqualTo(rank);
     assertWritten(urgency, "\"" + stored + "\"");
   }
 
   @Test
-  void knowsNoOtherUrgencies() {
+  void readsNoUrgencyInLowerCase() {
     assertThat(Urgency.values()).hasSize(4);
     assertThat(read("\"urgent\"", Urgency.class)).isNull();
   }
 
   /** A field that is missing or null is null, 0 or false. */
   @Test
-  void readsRecordsOfWhichFieldsAreMissing() {
-    JobSpec nothing =
+  void readsRecordsWithMissingFields() {
+    JobSpec empty =
         new JobSpec(
             null, null, null, null, 0, 0, 0, 0, null, 0, null, null, false, false, false, 0, 0, 0,
             null);
-    assertRead("{}", JobSpec.class, nothing);
+    assertRead("{}", JobSpec.class, empty);
     assertRead(
         """
         {"uid":null,"kind":null,"team":null,"urgency":null,"tasks":null,"cores":null,
         "types":null,"zone":null,"together":null,"dueS":null}""",
         JobSpec.class,
-        nothing);
+        empty);
     assertRead("{}", JobRecord.Live.class, new JobRecord.Live(null, 0, false));
     assertRead("{}", JobRecord.Ended.class, new JobRecord.Ended(null, 0));
   }
--- a/src/test/java/dev/windbend/job/SubmissionValidatorTest.java
+++ b/src/test/java/dev/windbend/job/SubmissionValidatorTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class SubmissionValidatorTest {
-  private static final String GOOD =
+  private static final String VALID =
       "{'uid':'wk-000412','fleet':'train','crew':'vision','shape':'batch','urgency':'urgent',"
           + "'drops':16,'cores':8.0,'cards':1.0,'ram_gb':64.0,'load':'img-07','pull_gb':6.2,"
           + "'rigs':['g8'],'yard':null,'together':true,'spread':false,'standby':true,"
@@ -30,25 +30,27 @@
   }
 
   @Test
-  void readsAGoodOneAndIgnoresUnknownFields() throws SubmissionValidator.Malformed {
-    JobSpec s = SubmissionValidator.read(json(GOOD));
-    assertThat(s.uid()).isEqualTo("wk-000412");
-    assertThat(s.tasks()).isEqualTo(16);
-    assertThat(s.types()).containsExactly("g8");
-    assertThat(s.zone()).isNull();
-    assertThat(s.dueS()).isEqualTo(900);
+  void readsValidSubmissionAndIgnoresUnknownFields()
+      throws SubmissionValidator.MalformedSubmissionException {
+    JobSpec spec = SubmissionValidator.parse(json(VALID));
+    assertThat(spec.uid()).isEqualTo("wk-000412");
+    assertThat(spec.tasks()).isEqualTo(16);
+    assertThat(spec.types()).containsExactly("g8");
+    assertThat(spec.zone()).isNull();
+    assertThat(spec.dueSeconds()).isEqualTo(900);
   }
 
   @Test
-  void takesMissingForNull() throws SubmissionValidator.Malformed {
-    assertThat(SubmissionValidator.read(json(GOOD.replace("'due_s':900.0,", ""))).dueS()).isNull();
+  void readsMissingOptionalFieldAsNull() throws SubmissionValidator.MalformedSubmissionException {
+    assertThat(SubmissionValidator.parse(json(VALID.replace("'due_s':900.0,", ""))).dueSeconds())
+        .isNull();
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "{", "[]", "7", "null", "'x'", "{}", "{} {}"})
-  void refusesWhatIsNoObject(String text) {
-    assertThatThrownBy(() -> SubmissionValidator.read(json(text)))
-        .isInstanceOf(SubmissionValidator.Malformed.class);
+  void rejectsBodyThatIsNotASubmission(String text) {
+    assertThatThrownBy(() -> SubmissionValidator.parse(json(text)))
+        .isInstanceOf(SubmissionValidator.MalformedSubmissionException.class);
   }
 
   @ParameterizedTest(name = "{0} -> {1}")
@@ -77,11 +79,11 @@
         "'due_s':900.0|'due_s':-1",
         "'crew':'vision',|",
       })
-  void refusesABadField(String from, String to) {
-    assertThat(GOOD).contains(from);
-    String bad = GOOD.replace(from, to == null ? "" : to);
-    assertThatThrownBy(() -> SubmissionValidator.read(json(bad)))
-        .isInstanceOf(SubmissionValidator.Malformed.class);
+  void rejectsInvalidField(String from, String to) {
+    assertThat(VALID).contains(from);
+    String invalid = VALID.replace(from, to == null ? "" : to);
+    assertThatThrownBy(() -> SubmissionValidator.parse(json(invalid)))
+        .isInstanceOf(SubmissionValidator.MalformedSubmissionException.class);
   }
 
   /** Each field: missing, null and of another type; a job that lacks one must not be accepted. */
@@ -108,39 +110,38 @@
     "stow_s, false",
     "due_s, true"
   })
-  void refusesAFieldThatIsMissingOrOfTheWrongType(String field, boolean mayBeNull)
-      throws Exception {
-    ObjectNode good = (ObjectNode) MAPPER.readTree(json(GOOD));
-    assertThat(good.has(field)).isTrue();
-    ObjectNode without = good.deepCopy();
+  void rejectsFieldThatIsMissingOrOfWrongType(String field, boolean optional) throws Exception {
+    ObjectNode valid = (ObjectNode) MAPPER.readTree(json(VALID));
+    assertThat(valid.has(field)).isTrue();
+    ObjectNode without = valid.deepCopy();
     without.remove(field);
-    for (ObjectNode lacks : List.of(without, good.deepCopy().putNull(field))) {
-      if (mayBeNull) {
-        assertThat(SubmissionValidator.read(MAPPER.writeValueAsBytes(lacks)).uid())
+    for (ObjectNode incomplete : List.of(without, valid.deepCopy().putNull(field))) {
+      if (optional) {
+        assertThat(SubmissionValidator.parse(MAPPER.writeValueAsBytes(incomplete)).uid())
             .isEqualTo("wk-000412");
       } else {
-        refuses(lacks, field);
+        assertRejected(incomplete, field);
       }
     }
-    for (JsonNode wrong :
+    for (JsonNode wrongValue :
         List.of(
             MAPPER.createObjectNode(),
             MAPPER.createArrayNode().add(MAPPER.createArrayNode()),
-            good.get(field).isTextual() || field.equals("yard")
+            valid.get(field).isTextual() || field.equals("yard")
                 ? IntNode.valueOf(7)
                 : TextNode.valueOf("x"),
             field.equals("yard") ? IntNode.valueOf(1) : DoubleNode.valueOf(-1.5))) {
-      ObjectNode bad = good.deepCopy();
-      bad.set(field, wrong);
-      refuses(bad, field);
+      ObjectNode invalid = valid.deepCopy();
+      invalid.set(field, wrongValue);
+      assertRejected(invalid, field);
     }
   }
 
-  private static void refuses(ObjectNode job, String field) throws Exception {
+  private static void assertRejected(ObjectNode job, String field) throws Exception {
     byte[] body = MAPPER.writeValueAsBytes(job);
-    assertThatThrownBy(() -> SubmissionValidator.read(body))
+    assertThatThrownBy(() -> SubmissionValidator.parse(body))
         .as(job.toString())
-        .isInstanceOf(SubmissionValidator.Malformed.class)
+        .isInstanceOf(SubmissionValidator.MalformedSubmissionException.class)
         .hasMessageContaining(field);
   }
 }
--- a/src/test/java/dev/windbend/job/TestJobs.java
+++ b/src/test/java/dev/windbend/job/TestJobs.java
@@ -5,7 +5,7 @@
   private TestJobs() {}
 
   /** Submitted at the time that its number says. */
-  public static Job job(int number, Urgency urgency) {
+  public static Job createJob(int number, Urgency urgency) {
     JobSpec spec =
         new JobSpec(
             "wk-%06d".formatted(number),
--- a/src/test/java/dev/windbend/job/UserMessagesTest.java
+++ b/src/test/java/dev/windbend/job/UserMessagesTest.java
@@ -72,13 +72,13 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
-  void isOnTheWireAs(String name, Object object, String json) {
+  void matchesWireFormat(String name, Object object, String json) {
     assertPinned(object, json);
   }
 
   /** A field of a submission that is not there differs from one that is null. */
   @Test
-  void readsSubmissionsOfWhichFieldsAreMissing() {
+  void readsSubmissionsWithMissingFields() {
     assertRead(
         "{\"yard\":null}",
         UserMessages.Submission.class,
@@ -107,14 +107,15 @@
 
   @ParameterizedTest
   @CsvSource({"production,0", "urgent,1", "standard,2", "idle,3"})
-  void readsUrgencies(String urgency, int rank) throws SubmissionValidator.Malformed {
+  void readsUrgencyInLowerCase(String urgency, int rank)
+      throws SubmissionValidator.MalformedSubmissionException {
     assertThat(spec(SUBMISSION.replace("\"urgent\"", "\"" + urgency + "\"")).urgency().rank())
         .isEqualTo(rank);
   }
 
   /** Each field of a submission goes where it belongs. */
   @Test
-  void acceptsASubmissionAsAJob() throws SubmissionValidator.Malformed {
+  void mapsSubmissionToJobSpec() throws SubmissionValidator.MalformedSubmissionException {
     assertThat(spec(SUBMISSION))
         .isEqualTo(
             new JobSpec(
@@ -140,12 +141,12 @@
   }
 
   @Test
-  void namesTheStatesOfJobs() {
-    assertThat(List.of(Statuses.PENDING, Statuses.RUNNING, Statuses.DONE, Statuses.CANCELLED))
+  void namesJobStatuses() {
+    assertThat(List.of(JobStatus.PENDING, JobStatus.RUNNING, JobStatus.DONE, JobStatus.CANCELLED))
         .containsExactly("pending", "running", "done", "aborted");
   }
 
-  private static JobSpec spec(String json) throws SubmissionValidator.Malformed {
-    return SubmissionValidator.read(json.getBytes(StandardCharsets.UTF_8));
+  private static JobSpec spec(String json) throws SubmissionValidator.MalformedSubmissionException {
+    return SubmissionValidator.parse(json.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/src/test/java/dev/windbend/machine/CloudMessagesTest.java
+++ b/src/test/java/dev/windbend/machine/CloudMessagesTest.java
@@ -31,20 +31,21 @@
             {"hire":"r-17","rig":"g8","yard":"a","standby":true,"how_many":12}"""),
         arguments(
             "machines rented or given back",
-            new CloudMessages.Machines(List.of("host-000231", "host-000232")),
+            new CloudMessages.InstanceNames(List.of("host-000231", "host-000232")),
             """
             {"trucks":["host-000231","host-000232"]}"""),
         arguments(
             "list of machines",
-            new CloudMessages.Listing(
-                List.of(new CloudMessages.Listed("host-000231", "g8", "a", true, "running", 61.5)),
+            new CloudMessages.InstancePage(
+                List.of(
+                    new CloudMessages.Instance("host-000231", "g8", "a", true, "running", 61.5)),
                 true),
             """
             {"trucks":[{"uid":"host-000231","rig":"g8","yard":"a","standby":true,
             "status":"running","age_s":61.5}],"has_next":true}"""),
         arguments(
             "empty list of machines",
-            new CloudMessages.Listing(List.of(), false),
+            new CloudMessages.InstancePage(List.of(), false),
             """
             {"trucks":[],"has_next":false}"""),
         arguments(
@@ -73,21 +74,21 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
-  void isOnTheWireAs(String name, Object object, String json) {
+  void matchesPinnedJson(String name, Object object, String json) {
     assertPinned(object, json);
   }
 
   @Test
-  void readsMessagesOfWhichFieldsAreMissing() {
+  void readsMessagesWithMissingFields() {
     assertRead("{}", CloudMessages.Types.class, new CloudMessages.Types(null));
     assertRead(
         "{}", CloudMessages.Type.class, new CloudMessages.Type(null, 0, 0, 0, 0, 0, 0, 0, 0, null));
-    assertRead("{}", CloudMessages.Machines.class, new CloudMessages.Machines(null));
-    assertRead("{}", CloudMessages.Listing.class, new CloudMessages.Listing(null, false));
+    assertRead("{}", CloudMessages.InstanceNames.class, new CloudMessages.InstanceNames(null));
+    assertRead("{}", CloudMessages.InstancePage.class, new CloudMessages.InstancePage(null, false));
     assertRead(
         "{}",
-        CloudMessages.Listed.class,
-        new CloudMessages.Listed(null, null, null, false, null, 0));
+        CloudMessages.Instance.class,
+        new CloudMessages.Instance(null, null, null, false, null, 0));
     assertRead(
         "{\"machines\":null,\"fence\":null}",
         ScaleOutRecord.class,
@@ -97,7 +98,7 @@
         """
         {"uid":"host-000231","addr":"10.1.0.232:9000","rig":"g8","yard":"a","standby":true,
         "status":"booting","age_s":61}""",
-        CloudMessages.Listed.class,
-        new CloudMessages.Listed("host-000231", "g8", "a", true, "booting", 61));
+        CloudMessages.Instance.class,
+        new CloudMessages.Instance("host-000231", "g8", "a", true, "booting", 61));
   }
 }
--- a/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
+++ b/src/test/java/dev/windbend/overload/ConcurrencyLimiterTest.java
@@ -21,7 +21,7 @@
 
   @AfterEach
   void assertNoTimersSet() {
-    assertThat(loop.waiting).isEmpty();
+    assertThat(loop.pendingTasks).isEmpty();
   }
 
   @Test
--- a/src/test/java/dev/windbend/plan/DecisionTraceTest.java
+++ b/src/test/java/dev/windbend/plan/DecisionTraceTest.java
@@ -88,7 +88,7 @@
     job(
         draft -> {
           draft.imageGb = 9;
-          draft.estimateMs = 10_000;
+          draft.estimatedRunTimeMs = 10_000;
           draft.startByMs = NOW + 5_000;
         });
     machine(0, true, 0, running(8, 2, 2, -1));
--- a/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
+++ b/src/test/java/dev/windbend/plan/DisplacedPrecedenceTest.java
@@ -21,7 +21,7 @@
           draft.tasks = waiting;
           draft.waiting = waiting;
           draft.dueMs = NOW + dueInMs;
-          draft.estimateMs = estimateMs;
+          draft.estimatedRunTimeMs = estimateMs;
           draft.ageMs = 60_000;
           draft.everStarted = true;
           draft.displaced = true;
@@ -79,7 +79,7 @@
           draft.rank = 1;
           draft.resources = new Resources(cores, 0, 1);
           draft.zone = zone;
-          draft.estimateMs = 6_000;
+          draft.estimatedRunTimeMs = 6_000;
           draft.dueMs = NOW + 6_000;
           draft.displaced = isDisplaced;
           draft.unattainable = hopeless;
@@ -122,7 +122,7 @@
         draft -> {
           draft.rank = 2;
           draft.resources = new Resources(4, 0, 1);
-          draft.estimateMs = 4_000;
+          draft.estimatedRunTimeMs = 4_000;
           draft.displaced = true;
           draft.starved = true;
         });
@@ -138,7 +138,7 @@
         draft -> {
           draft.rank = 1;
           draft.resources = WHOLE_MACHINE;
-          draft.estimateMs = 60_000;
+          draft.estimatedRunTimeMs = 60_000;
           draft.dueMs = NOW + 95_000;
           draft.displaced = true;
           draft.unattainable = hopeless;
@@ -158,7 +158,7 @@
           draft.rank = 1;
           draft.resources = WHOLE_MACHINE;
           draft.imageGb = 9;
-          draft.estimateMs = 10_000;
+          draft.estimatedRunTimeMs = 10_000;
           draft.startByMs = NOW + 5_000;
           draft.displaced = true;
         });
--- a/src/test/java/dev/windbend/plan/PlannerFixture.java
+++ b/src/test/java/dev/windbend/plan/PlannerFixture.java
@@ -49,7 +49,7 @@
     int tasks = 1;
     int waiting = 1;
     int[] placedPerZone = new int[2];
-    long estimateMs = 9;
+    long estimatedRunTimeMs = 9;
     long dueMs = NOW + 30_000;
     boolean unattainable;
     boolean guaranteed;
@@ -63,7 +63,7 @@
       return new PendingJob(
           0,
           rank,
-          new PendingJob.Requirements(resources, 7, imageGb, estimateMs),
+          new PendingJob.Requirements(resources, 7, imageGb, estimatedRunTimeMs),
           new PendingJob.Constraints(types, zone, colocated, spread, spot, 0, new IntOpenHashSet()),
           new PendingJob.Progress(
               tasks, waiting, placedPerZone, ageMs, everStarted, starved, displaced),
@@ -92,7 +92,7 @@
           d.resources = new Resources(cores, 0, 1);
           d.tasks = waiting;
           d.waiting = waiting;
-          d.estimateMs = estimateS * 1000;
+          d.estimatedRunTimeMs = estimateS * 1000;
           d.dueMs = NOW + dueInS * 1000;
         });
   }
--- a/src/test/java/dev/windbend/plan/PlannerScalingTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerScalingTest.java
@@ -74,7 +74,7 @@
     job(
         d -> {
           d.resources = new Resources(8, 0, 1);
-          d.estimateMs = 10_000;
+          d.estimatedRunTimeMs = 10_000;
           d.dueMs = NOW + due * 1000;
           d.guaranteed = is;
         });
--- a/src/test/java/dev/windbend/plan/PlannerTest.java
+++ b/src/test/java/dev/windbend/plan/PlannerTest.java
@@ -69,7 +69,7 @@
         d -> {
           d.rank = 1;
           d.resources = WHOLE_MACHINE;
-          d.estimateMs = 20_000;
+          d.estimatedRunTimeMs = 20_000;
           d.dueMs = NOW + 60_000;
           d.startByMs = NOW + 1_000 * startInS;
         });
@@ -118,7 +118,7 @@
           d.resources = new Resources(8, 0, 1);
           d.tasks = tasks;
           d.waiting = tasks;
-          d.estimateMs = 60_000;
+          d.estimatedRunTimeMs = 60_000;
           d.dueMs = NOW - 1;
           d.unattainable = true;
           d.ageMs = ageS * 1000;
@@ -165,7 +165,7 @@
         d -> {
           d.resources = new Resources(8, 0, 1);
           d.imageGb = 8;
-          d.estimateMs = 10_000;
+          d.estimatedRunTimeMs = 10_000;
           d.startByMs = counts ? NOW + 5_000 : 0;
         });
     machine(0, true, 0, running(8, freeIn, 2, 5));
@@ -231,7 +231,7 @@
           d.resources = new Resources(8, 0, 1);
           d.tasks = 3;
           d.waiting = 3;
-          d.estimateMs = 5_000_000;
+          d.estimatedRunTimeMs = 5_000_000;
           d.dueMs = NOW + 6_000_000;
           d.starved = starved;
         });
--- a/src/test/java/dev/windbend/plan/RunTimeEstimatesTest.java
+++ b/src/test/java/dev/windbend/plan/RunTimeEstimatesTest.java
@@ -10,14 +10,14 @@
   @Test
   void usesTheMeanOfTheLastTwoOfTheSameUserAndElseTheOwnFigure() {
     RunTimeEstimates estimates = new RunTimeEstimates();
-    assertThat(estimates.estimateSeconds("a", 50)).isEqualTo(50);
+    assertThat(estimates.estimatedRunTimeSeconds("a", 50)).isEqualTo(50);
     estimates.recordRunTime("a", 10);
-    assertThat(estimates.estimateSeconds("a", 50)).isEqualTo(50);
+    assertThat(estimates.estimatedRunTimeSeconds("a", 50)).isEqualTo(50);
     estimates.recordRunTime("a", 20);
-    assertThat(estimates.estimateSeconds("a", 50)).isEqualTo(15);
+    assertThat(estimates.estimatedRunTimeSeconds("a", 50)).isEqualTo(15);
     estimates.recordRunTime("a", 40);
-    assertThat(estimates.estimateSeconds("a", 50)).isEqualTo(30);
-    assertThat(estimates.estimateSeconds("b", 50)).isEqualTo(50);
+    assertThat(estimates.estimatedRunTimeSeconds("a", 50)).isEqualTo(30);
+    assertThat(estimates.estimatedRunTimeSeconds("b", 50)).isEqualTo(50);
   }
 
   @ParameterizedTest
--- a/src/test/java/dev/windbend/plan/StarvationTest.java
+++ b/src/test/java/dev/windbend/plan/StarvationTest.java
@@ -29,7 +29,7 @@
   private static final int IMAGE = 7;
 
   /** A stream that always has more tasks than room. */
-  private record TaskStream(int cores, int rank, long estimateMs) {}
+  private record TaskStream(int cores, int rank, long estimatedRunTimeMs) {}
 
   /** A task of the stream that runs. */
   private record RunningStreamTask(long endMs, TaskStream stream, long startedMs) {}
@@ -121,7 +121,7 @@
   }
 
   private RunningStreamTask running(TaskStream stream, long nowMs) {
-    long runMs = (long) (stream.estimateMs() * (0.7 + 0.6 * random.nextDouble()));
+    long runMs = (long) (stream.estimatedRunTimeMs() * (0.7 + 0.6 * random.nextDouble()));
     return new RunningStreamTask(nowMs + runMs, stream, nowMs);
   }
 
@@ -153,12 +153,12 @@
   private static PendingJob pending(
       TaskStream stream, int waiting, long submittedMs, long ageMs, boolean begun) {
     Resources size = new Resources(stream.cores(), 0, 1);
-    long dueMs = submittedMs + 2 * stream.estimateMs();
-    boolean hopeless = submittedMs + ageMs + stream.estimateMs() > dueMs;
+    long dueMs = submittedMs + 2 * stream.estimatedRunTimeMs();
+    boolean hopeless = submittedMs + ageMs + stream.estimatedRunTimeMs() > dueMs;
     return new PendingJob(
         0,
         stream.rank(),
-        new PendingJob.Requirements(size, IMAGE, 0, stream.estimateMs()),
+        new PendingJob.Requirements(size, IMAGE, 0, stream.estimatedRunTimeMs()),
         new PendingJob.Constraints(null, -1, false, false, true, 0, new IntOpenHashSet()),
         new PendingJob.Progress(
             waiting, waiting, new int[2], ageMs, begun, ageMs >= STARVED_AFTER_MS, false),
--- a/src/test/java/dev/windbend/runtime/ManualEventLoop.java
+++ b/src/test/java/dev/windbend/runtime/ManualEventLoop.java
@@ -8,7 +8,7 @@
   public long nowMs;
 
   /** Tasks of timers that have not fired yet, whenever they are due. */
-  public final List<Runnable> waiting = new ArrayList<>();
+  public final List<Runnable> pendingTasks = new ArrayList<>();
 
   public ManualEventLoop(long nowMs) {
     this.nowMs = nowMs;
@@ -26,14 +26,14 @@
 
   @Override
   public Timer after(long delayMs, Runnable task) {
-    waiting.add(task);
-    return () -> waiting.remove(task);
+    pendingTasks.add(task);
+    return () -> pendingTasks.remove(task);
   }
 
   /** Runs what waits now; what that asks for waits on. */
-  public void fire() {
-    List<Runnable> due = List.copyOf(waiting);
-    waiting.clear();
+  public void runPendingTasks() {
+    List<Runnable> due = List.copyOf(pendingTasks);
+    pendingTasks.clear();
     due.forEach(Runnable::run);
   }
 }
--- a/src/test/java/dev/windbend/runtime/ManualHttpClient.java
+++ b/src/test/java/dev/windbend/runtime/ManualHttpClient.java
@@ -13,7 +13,7 @@
   public final List<String> addresses = new ArrayList<>();
 
   /** Takes the answer to each call, oldest first. */
-  public final List<Consumer<ClientResponse>> calls = new ArrayList<>();
+  public final List<Consumer<ClientResponse>> responseCallbacks = new ArrayList<>();
 
   @Override
   public void call(
@@ -21,10 +21,10 @@
       String method,
       String path,
       byte[] body,
-      long limitMs,
+      long timeoutMs,
       Consumer<ClientResponse> done) {
     addresses.add(address);
     paths.add(path);
-    calls.add(done);
+    responseCallbacks.add(done);
   }
 }
--- a/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
+++ b/src/test/java/dev/windbend/shard/ControllerLeaseTest.java
@@ -23,7 +23,7 @@
 
   private void respond(int call, int status, String body) {
     httpClient
-        .calls
+        .responseCallbacks
         .get(call)
         .accept(new ClientResponse(status, body.getBytes(StandardCharsets.UTF_8)));
   }
@@ -34,7 +34,7 @@
 
   private void advance(long ms) {
     loop.nowMs += ms;
-    loop.fire();
+    loop.runPendingTasks();
   }
 
   /**
@@ -90,7 +90,7 @@
     grant(0, 7);
     advance(RENEWAL_MS);
     respond(1, 503, "{}");
-    assertThat(loop.waiting).as("one timer only").hasSize(1);
+    assertThat(loop.pendingTasks).as("one timer only").hasSize(1);
     advance(300);
     assertThat(httpClient.paths).containsExactly("/holds", "/holds/7/renew", "/holds/7/renew");
   }
--- a/src/test/java/dev/windbend/shard/FailoverRampUpTest.java
+++ b/src/test/java/dev/windbend/shard/FailoverRampUpTest.java
@@ -38,7 +38,7 @@
   void jobLimitDoublesEachCycleAndMostUrgentJobsAreFirst() {
     List<Job> waiting = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      waiting.add(TestJobs.job(i, i < 50 ? Urgency.STANDARD : Urgency.URGENT));
+      waiting.add(TestJobs.createJob(i, i < 50 ? Urgency.STANDARD : Urgency.URGENT));
     }
     List<Integer> sizes = new ArrayList<>();
     assertThat(rampUp.nextCycleJobs(waiting)).allMatch(j -> j.spec().urgency() == Urgency.URGENT);
--- a/src/test/java/dev/windbend/shard/MachineTransfersTest.java
+++ b/src/test/java/dev/windbend/shard/MachineTransfersTest.java
@@ -41,7 +41,7 @@
         public void recordChanged(PendingWrite record) {}
 
         @Override
-        public void machineGone(Machine machine) {}
+        public void machineTerminated(Machine machine) {}
 
         @Override
         public void fleetChanged() {}
@@ -72,8 +72,8 @@
     }
     ScaleOutRecord scaleOut = new ScaleOutRecord("t", "a", true, 10, names, null);
     MachineIndex machineIndex = new MachineIndex();
-    String key = ScaleOutRecord.prefix(0) + "h";
-    machineIndex.changed(key, new VersionedValue(Json.tree(scaleOut), 5));
+    String key = ScaleOutRecord.shardPrefix(0) + "h";
+    machineIndex.recordChanged(key, new VersionedValue(Json.tree(scaleOut), 5));
     fleet.restore("h", scaleOut, 5, machineIndex, false);
     fleet.machines().forEach(MachineTransfersTest::confirmUnderToken);
     transfers = new MachineTransfers(0, loop, fleet, 40, (shard, request, done) -> {});
@@ -97,7 +97,7 @@
   }
 
   private long reservedCount(int shard) {
-    return fleet.machines().stream().filter(m -> m.promisedTo() == shard).count();
+    return fleet.machines().stream().filter(m -> m.reservedForShard() == shard).count();
   }
 
   @ParameterizedTest(
@@ -158,8 +158,8 @@
   void keepsRecentlyReceivedMachine() {
     ScaleOutRecord record = new ScaleOutRecord("t", "a", true, 1, List.of("received"), 6L);
     MachineIndex machineIndex = new MachineIndex();
-    String key = ScaleOutRecord.prefix(0) + "g";
-    machineIndex.changed(key, new VersionedValue(Json.tree(record), 6));
+    String key = ScaleOutRecord.shardPrefix(0) + "g";
+    machineIndex.recordChanged(key, new VersionedValue(Json.tree(record), 6));
     Fleet fleetWithReceivedMachine = new Fleet(loop, cloud, catalog, 0, 7, listener);
     fleetWithReceivedMachine.restore("g", record, 6, machineIndex, false);
     fleetWithReceivedMachine.machines().forEach(MachineTransfersTest::confirmUnderToken);
--- a/src/test/java/dev/windbend/store/GroupCommitterTest.java
+++ b/src/test/java/dev/windbend/store/GroupCommitterTest.java
@@ -158,7 +158,7 @@
 
   private void runCommitsFor(long ms) {
     for (long passed = 0; passed <= ms; passed += PAUSE_MS) {
-      loop.fire();
+      loop.runPendingTasks();
       committer.commitDue();
       loop.nowMs += PAUSE_MS;
     }
--- a/src/test/java/dev/windbend/store/PagedStoreTest.java
+++ b/src/test/java/dev/windbend/store/PagedStoreTest.java
@@ -80,21 +80,21 @@
   }
 
   private final Map<String, VersionedValue> store = new LinkedHashMap<>();
-  private final List<CounterEntry> counters = new ArrayList<>();
+  private final List<CounterEntry> createCounters = new ArrayList<>();
   private final PagedStore pages = new PagedStore("w/p/0/", MAX_VALUE_BYTES, 8);
   private long revision;
 
   @BeforeEach
   void createCounters() {
     for (int i = 0; i < 20; i++) {
-      counters.add(new CounterEntry("c" + i, 100));
+      createCounters.add(new CounterEntry("c" + i, 100));
     }
   }
 
   private void change(int... which) {
     for (int i : which) {
-      counters.get(i).value++;
-      pages.markChanged(counters.get(i));
+      createCounters.get(i).value++;
+      pages.markChanged(createCounters.get(i));
     }
   }
 
@@ -139,7 +139,7 @@
 
   private void assertNextLeaderRestoresAll() {
     Map<String, JsonNode> found = new PagedStore("w/p/0/", MAX_VALUE_BYTES, 8).restore(store);
-    for (CounterEntry c : counters) {
+    for (CounterEntry c : createCounters) {
       if (c.storedValue > 0 && !c.obsolete) {
         assertThat(found.get(c.id).asText()).as(c.id).isEqualTo(c.snapshot());
       }
@@ -193,10 +193,10 @@
     writeAll();
     PagedStore next = new PagedStore("w/p/0/", MAX_VALUE_BYTES, 8);
     next.restore(store);
-    counters.forEach(next::adopt);
+    createCounters.forEach(next::adopt);
     next.finishRestore();
-    counters.get(1).value++;
-    next.markChanged(counters.get(1));
+    createCounters.get(1).value++;
+    next.markChanged(createCounters.get(1));
     TransactionBuilder d = new TransactionBuilder();
     next.addTo(d);
     assertThat(applyToStore(d)).isTrue();
@@ -207,8 +207,8 @@
   @Test
   void reusesPagesOfObsoleteEntries() {
     for (int round = 0; round < 30; round++) {
-      counters.forEach(c -> c.obsolete = true);
-      counters.clear();
+      createCounters.forEach(c -> c.obsolete = true);
+      createCounters.clear();
       createCounters();
       for (int i = 0; i < 20; i++) {
         change(i);
--- a/src/test/java/dev/windbend/store/RequestPacerTest.java
+++ b/src/test/java/dev/windbend/store/RequestPacerTest.java
@@ -38,7 +38,7 @@
     }
     assertThat(sent).isEmpty();
     loop.nowMs += 1_000;
-    loop.fire();
+    loop.runPendingTasks();
     assertThat(sent).containsExactly("user0", "leader0", "user1", "leader1", "user2");
   }
 
@@ -72,10 +72,10 @@
     }
     submit(Lane.READS, 0, "read");
     loop.nowMs += 1_000;
-    loop.fire();
+    loop.runPendingTasks();
     assertThat(sent).isEmpty();
     loop.nowMs += 1;
-    loop.fire();
+    loop.runPendingTasks();
     assertThat(sent).containsExactly("read");
   }
 
@@ -86,7 +86,7 @@
     submit(Lane.LEADER_WRITES, 1, "leader");
     assertThat(sent).containsExactly("read");
     loop.nowMs += 1_000;
-    loop.fire();
+    loop.runPendingTasks();
     assertThat(sent).containsExactly("read", "leader");
   }
 }
--- a/src/test/java/dev/windbend/worker/DirectStopClientTest.java
+++ b/src/test/java/dev/windbend/worker/DirectStopClientTest.java
@@ -18,8 +18,8 @@
 
   /** Replies to all calls, including those that follow a reply. */
   private void replyToAll(ClientResponse reply) {
-    for (int call = 0; call < httpClient.calls.size(); call++) {
-      httpClient.calls.get(call).accept(reply);
+    for (int call = 0; call < httpClient.responseCallbacks.size(); call++) {
+      httpClient.responseCallbacks.get(call).accept(reply);
     }
   }
 
--- a/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
+++ b/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
@@ -9,7 +9,7 @@
 import dev.windbend.plan.Resources;
 import dev.windbend.plan.SchedulingDecision;
 import dev.windbend.plan.Snapshot;
-import dev.windbend.zone.EvacuationPlan.Lost;
+import dev.windbend.zone.EvacuationPlan.LostMachine;
 import dev.windbend.zone.EvacuationPlan.Task;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import java.util.ArrayList;
@@ -29,17 +29,17 @@
   private static final long NOW = 1_000_000;
   private static final long BOOT_MS = 30_000;
 
-  private static Lost machine(String name, long leaseInMs, Task... tasks) {
-    return new Lost(name, NOW + leaseInMs, List.of(tasks));
+  private static LostMachine machine(String name, long leaseInMs, Task... tasks) {
+    return new LostMachine(name, NOW + leaseInMs, List.of(tasks));
   }
 
   private static Task task(int rank, long dueInMs, long remainingMs, long unsavedMs) {
     return new Task(rank, NOW + dueInMs, remainingMs, unsavedMs, 1, false);
   }
 
-  private static List<String> giveUp(Lost... machines) {
-    return EvacuationPlan.giveUp(List.of(machines), BOOT_MS, NOW).stream()
-        .map(Lost::machine)
+  private static List<String> machinesToScaleIn(LostMachine... machines) {
+    return EvacuationPlan.machinesToScaleIn(List.of(machines), BOOT_MS, NOW).stream()
+        .map(LostMachine::machine)
         .toList();
   }
 
@@ -53,24 +53,25 @@
     "109999, 60000, 50000, 20000, true", // late if the lease is waited for
     "89999, 60000, 50000, 20000, false", // late either way
   })
-  void movesWhatWaitingWouldCostMore(
-      long dueInMs, long remainingMs, long unsavedMs, long leaseInMs, boolean now) {
-    assertThat(giveUp(machine("m", leaseInMs, task(2, dueInMs, remainingMs, unsavedMs))))
-        .hasSize(now ? 1 : 0);
+  void scalesInMachineWhenWaitingCostsMoreThanLostProgress(
+      long dueInMs, long remainingMs, long unsavedMs, long leaseInMs, boolean scaledIn) {
+    assertThat(machinesToScaleIn(machine("m", leaseInMs, task(2, dueInMs, remainingMs, unsavedMs))))
+        .hasSize(scaledIn ? 1 : 0);
   }
 
   @Test
-  void whatIsBoundToTheZoneAndIdleMachinesKeepTheirChance() {
-    Task bound = new Task(0, NOW + 100_000, 60_000, 0, 1, true);
-    assertThat(giveUp(machine("bound", 20_000, bound), machine("idle", 20_000))).isEmpty();
-    assertThat(giveUp(machine("idle", 0), machine("bound", 0, bound)))
+  void keepsIdleMachinesAndZoneRestrictedTasksUntilLeaseEnd() {
+    Task restrictedTask = new Task(0, NOW + 100_000, 60_000, 0, 1, true);
+    assertThat(machinesToScaleIn(machine("bound", 20_000, restrictedTask), machine("idle", 20_000)))
+        .isEmpty();
+    assertThat(machinesToScaleIn(machine("idle", 0), machine("bound", 0, restrictedTask)))
         .containsExactly("bound", "idle");
   }
 
   @Test
-  void declaredPriorityComesBeforeDueTimeAndCloseness() {
+  void ordersByPriorityThenDueTimeThenLatestStart() {
     assertThat(
-            giveUp(
+            machinesToScaleIn(
                 machine("a", 0),
                 machine("b", 0, task(2, 50_000, 10_000, 0)),
                 machine("c", 0, task(1, 90_000, 10_000, 0)),
@@ -81,12 +82,13 @@
   }
 
   /** A displaced job, and what it asks of room elsewhere. */
-  private record Displaced(int rank, int cores, int waiting, long dueInMs, long estimateMs) {
-    private PendingJob pending() {
+  private record DisplacedJob(
+      int rank, int cores, int waiting, long dueInMs, long estimatedRunTimeMs) {
+    private PendingJob toPendingJob() {
       return new PendingJob(
           0,
           rank,
-          new PendingJob.Requirements(new Resources(cores, 0, 1), 7, 0, estimateMs),
+          new PendingJob.Requirements(new Resources(cores, 0, 1), 7, 0, estimatedRunTimeMs),
           new PendingJob.Constraints(null, -1, false, false, true, 0, new IntOpenHashSet()),
           new PendingJob.Progress(waiting, waiting, new int[2], 60_000, true, false, true),
           new PendingJob.Objectives(NOW + dueInMs, false, false, 0));
@@ -94,19 +96,19 @@
   }
 
   @Provide
-  Arbitrary<List<Displaced>> displaced() {
+  Arbitrary<List<DisplacedJob>> displaced() {
     return Combinators.combine(
             Arbitraries.integers().between(0, 3),
             Arbitraries.integers().between(1, 8),
             Arbitraries.integers().between(1, 6),
             Arbitraries.longs().between(-50_000, 300_000),
             Arbitraries.longs().between(1_000, 100_000))
-        .as(Displaced::new)
+        .as(DisplacedJob::new)
         .list()
         .ofMaxSize(12);
   }
 
-  private static MachineCapacity machineWith(int freeCores) {
+  private static MachineCapacity machineWithFreeCores(int freeCores) {
     return new MachineCapacity(
         new MachineAttributes(0, 0, true, 1, 1),
         true,
@@ -123,11 +125,11 @@
    * priority that fits into that room is left waiting.
    */
   @Property(tries = 400)
-  void noLowerTaskIsPlacedWhereAHigherOneThatFitsWaits(
-      @ForAll("displaced") List<Displaced> jobs, @ForAll("rooms") List<Integer> freeCores) {
-    List<PendingJob> pending = jobs.stream().map(Displaced::pending).toList();
+  void neverPlacesDisplacedTaskWhereHigherPriorityTaskThatFitsIsWaiting(
+      @ForAll("displaced") List<DisplacedJob> jobs, @ForAll("rooms") List<Integer> freeCores) {
+    List<PendingJob> pending = jobs.stream().map(DisplacedJob::toPendingJob).toList();
     List<MachineCapacity> machines =
-        freeCores.stream().map(EvacuationPlanTest::machineWith).toList();
+        freeCores.stream().map(EvacuationPlanTest::machineWithFreeCores).toList();
     SchedulingDecision decision =
         Planner.plan(
             new Snapshot(
@@ -139,15 +141,15 @@
                 pending,
                 machines,
                 List.of()));
-    int[] left = pending.stream().mapToInt(job -> job.progress().waiting()).toArray();
-    decision.placements().forEach(placed -> left[placed.job()]--);
-    for (SchedulingDecision.PlacedTask placed : decision.placements()) {
-      Displaced lower = jobs.get(placed.job());
+    int[] waitingCounts = pending.stream().mapToInt(job -> job.progress().waiting()).toArray();
+    decision.placements().forEach(placement -> waitingCounts[placement.job()]--);
+    for (SchedulingDecision.PlacedTask placement : decision.placements()) {
+      DisplacedJob placedJob = jobs.get(placement.job());
       for (int i = 0; i < jobs.size(); i++) {
-        Displaced higher = jobs.get(i);
-        boolean fits = higher.cores() <= lower.cores();
-        assertThat(left[i] > 0 && higher.rank() < lower.rank() && fits)
-            .as("%s waits, %s is placed", higher, lower)
+        DisplacedJob waitingJob = jobs.get(i);
+        boolean fits = waitingJob.cores() <= placedJob.cores();
+        assertThat(waitingCounts[i] > 0 && waitingJob.rank() < placedJob.rank() && fits)
+            .as("%s waits, %s is placed", waitingJob, placedJob)
             .isFalse();
       }
     }
@@ -160,12 +162,12 @@
 
   /** Half of 4,000 machines: the order costs one sort, whatever the number of tasks. */
   @Test
-  void ordersHalfOfAFleetOfFourThousand() {
-    List<Lost> lost = new ArrayList<>();
+  void orders2000MachinesByPriority() {
+    List<LostMachine> lost = new ArrayList<>();
     for (int i = 0; i < 2_000; i++) {
       lost.add(machine("m%04d".formatted(i), 0, task(i % 4, 1_000L * (i % 7), 10_000, 0)));
     }
-    List<Lost> order = EvacuationPlan.giveUp(lost, BOOT_MS, NOW);
+    List<LostMachine> order = EvacuationPlan.machinesToScaleIn(lost, BOOT_MS, NOW);
     assertThat(order).hasSize(2_000);
     assertThat(order.stream().map(l -> l.tasks().get(0).rank())).isSorted();
   }
--- a/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
@@ -49,12 +49,12 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
-  void isOnTheWireAs(String name, Object object, String json) {
+  void matchesWireFormat(String description, Object object, String json) {
     assertPinned(object, json);
   }
 
   @Test
-  void readsRecordsOfWhichFieldsAreMissing() {
+  void readsRecordWithMissingFields() {
     assertRead("{}", ZoneRecord.class, new ZoneRecord(null, 0, 0, List.of()));
     assertRead(
         "{\"state\":null,\"displaced\":null}",
@@ -64,14 +64,14 @@
 
   /** A record of a later version, with a state that this one lacks, counts as none. */
   @Test
-  void takesAnUnknownStateForNoRecord() {
+  void treatsRecordWithUnknownOrMissingStateAsAbsent() {
     assertThat(ZoneRecord.read(new VersionedValue(tree("{\"state\":\"frozen\"}"), 1))).isNull();
     assertThat(ZoneRecord.read(new VersionedValue(tree("{\"losses\":1}"), 1))).isNull();
     assertThat(ZoneRecord.read(null)).isNull();
   }
 
   @Test
-  void keepsRecordsBelowShardAndZone() {
+  void keyContainsShardAndZone() {
     assertThat(ZoneRecord.key(2, "a")).isEqualTo("w/z/2/a");
   }
 
@@ -85,24 +85,24 @@
 
   @ParameterizedTest
   @MethodSource("states")
-  void namesStates(ZoneState state, String name) {
-    assertWritten(state, "\"" + name + "\"");
-    assertThat(Json.read(tree("\"" + name + "\""), ZoneState.class)).isEqualTo(state);
-    assertThat(state.label()).isEqualTo(name);
+  void writesAndReadsStateByItsLabel(ZoneState state, String label) {
+    assertWritten(state, "\"" + label + "\"");
+    assertThat(Json.read(tree("\"" + label + "\""), ZoneState.class)).isEqualTo(state);
+    assertThat(state.label()).isEqualTo(label);
   }
 
   @Test
-  void knowsNoOtherStates() {
+  void hasFourStates() {
     assertThat(ZoneState.values()).hasSize(4);
   }
 
   @Test
-  void namesMetrics() {
+  void exposesExpectedMetricNames() {
     ZoneMetrics metrics = new ZoneMetrics();
-    metrics.runsAgain(Urgency.PRODUCTION, 1);
-    metrics.runsAgain(Urgency.URGENT, 1);
-    metrics.runsAgain(Urgency.STANDARD, 1);
-    metrics.runsAgain(Urgency.IDLE, 1);
+    metrics.recordJobRestarted(Urgency.PRODUCTION, 1);
+    metrics.recordJobRestarted(Urgency.URGENT, 1);
+    metrics.recordJobRestarted(Urgency.STANDARD, 1);
+    metrics.recordJobRestarted(Urgency.IDLE, 1);
     assertThat(metrics.values().keySet())
         .containsExactlyInAnyOrder(
             "windbend.zone.losses",
@@ -129,13 +129,13 @@
 
   /** Each count and measure under its own name. */
   @Test
-  void countsUnderTheRightNames() {
+  void countsEachEventUnderItsMetricName() {
     ZoneMetrics metrics = new ZoneMetrics();
-    metrics.lost(true);
-    metrics.lost(false);
-    metrics.lost(false);
-    metrics.evacuated(4);
-    metrics.takenBack(5);
+    metrics.recordLoss(true);
+    metrics.recordLoss(false);
+    metrics.recordLoss(false);
+    metrics.recordEvacuatedMachines(4);
+    metrics.recordReadmittedMachines(5);
     assertThat(metrics.values())
         .containsEntry("windbend.zone.losses", 3.0)
         .containsEntry("windbend.zone.relapses", 1.0)
@@ -145,7 +145,7 @@
 
   @ParameterizedTest
   @EnumSource(ZoneState.class)
-  void readsItsOwnStates(ZoneState state) {
+  void readsRecordWithEachState(ZoneState state) {
     ZoneRecord record = new ZoneRecord(state, 1, 2, List.of());
     assertThat(ZoneRecord.read(new VersionedValue(Json.tree(record), 1))).isEqualTo(record);
   }
