--- a/src/test/java/dev/windbend/daemon/CancellationWaveTest.java
+++ b/src/test/java/dev/windbend/daemon/CancellationWaveTest.java
@@ -21,33 +21,34 @@
   @ValueSource(longs = {1, 2, 3})
   void whatWaitsStartsWhileCancelledJobsAreCleanedUp(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
-    cluster.capacity = MACHINES;
-    cluster.teamCores = 1_000;
-    cluster.loss = 0;
-    cluster.late = 0;
+    cluster.cloudCapacity = MACHINES;
+    cluster.teamMaxCores = 1_000;
+    cluster.lossProbability = 0;
+    cluster.delayProbability = 0;
     cluster.runs = task -> 200_000;
-    cluster.begin(0, 1);
+    cluster.start(0, 1);
     List<SimulatedUser> cancelling = new ArrayList<>();
     List<SimulatedUser> waiting = new ArrayList<>();
     for (int n = 0; n < JOBS; n++) {
       SimulatedUser first = new SimulatedUser(cluster, n, 1, null, true, false);
       cancelling.add(first);
-      cluster.time.at(5_000 + 50L * n, first::submit);
+      cluster.time.schedule(5_000 + 50L * n, first::submit);
       SimulatedUser second = new SimulatedUser(cluster, JOBS + n, 1, null, true, false);
       waiting.add(second);
-      cluster.time.at(WAITING_FROM_MS + 20L * n, second::submit);
+      cluster.time.schedule(WAITING_FROM_MS + 20L * n, second::submit);
     }
     cluster.time.runUntil(WAVE_MS);
     for (SimulatedUser user : cancelling) {
-      user.cancels = true;
+      user.cancelsJob = true;
       user.cancel();
     }
     cluster.time.runUntil(2 * WAVE_MS);
-    long[] waits = waiting.stream().mapToLong(user -> user.begunMs - WAVE_MS).sorted().toArray();
-    assertThat(waiting).allMatch(user -> user.begunMs >= 0);
+    long[] waits =
+        waiting.stream().mapToLong(user -> user.firstTaskStartedMs - WAVE_MS).sorted().toArray();
+    assertThat(waiting).allMatch(user -> user.firstTaskStartedMs >= 0);
     assertThat(waits[JOBS * 3 / 4]).as("three quarters of them begin within").isLessThan(1_500);
     assertThat(waits[JOBS - 1]).as("all of them begin within").isLessThan(5_000);
-    assertThat(cluster.store.liveKeys("w/j/")).as("live jobs").isEqualTo(JOBS);
-    assertThat(cluster.judge.violations).isEmpty();
+    assertThat(cluster.stateService.countKeys("w/j/")).as("live jobs").isEqualTo(JOBS);
+    assertThat(cluster.invariantChecker.violations).isEmpty();
   }
 }
--- a/src/test/java/dev/windbend/daemon/StarvedJobsTest.java
+++ b/src/test/java/dev/windbend/daemon/StarvedJobsTest.java
@@ -1,6 +1,6 @@
 package dev.windbend.daemon;
 
-import static dev.windbend.daemon.FaultInjection.crash;
+import static dev.windbend.daemon.FaultInjection.crashControllers;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.function.Consumer;
@@ -21,7 +21,9 @@
 
   /** Every fourth task of the first job is long, so that one is left on each machine. */
   private static long oneLongTaskOnEachMachine(String task) {
-    return task.startsWith("wk-000000") && SimulatedCluster.task(task) % 4 == 0 ? 400_000 : 5_000;
+    return task.startsWith("wk-000000") && SimulatedCluster.taskIndex(task) % 4 == 0
+        ? 400_000
+        : 5_000;
   }
 
   private static Arguments waiting(String name, int machines, Consumer<SimulatedCluster> jobs) {
@@ -30,7 +32,7 @@
 
   private static void submit(SimulatedCluster w, int number, String team, int tasks, String zone) {
     SimulatedUser user = new SimulatedUser(w, number, team, tasks, zone, true, false);
-    w.time.at(WAITING_FROM_MS + 200L * (number % 50), user::submit);
+    w.time.schedule(WAITING_FROM_MS + 200L * (number % 50), user::submit);
   }
 
   static Stream<Arguments> jobsThatWait() {
@@ -75,9 +77,9 @@
               submit(w, 1, "blue", 1, null);
               for (int n = 0; n < 3; n++) {
                 int node = n;
-                w.time.at(95_000 + 3_000 * n, () -> crash(w, 1_000, node));
+                w.time.schedule(95_000 + 3_000 * n, () -> crashControllers(w, 1_000, node));
               }
-              w.judge.calmFromMs = 105_000;
+              w.invariantChecker.faultsEndMs = 105_000;
             }));
   }
 
@@ -87,18 +89,18 @@
       String name, int machines, Consumer<SimulatedCluster> jobs) {
     for (long seed = 1; seed <= 3; seed++) {
       SimulatedCluster w = new SimulatedCluster(seed);
-      w.capacity = machines;
-      w.loss = 0;
-      w.late = 0;
-      w.judge.calmFromMs = 0;
+      w.cloudCapacity = machines;
+      w.lossProbability = 0;
+      w.delayProbability = 0;
+      w.invariantChecker.faultsEndMs = 0;
       w.runs = StarvedJobsTest::oneLongTaskOnEachMachine;
-      w.begin(0, 1);
+      w.start(0, 1);
       SimulatedUser first = new SimulatedUser(w, FIRST_JOB, "red", 4 * machines, null, true, false);
-      w.time.at(5_000, first::submit);
+      w.time.schedule(5_000, first::submit);
       jobs.accept(w);
       w.time.runUntil(DAY_MS);
-      assertThat(w.judge.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(w.unfinished()).as("unfinished, seed %d", seed).isEmpty();
+      assertThat(w.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+      assertThat(w.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/ZoneLossLoopbackTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossLoopbackTest.java
@@ -16,21 +16,28 @@
   void noTaskRunsTwiceAndAllWorkEnds() throws Exception {
     SimulatedCluster stand = new SimulatedCluster(11);
     stand.policy = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
-    stand.capacity = CAPACITY;
-    stand.loss = 0;
-    stand.late = 0;
-    stand.leastRunMs = 15_000;
-    stand.tasksMost = TASKS;
-    stand.teamCores = 480;
+    stand.cloudCapacity = CAPACITY;
+    stand.lossProbability = 0;
+    stand.delayProbability = 0;
+    stand.additionalRunMs = 15_000;
+    stand.maxTasksPerJob = TASKS;
+    stand.teamMaxCores = 480;
     ZoneLossTest.lose(stand, 25_000, 25_000);
     try (LoopbackCluster cluster = new LoopbackCluster(stand)) {
       cluster.start(JOBS, 20_000);
-      assertThat(cluster.await(30, () -> stand.time.nowMs() >= 24_500)).isTrue();
-      assertThat(cluster.on(() -> stand.machines.size())).as("workers").isGreaterThan(200);
-      assertThat(cluster.await(20, () -> stand.store.liveKeys("w/z/") > 0)).as("noticed").isTrue();
-      cluster.await(MOST_S, () -> stand.unfinished().isEmpty());
-      assertThat(cluster.on(stand::unfinished)).as("jobs not told to be over").isEmpty();
-      assertThat(cluster.on(() -> List.copyOf(stand.judge.violations))).isEmpty();
+      assertThat(cluster.awaitCondition(30, () -> stand.time.nowMs() >= 24_500)).isTrue();
+      assertThat(cluster.callOnEventLoop(() -> stand.machines.size()))
+          .as("workers")
+          .isGreaterThan(200);
+      assertThat(cluster.awaitCondition(20, () -> stand.stateService.countKeys("w/z/") > 0))
+          .as("noticed")
+          .isTrue();
+      cluster.awaitCondition(MOST_S, () -> stand.unfinishedJobs().isEmpty());
+      assertThat(cluster.callOnEventLoop(stand::unfinishedJobs))
+          .as("jobs not told to be over")
+          .isEmpty();
+      assertThat(cluster.callOnEventLoop(() -> List.copyOf(stand.invariantChecker.violations)))
+          .isEmpty();
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/ZoneLossMeasurement.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossMeasurement.java
@@ -63,24 +63,24 @@
   private void play(Day day, long seed, Policy policy) {
     SimulatedCluster w = new SimulatedCluster(seed);
     w.policy = policy;
-    w.leastRunMs = 12_000;
-    w.begin(30, 60_000);
+    w.additionalRunMs = 12_000;
+    w.start(30, 60_000);
     for (int i = 0; i < day.times(); i++) {
       long fromMs = LOST_MS + i * day.everyMs();
       ZoneLossTest.lose(w, fromMs, day.lostForMs());
-      w.time.at(fromMs, () -> follow(w, fromMs, lostTasks(w)));
+      w.time.schedule(fromMs, () -> follow(w, fromMs, lostTasks(w)));
     }
     w.time.runUntil(END_MS);
-    violations += w.judge.violations.size();
-    lapsed += w.lapsed;
-    changes += w.store.changes();
+    violations += w.invariantChecker.violations.size();
+    lapsed += w.expiredLeasesWithTasks;
+    changes += w.stateService.revision();
   }
 
   private static List<String> lostTasks(SimulatedCluster w) {
     List<String> all = new ArrayList<>();
     w.machines.values().stream()
         .filter(m -> m.zone.equals(ZoneLossTest.ZONE))
-        .forEach(m -> all.addAll(m.running()));
+        .forEach(m -> all.addAll(m.runningTasks()));
     return all;
   }
 
@@ -88,27 +88,27 @@
   private void follow(SimulatedCluster w, long lostMs, List<String> left) {
     List<String> still = new ArrayList<>();
     for (String task : left) {
-      SimulatedUser user = w.users.get(InvariantChecker.uid(task));
-      if (w.judge.isFinished(task) || runsElsewhere(w, task)) {
+      SimulatedUser user = w.users.get(InvariantChecker.jobId(task));
+      if (w.invariantChecker.isCompleted(task) || runsElsewhere(w, task)) {
         afterMs
             .computeIfAbsent(kind(user), u -> new Histogram(END_MS, DIGITS))
             .recordValue(w.time.nowMs() - lostMs);
-      } else if (user.toldCancelledMs < 0) {
+      } else if (user.cancellationConfirmedMs < 0) {
         still.add(task);
       }
     }
     if (!still.isEmpty()) {
-      w.time.at(STEP_MS, () -> follow(w, lostMs, still));
+      w.time.schedule(STEP_MS, () -> follow(w, lostMs, still));
     }
   }
 
   private static String kind(SimulatedUser user) {
-    return (user.tasks % 4 == 0 ? "urgent" : "standard")
+    return (user.taskCount % 4 == 0 ? "urgent" : "standard")
         + (user.zone == null ? "" : ", bound to the zone");
   }
 
   private static boolean runsElsewhere(SimulatedCluster w, String task) {
     return w.machines.values().stream()
-        .anyMatch(m -> !m.zone.equals(ZoneLossTest.ZONE) && m.running().contains(task));
+        .anyMatch(m -> !m.zone.equals(ZoneLossTest.ZONE) && m.runningTasks().contains(task));
   }
 }
--- a/src/test/java/dev/windbend/daemon/ZoneLossTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossTest.java
@@ -1,7 +1,7 @@
 package dev.windbend.daemon;
 
-import static dev.windbend.daemon.FaultInjection.crash;
-import static dev.windbend.daemon.FaultInjection.outage;
+import static dev.windbend.daemon.FaultInjection.crashControllers;
+import static dev.windbend.daemon.FaultInjection.stateServiceOutage;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.windbend.shard.Policy;
@@ -51,12 +51,13 @@
 
   /** Machines of the zone and controllers hear nothing of each other. */
   private static BiPredicate<String, String> cutOff(SimulatedCluster w, String zone) {
-    return (from, to) -> (w.inZone(from, zone) && node(to)) || (node(from) && w.inZone(to, zone));
+    return (from, to) ->
+        (w.isInZone(from, zone) && node(to)) || (node(from) && w.isInZone(to, zone));
   }
 
   static void lose(SimulatedCluster w, long fromMs, long forMs) {
-    w.time.at(fromMs, () -> w.linkCut = cutOff(w, ZONE));
-    w.time.at(fromMs + forMs, () -> w.linkCut = ZoneLossTest::uncut);
+    w.time.schedule(fromMs, () -> w.linkBlocked = cutOff(w, ZONE));
+    w.time.schedule(fromMs + forMs, () -> w.linkBlocked = ZoneLossTest::uncut);
   }
 
   static Stream<Arguments> days() {
@@ -87,21 +88,21 @@
             1_588_861_931,
             w -> {
               lose(w, LOST_MS, 60_000);
-              w.time.at(LOST_MS, () -> crash(w, 60_000, 1));
+              w.time.schedule(LOST_MS, () -> crashControllers(w, 60_000, 1));
             }),
         day(
             "an outage of the state service during evacuation",
             -2_011_724_388,
             w -> {
               lose(w, LOST_MS, 60_000);
-              w.time.at(LOST_MS + 8_000, () -> outage(w, 20_000));
+              w.time.schedule(LOST_MS + 8_000, () -> stateServiceOutage(w, 20_000));
             }),
         day(
             "all controllers crash during evacuation",
             1_646_300_465,
             w -> {
               lose(w, LOST_MS, 60_000);
-              w.time.at(SEEN_MS, () -> crash(w, 3_000, 0, 1, 2));
+              w.time.schedule(SEEN_MS, () -> crashControllers(w, 3_000, 0, 1, 2));
             }),
         day(
             "controllers crash in turn during the return",
@@ -110,7 +111,7 @@
               lose(w, LOST_MS, 30_000);
               for (int i = 0; i < 3; i++) {
                 int n = i;
-                w.time.at(LOST_MS + 36_000 + 6_000L * i, () -> crash(w, 2_500, n));
+                w.time.schedule(LOST_MS + 36_000 + 6_000L * i, () -> crashControllers(w, 2_500, n));
               }
             }),
         day(
@@ -118,14 +119,15 @@
             2_130_986_856,
             w -> {
               lose(w, LOST_MS, 30_000);
-              w.time.at(LOST_MS + 37_000, () -> outage(w, 20_000));
+              w.time.schedule(LOST_MS + 37_000, () -> stateServiceOutage(w, 20_000));
             }),
         day(
             "its reports arrive, answers and commands don't",
             -1_215_851_440,
             w -> {
-              w.time.at(LOST_MS, () -> w.linkCut = (from, to) -> node(from) && w.inZone(to, ZONE));
-              w.time.at(LOST_MS + 60_000, () -> w.linkCut = ZoneLossTest::uncut);
+              w.time.schedule(
+                  LOST_MS, () -> w.linkBlocked = (from, to) -> node(from) && w.isInZone(to, ZONE));
+              w.time.schedule(LOST_MS + 60_000, () -> w.linkBlocked = ZoneLossTest::uncut);
             }),
         day(
             "commands arrive, its reports don't",
@@ -135,44 +137,44 @@
                   () ->
                       w.machines.values().stream()
                           .filter(m -> m.zone.equals(ZONE))
-                          .forEach(m -> w.mute.add(m.name));
-              FaultInjection.each(w, LOST_MS, 1_000, 60, mute);
-              w.time.at(LOST_MS + 60_000, w.mute::clear);
+                          .forEach(m -> w.machinesWithBlockedRequests.add(m.name));
+              FaultInjection.repeat(w, LOST_MS, 1_000, 60, mute);
+              w.time.schedule(LOST_MS + 60_000, w.machinesWithBlockedRequests::clear);
             }),
         day(
             "lost for one controller only",
             -1_364_984_541,
             w -> {
               BiPredicate<String, String> whole = cutOff(w, ZONE);
-              w.time.at(
+              w.time.schedule(
                   LOST_MS,
                   () ->
-                      w.linkCut =
+                      w.linkBlocked =
                           (from, to) ->
                               (from.equals("n1") || to.equals("n1")) && whole.test(from, to));
-              w.time.at(LOST_MS + 60_000, () -> w.linkCut = ZoneLossTest::uncut);
+              w.time.schedule(LOST_MS + 60_000, () -> w.linkBlocked = ZoneLossTest::uncut);
             }),
         day(
             "the cloud has nothing elsewhere",
             -2_032_921_637,
             w -> {
               lose(w, LOST_MS, 60_000);
-              w.time.at(LOST_MS, () -> w.capacity = 0);
+              w.time.schedule(LOST_MS, () -> w.cloudCapacity = 0);
             }),
         day(
             "all zones lost one after the other",
             -1_212_698_945,
             w -> {
-              w.time.at(LOST_MS, () -> w.linkCut = cutOff(w, ZONE));
-              w.time.at(LOST_MS + 50_000, () -> w.linkCut = cutOff(w, "a"));
-              w.time.at(LOST_MS + 100_000, () -> w.linkCut = ZoneLossTest::uncut);
+              w.time.schedule(LOST_MS, () -> w.linkBlocked = cutOff(w, ZONE));
+              w.time.schedule(LOST_MS + 50_000, () -> w.linkBlocked = cutOff(w, "a"));
+              w.time.schedule(LOST_MS + 100_000, () -> w.linkBlocked = ZoneLossTest::uncut);
             }),
         day(
             "late copies of reports after the return",
             1_272_297_178,
             w -> {
-              w.copies = 0.3;
-              w.copyMs = 90_000;
+              w.duplicateHeartbeatProbability = 0.3;
+              w.maxDuplicateDelayMs = 90_000;
               lose(w, LOST_MS, 40_000);
             }),
         day(
@@ -180,14 +182,15 @@
             776_680_250,
             w -> {
               lose(w, LOST_MS, 60_000);
-              FaultInjection.each(w, LOST_MS + 4_000, 4_000, 4, () -> w.cancelNow(2, null));
+              FaultInjection.repeat(
+                  w, LOST_MS + 4_000, 4_000, 4, () -> w.cancelRunningJobs(2, null));
             }));
   }
 
   static SimulatedCluster cluster(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed);
     w.policy = policy(SETTINGS);
-    w.leastRunMs = 12_000;
+    w.additionalRunMs = 12_000;
     return w;
   }
 
@@ -200,10 +203,10 @@
   }
 
   private static void keepsTheRules(SimulatedCluster w, long seed) {
-    assertThat(w.judge.violations).as("rules, seed %d", seed).isEmpty();
-    assertThat(w.unfinished()).as("unfinished, seed %d", seed).isEmpty();
-    assertThat(w.store.largestValue).as("bytes of a value").isLessThan(4096);
-    assertThat(w.store.liveKeys("w/j/")).as("live jobs").isZero();
+    assertThat(w.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+    assertThat(w.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+    assertThat(w.stateService.largestValueBytes).as("bytes of a value").isLessThan(4096);
+    assertThat(w.stateService.countKeys("w/j/")).as("live jobs").isZero();
     assertThat(w.machines).as("machines").isEmpty();
   }
 
@@ -213,16 +216,18 @@
     int noticed = 0;
     for (long seed = 1; seed <= 4; seed++) {
       SimulatedCluster w = cluster(seed * 7_919 + seedBase);
-      w.begin(30, 90_000);
-      w.judge.calmFromMs = 460_000;
+      w.start(30, 90_000);
+      w.invariantChecker.faultsEndMs = 460_000;
       troubles.accept(w);
       w.time.runUntil(LOST_MS - 1);
-      assertThat(w.store.liveKeys("w/z/")).as("records while all is well").isZero();
+      assertThat(w.stateService.countKeys("w/z/")).as("records while all is well").isZero();
       w.time.runUntil(SEEN_MS);
-      noticed += w.store.liveKeys("w/z/");
+      noticed += w.stateService.countKeys("w/z/");
       w.time.runUntil(DAY_MS);
       keepsTheRules(w, seed);
-      assertThat(w.store.liveKeys("w/z/")).as("records once the backoff has decayed").isZero();
+      assertThat(w.stateService.countKeys("w/z/"))
+          .as("records once the backoff has decayed")
+          .isZero();
     }
     assertThat(noticed).as("losses on record").isPositive();
   }
@@ -232,13 +237,13 @@
   void halfAZoneLostIsNoLostZone() {
     for (long seed = 1; seed <= 4; seed++) {
       SimulatedCluster w = cluster(seed);
-      w.begin(30, 90_000);
+      w.start(30, 90_000);
       BiPredicate<String, String> whole = cutOff(w, ZONE);
       BiPredicate<String, String> half =
           (from, to) -> even(from) && even(to) && whole.test(from, to);
-      w.time.at(LOST_MS, () -> w.linkCut = half);
-      w.time.at(LOST_MS + 60_000, () -> w.linkCut = ZoneLossTest::uncut);
-      w.judge.calmFromMs = 150_000;
+      w.time.schedule(LOST_MS, () -> w.linkBlocked = half);
+      w.time.schedule(LOST_MS + 60_000, () -> w.linkBlocked = ZoneLossTest::uncut);
+      w.invariantChecker.faultsEndMs = 150_000;
       w.time.runUntil(DAY_MS);
       keepsTheRules(w, seed);
     }
@@ -252,25 +257,25 @@
   @org.junit.jupiter.api.Test
   void usersAreToldThatAJobWaitsForItsZone() {
     SimulatedCluster w = cluster(3);
-    w.loss = 0;
-    w.late = 0;
-    w.begin(24, 20_000);
-    w.time.at(LOST_MS, () -> w.linkCut = cutOff(w, ZONE));
+    w.lossProbability = 0;
+    w.delayProbability = 0;
+    w.start(24, 20_000);
+    w.time.schedule(LOST_MS, () -> w.linkBlocked = cutOff(w, ZONE));
     SimulatedUser bound = new SimulatedUser(w, 900, 2, ZONE, true, false);
-    w.time.at(SEEN_MS, bound::submit);
+    w.time.schedule(SEEN_MS, bound::submit);
     Map<String, String> heard = new java.util.HashMap<>();
-    w.time.at(
+    w.time.schedule(
         SEEN_MS + 2_000,
         () ->
-            w.call(
+            w.sendRequest(
                 "users",
                 "n0:80",
                 "GET",
-                "/v1/jobs/" + bound.uid,
+                "/v1/jobs/" + bound.jobId,
                 null,
                 2_000,
-                r -> heard.put("reason", w.json(r.body()).path("reason").asText())));
-    w.time.at(SEEN_MS + 30_000, () -> w.linkCut = ZoneLossTest::uncut);
+                r -> heard.put("reason", w.parseJson(r.body()).path("reason").asText())));
+    w.time.schedule(SEEN_MS + 30_000, () -> w.linkBlocked = ZoneLossTest::uncut);
     w.time.runUntil(DAY_MS);
     assertThat(heard).containsEntry("reason", "zone b is unreachable");
     keepsTheRules(w, 3);
