--- a/src/test/java/dev/windbend/daemon/BehaviourTrace.java
+++ b/src/test/java/dev/windbend/daemon/BehaviourTrace.java
@@ -138,9 +138,14 @@
 
   private static List<Day> days() {
     List<Day> all = new ArrayList<>();
-    addDays(all, "rules", InvariantsTest.days(), DAY_MS, SimulatedCluster::new);
-    addDays(all, "meetings", ConcurrentFaultsTest.meetings(), LONG_DAY_MS, SimulatedCluster::new);
-    addDays(all, "zones", ZoneLossTest.days(), LONG_DAY_MS, ZoneLossTest::cluster);
+    addDays(all, "rules", InvariantsTest.scenarios(), DAY_MS, SimulatedCluster::new);
+    addDays(
+        all,
+        "meetings",
+        ConcurrentFaultsTest.concurrentFaults(),
+        LONG_DAY_MS,
+        SimulatedCluster::new);
+    addDays(all, "zones", ZoneLossTest.scenarios(), LONG_DAY_MS, ZoneLossTest::newCluster);
     addGaps(all);
     return all;
   }
@@ -170,7 +175,7 @@
 
   /** Cancellations that meet an outage; long tasks, and an owner chosen in the middle. */
   private static void addGaps(List<Day> all) {
-    for (Arguments row : ConcurrentFaultsTest.gaps().toList()) {
+    for (Arguments row : ConcurrentFaultsTest.faultSequences().toList()) {
       @SuppressWarnings("unchecked")
       BiConsumer<SimulatedCluster, String> faults =
           (BiConsumer<SimulatedCluster, String>) faults(row);
--- a/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
+++ b/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
@@ -115,7 +115,7 @@
     w.additionalRunMs = 12_000;
     w.start(40, 60_000);
     w.time.schedule(30_000, () -> w.cancelRunningJobs(5, ""));
-    ZoneLossTest.lose(w, 40_000, 60_000);
+    ZoneLossTest.loseZone(w, 40_000, 60_000);
     w.time.schedule(130_000, () -> w.stateService.outage = true);
     w.time.schedule(140_000, w.stateService::endOutage);
     w.time.runUntil(300_000);
--- a/src/test/java/dev/windbend/daemon/StoredDataWriter.java
+++ b/src/test/java/dev/windbend/daemon/StoredDataWriter.java
@@ -60,7 +60,7 @@
     w.cloudCapacity = 24;
     w.start(40, 70_000);
     w.users.values().stream().filter(u -> u.taskCount % 3 == 0).forEach(u -> u.machineType = "t4");
-    ZoneLossTest.lose(w, LOST_MS, LOST_FOR_MS);
+    ZoneLossTest.loseZone(w, LOST_MS, LOST_FOR_MS);
     w.time.runUntil(LOST_MS);
     FaultInjection.repeat(
         w, 0, 1_000, (int) (LOST_FOR_MS / 1_000), () -> w.cancelRunningJobs(1, null));
--- a/src/test/java/dev/windbend/daemon/ZoneLossLoopbackTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossLoopbackTest.java
@@ -9,34 +9,34 @@
 class ZoneLossLoopbackTest {
   private static final int CAPACITY = 600;
   private static final int JOBS = 180;
-  private static final int TASKS = 16;
-  private static final int MOST_S = 120;
+  private static final int MAX_TASKS_PER_JOB = 16;
+  private static final int MAX_WAIT_S = 120;
 
   @Test
-  void noTaskRunsTwiceAndAllWorkEnds() throws Exception {
-    SimulatedCluster stand = new SimulatedCluster(11);
-    stand.policy = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
-    stand.cloudCapacity = CAPACITY;
-    stand.lossProbability = 0;
-    stand.delayProbability = 0;
-    stand.additionalRunMs = 15_000;
-    stand.maxTasksPerJob = TASKS;
-    stand.teamMaxCores = 480;
-    ZoneLossTest.lose(stand, 25_000, 25_000);
-    try (LoopbackCluster cluster = new LoopbackCluster(stand)) {
+  void runsNoTaskTwiceAndCompletesAllJobs() throws Exception {
+    SimulatedCluster simulation = new SimulatedCluster(11);
+    simulation.policy = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
+    simulation.cloudCapacity = CAPACITY;
+    simulation.lossProbability = 0;
+    simulation.delayProbability = 0;
+    simulation.additionalRunMs = 15_000;
+    simulation.maxTasksPerJob = MAX_TASKS_PER_JOB;
+    simulation.teamMaxCores = 480;
+    ZoneLossTest.loseZone(simulation, 25_000, 25_000);
+    try (LoopbackCluster cluster = new LoopbackCluster(simulation)) {
       cluster.start(JOBS, 20_000);
-      assertThat(cluster.awaitCondition(30, () -> stand.time.nowMs() >= 24_500)).isTrue();
-      assertThat(cluster.callOnEventLoop(() -> stand.machines.size()))
+      assertThat(cluster.awaitCondition(30, () -> simulation.time.nowMs() >= 24_500)).isTrue();
+      assertThat(cluster.callOnEventLoop(() -> simulation.machines.size()))
           .as("workers")
           .isGreaterThan(200);
-      assertThat(cluster.awaitCondition(20, () -> stand.stateService.countKeys("w/z/") > 0))
+      assertThat(cluster.awaitCondition(20, () -> simulation.stateService.countKeys("w/z/") > 0))
           .as("noticed")
           .isTrue();
-      cluster.awaitCondition(MOST_S, () -> stand.unfinishedJobs().isEmpty());
-      assertThat(cluster.callOnEventLoop(stand::unfinishedJobs))
+      cluster.awaitCondition(MAX_WAIT_S, () -> simulation.unfinishedJobs().isEmpty());
+      assertThat(cluster.callOnEventLoop(simulation::unfinishedJobs))
           .as("jobs not told to be over")
           .isEmpty();
-      assertThat(cluster.callOnEventLoop(() -> List.copyOf(stand.invariantChecker.violations)))
+      assertThat(cluster.callOnEventLoop(() -> List.copyOf(simulation.invariantChecker.violations)))
           .isEmpty();
     }
   }
