--- a/src/test/java/dev/windbend/daemon/FakeStateService.java
+++ b/src/test/java/dev/windbend/daemon/FakeStateService.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The state service by its published protocol. */
+/** An in-memory state service with the published protocol, in virtual time. */
 final class FakeStateService {
   static final ObjectMapper JSON = new ObjectMapper();
 
@@ -23,24 +23,39 @@
   private static final int MAX_CONDITIONS_PER_OPERATION = 4;
   private static final int MAX_VALUE_BYTES = 4_096;
 
+  /**
+   * A key's value with the revision of its last change.
+   *
+   * @param leaseId -1: no lease
+   */
   private record Entry(JsonNode value, long version, long leaseId) {}
 
+  /**
+   * @param value null: the key was removed
+   */
   private record Change(String key, JsonNode value, long revision) {}
 
   private final VirtualTime time;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
+
+  /** By lease id: the lifetime, and the virtual time of the end, both in ms. */
   private final Map<Long, long[]> leases = new HashMap<>();
+
   private final List<Runnable> followers = new ArrayList<>();
   private long revision;
   private long nextLeaseId = 1;
+
+  /** Changes after an older revision than this can no longer be followed. */
   private long compactedRevision;
+
+  /** Whether all requests get 503; requests to follow changes stay open instead. */
   boolean outage;
 
-  /** These nodes alone get 503. */
+  /** Names of controllers to which the state service is unavailable, as in an outage. */
   final Set<String> refusedControllers = new HashSet<>();
 
-  /** Changes of keys that start so are refused; none if empty. */
+  /** Transactions that set a key with this prefix get 429; empty: none. */
   String rejectedKeyPrefix = "";
 
   int largestValueBytes;
@@ -49,7 +64,7 @@
     this.time = time;
   }
 
-  /** How many changes have been made so far. */
+  /** The revision of the last change. */
   long revision() {
     return revision;
   }
@@ -58,13 +73,13 @@
     return entries.subMap(prefix, prefix + '\uffff').size();
   }
 
-  /** The value of a key, null if there is none. */
+  /** The value of a key; null if the key does not exist. */
   JsonNode value(String key) {
     Entry entry = entries.get(key);
     return entry == null ? null : entry.value;
   }
 
-  /** How often a text stands in the values below a prefix. */
+  /** How often a text occurs in the values of all keys with a prefix. */
   int countOccurrences(String prefix, String text) {
     int count = 0;
     for (Entry entry : entries.subMap(prefix, prefix + '\uffff').values()) {
@@ -73,7 +88,7 @@
     return count;
   }
 
-  /** All keys with their versions and leases, and all leases with the time left to them. */
+  /** All keys with their versions and leases, and all leases with their remaining time. */
   ObjectNode save() {
     ObjectNode savedState =
         JSON.createObjectNode().put("revision", revision).put("next_lease", nextLeaseId);
@@ -98,7 +113,7 @@
     return savedState;
   }
 
-  /** Goes on from what was saved; what changed before can be followed no more. */
+  /** Restores a saved state. Changes made before it was saved can no longer be followed. */
   void load(JsonNode saved) {
     revision = saved.get("revision").asLong();
     compactedRevision = revision;
@@ -119,14 +134,14 @@
     }
   }
 
-  /** An outage ends: every hold has its full time again. */
+  /** Ends an outage and renews every lease for its full lifetime. */
   void endOutage() {
     outage = false;
     leases.values().forEach(lease -> lease[1] = time.nowMs() + lease[0]);
     leases.keySet().forEach(this::scheduleLeaseExpiry);
   }
 
-  /** Old changes can be followed no more. */
+  /** Makes requests to follow changes from an older revision than the current one fail with 410. */
   void compactChanges() {
     compactedRevision = revision;
   }
@@ -204,7 +219,9 @@
     return new ClientResponse(400, "{}".getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The protocol's limits on a transaction, as the simulated deployments set them. */
+  /**
+   * Whether a transaction exceeds the protocol's limits, with the values of the simulated settings.
+   */
   private static boolean exceedsLimits(JsonNode transaction) {
     for (JsonNode change : transaction.path("then")) {
       if (change.path("v").toString().length() > MAX_VALUE_BYTES) {
@@ -223,36 +240,38 @@
     }
     ObjectNode response = JSON.createObjectNode();
     ArrayNode failedKeys = JSON.createArrayNode();
-    for (JsonNode c : transaction.path("when")) {
-      Entry entry = entries.get(c.get("path").asText());
-      if ((entry == null ? 0 : entry.version) != c.get("stamp").asLong()) {
-        failedKeys.add(c.get("path"));
+    for (JsonNode condition : transaction.path("when")) {
+      Entry entry = entries.get(condition.get("path").asText());
+      if ((entry == null ? 0 : entry.version) != condition.get("stamp").asLong()) {
+        failedKeys.add(condition.get("path"));
       }
     }
     if (!failedKeys.isEmpty()) {
       response.set("failed", failedKeys);
       return jsonResponse(409, response.put("ledger", revision));
     }
-    for (JsonNode c : transaction.path("then")) {
-      if (c.has("permit") && !leases.containsKey(c.get("permit").asLong())) {
+    for (JsonNode operation : transaction.path("then")) {
+      if (operation.has("permit") && !leases.containsKey(operation.get("permit").asLong())) {
         return new ClientResponse(
             400, "{\"error\":\"no such lease\"}".getBytes(StandardCharsets.UTF_8));
       }
     }
-    for (JsonNode c : transaction.path("then")) {
-      if (!rejectedKeyPrefix.isEmpty() && c.path("set").asText().startsWith(rejectedKeyPrefix)) {
+    for (JsonNode operation : transaction.path("then")) {
+      if (!rejectedKeyPrefix.isEmpty()
+          && operation.path("set").asText().startsWith(rejectedKeyPrefix)) {
         return new ClientResponse(429, "{}".getBytes(StandardCharsets.UTF_8));
       }
     }
     revision++;
-    for (JsonNode c : transaction.path("then")) {
-      if (c.has("set")) {
-        String key = c.get("set").asText();
-        largestValueBytes = Math.max(largestValueBytes, c.get("v").toString().length());
-        entries.put(key, new Entry(c.get("v"), revision, c.path("permit").asLong(-1)));
-        changes.add(new Change(key, c.get("v"), revision));
+    for (JsonNode operation : transaction.path("then")) {
+      if (operation.has("set")) {
+        String key = operation.get("set").asText();
+        largestValueBytes = Math.max(largestValueBytes, operation.get("v").toString().length());
+        entries.put(
+            key, new Entry(operation.get("v"), revision, operation.path("permit").asLong(-1)));
+        changes.add(new Change(key, operation.get("v"), revision));
       } else {
-        String key = c.get("remove").asText();
+        String key = operation.get("remove").asText();
         entries.remove(key);
         changes.add(new Change(key, null, revision));
       }
@@ -261,6 +280,10 @@
     return jsonResponse(200, response.put("ledger", revision));
   }
 
+  /**
+   * Removes a lease and its keys 50 ms after its end if it was not renewed. No lease ends during an
+   * outage.
+   */
   private void scheduleLeaseExpiry(long leaseId) {
     long[] lease = leases.get(leaseId);
     time.schedule(
@@ -284,6 +307,7 @@
         });
   }
 
+  /** Responds as soon as there are changes of keys with the prefix, or at the time-out. */
   private void follow(String requester, String path, Consumer<ClientResponse> onResponse) {
     long afterRevision = Long.parseLong(queryParameter(path, "from"));
     String prefix = queryParameter(path, "prefix");
@@ -327,7 +351,7 @@
         onResponse);
   }
 
-  /** Open watches remain open through an outage. */
+  /** Responds to an open request after its time limit; during an outage the request stays open. */
   private void scheduleFollowTimeout(
       String requester,
       Runnable respondIfChanged,
--- a/src/test/java/dev/windbend/daemon/FakeWorker.java
+++ b/src/test/java/dev/windbend/daemon/FakeWorker.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** A machine's worker by its published protocol. */
+/** The worker of a simulated machine, with the published protocol. */
 final class FakeWorker {
   static final long RESPONSE_TIMEOUT_MS = 4_000;
   private static final long IMAGE_PULL_MS = 300;
@@ -21,23 +21,40 @@
   private final SimulatedCluster cluster;
   private final Map<String, Task> tasks = new LinkedHashMap<>();
   private int controllerIndex;
+
+  /** Increases each time the lease expires. */
   private long incarnation = 1;
+
+  /** Increases with each heartbeat and each direct command. */
   private long sequence;
+
   private long fencingToken;
   private long leaseStartMs;
   private long lastHeartbeatMs;
+
+  /**
+   * Number of the last scheduled or sent heartbeat; timers and responses of older ones are void.
+   */
   private long heartbeatSchedule;
+
   private boolean heartbeatInFlight;
+
+  /** Whether a task or the fencing token changed while a heartbeat was in flight. */
   private boolean changedInFlight;
+
+  /** The machine has been returned to the cloud or reclaimed by it. */
   boolean terminated;
+
+  /** Sends and executes nothing while true. */
   boolean hung;
 
-  /** Has begun to report. */
+  /** Has sent its first heartbeat. */
   boolean started;
 
-  /** Fails every task that it starts. */
+  /** Every task on this machine fails 200 ms after its start. */
   boolean failsAllTasks;
 
+  /** Announced time until the cloud reclaims the machine; null: not announced. */
   Double reclaimInSeconds;
 
   private static final class Task {
@@ -45,7 +62,11 @@
     long attempt;
     String status;
     String cause;
+
+    /** Whether the invariant checker counts the task as running on this machine. */
     boolean running;
+
+    /** How long the machine hung between receipt of the start command and start of the task. */
     long hungMs;
   }
 
@@ -57,7 +78,7 @@
     this.controllerIndex = cluster.random.nextInt(cluster.controllerCount);
   }
 
-  /** The machine as it is, with the tasks on it. */
+  /** The state of the machine and its tasks. */
   ObjectNode save() {
     ObjectNode savedState =
         FakeStateService.JSON
@@ -82,7 +103,7 @@
     return savedState;
   }
 
-  /** Goes on from what was saved: its tasks run on, and its lease has its full time. */
+  /** Restores a saved state. Running tasks get their full run time, the lease its full duration. */
   void load(JsonNode saved) {
     controllerIndex = saved.get("controller").asInt();
     incarnation = saved.get("session").asLong();
@@ -108,7 +129,7 @@
         this::start);
   }
 
-  /** The highest fencing token it has been sent. */
+  /** The highest fencing token that the worker has received. */
   long fencingToken() {
     return fencingToken;
   }
@@ -120,12 +141,14 @@
     checkLease();
   }
 
+  /** Stops all tasks and sends no more heartbeats. */
   void terminate() {
     terminated = true;
     tasks.values().forEach(this::stopTask);
     tasks.clear();
   }
 
+  /** Stops all tasks and begins a new incarnation when the lease has expired. */
   private void checkLease() {
     if (terminated) {
       return;
@@ -140,6 +163,7 @@
     cluster.time.schedule(200, this::checkLease);
   }
 
+  /** Schedules the next heartbeat in place of one that is already scheduled. */
   private void scheduleHeartbeat(long delayMs) {
     long schedule = ++heartbeatSchedule;
     cluster.time.schedule(
@@ -224,7 +248,7 @@
         });
   }
 
-  /** A direct command: what a hanging machine was sent it executes when it goes on. */
+  /** Handles a direct command. A hung machine handles it when it is no longer hung. */
   void handleCommand(JsonNode command, Consumer<ClientResponse> onResponse) {
     if (terminated) {
       return;
@@ -250,6 +274,7 @@
         new ClientResponse(200, "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
   }
 
+  /** Ignores a response with an older fencing token or to a heartbeat of an older incarnation. */
   private void handleHeartbeatResponse(JsonNode response, long sentMs, long sentIncarnation) {
     long responseToken = response.path("baton").asLong(-1);
     scheduleHeartbeat(
@@ -267,6 +292,7 @@
     }
   }
 
+  /** Returns whether the state of a task changed. */
   private boolean executeCommands(JsonNode message) {
     boolean changed = false;
     for (JsonNode command : message.path("orders")) {
@@ -291,7 +317,10 @@
     return changed;
   }
 
-  /** One report in flight at a time: what changes meanwhile is told in the next. */
+  /**
+   * Sends a change without waiting for the regular heartbeat, at most one heartbeat each 500 ms.
+   * Only one heartbeat is in flight at a time: a change in the meantime is sent in the next one.
+   */
   private void scheduleHeartbeatAfterChange() {
     if (heartbeatInFlight) {
       changedInFlight = true;
@@ -300,13 +329,20 @@
     }
   }
 
+  /**
+   * @param previous the task of the same name on this machine; null: none
+   */
   private boolean startTask(String taskName, long attempt, Task previous) {
     if (previous != null && previous.attempt == attempt) {
       return false;
     }
     if (previous != null && !previous.status.equals("exited")) {
       cluster.invariantChecker.addViolation(
-          "in_use: " + taskName + " is on " + name + " with another attempt");
+          "in_use: "
+              + taskName
+              + " was to start on "
+              + name
+              + ", where another attempt has not exited");
       return false;
     }
     Task task = new Task();
@@ -364,6 +400,7 @@
     }
   }
 
+  /** Names of the tasks that run on the machine. */
   List<String> runningTasks() {
     List<String> names = new ArrayList<>();
     for (Task task : tasks.values()) {
--- a/src/test/java/dev/windbend/daemon/InvariantChecker.java
+++ b/src/test/java/dev/windbend/daemon/InvariantChecker.java
@@ -9,24 +9,33 @@
 import java.util.Set;
 
 /**
- * Judges what happens by the protocol's rules and by what operators count at a day's end. It sees
- * the machines and the users, not the nodes.
+ * Checks the invariants of the protocol and the violations that operators count. It observes the
+ * machines and the users only, so that it does not depend on the state of the controllers.
  */
 final class InvariantChecker {
+  /** Maximum time without a response about a job after the end of all faults. */
   static final long MAX_UNANSWERED_MS = 75_000;
+
+  /** Maximum time for which a job may wait after the end of all faults although it could start. */
   static final long MAX_WAITING_MS = 90_000;
 
-  /** A start in an answer that is under way can't be called back: that is 4 s, and the fetch. */
+  /**
+   * Maximum time from the confirmation of a cancellation to the start of a task: a start command in
+   * a response in flight cannot be revoked. The response takes up to 4 s, the image pull 0.3 s.
+   */
   static final long MAX_START_IN_FLIGHT_MS = 4_300;
 
   private static final double MACHINE_CORES = SimulatedCluster.MACHINE_CORES;
 
+  /** Each as "TIME_MS KIND: DETAILS". */
   final List<String> violations = new ArrayList<>();
 
-  /** Each start of a task, in order. */
+  /** The name of the task of each start, in order. */
   final List<String> startedTasks = new ArrayList<>();
 
-  /** From then on every question must be answered within 75 s. */
+  /**
+   * Virtual time of the end of all faults; the limits on waiting and on responses apply from then.
+   */
   long faultsEndMs = Long.MAX_VALUE;
 
   private final SimulatedCluster cluster;
@@ -41,42 +50,45 @@
     violations.add(cluster.time.nowMs() + " " + violation);
   }
 
-  /** A task that ran before the simulation began. */
+  /** Adds a task that already ran when the simulation began. */
   void addRunningTask(String task, FakeWorker worker) {
     if (!machinesByTask.computeIfAbsent(task, k -> new HashSet<>()).add(worker)
         || machinesByTask.get(task).size() > 1) {
-      addViolation("ran_twice: " + task + " from the beginning");
+      addViolation("ran_twice: " + task + " runs on two machines in the saved state");
     }
   }
 
-  /** A task that had completed before the simulation began. */
+  /** Adds a task that had completed before the simulation began. */
   void addCompletedTask(String task) {
     completedTasks.add(task);
   }
 
-  /** Tasks that have completed, in order of their names. */
+  /** Names of the completed tasks, sorted. */
   List<String> completedTasks() {
     return completedTasks.stream().sorted().toList();
   }
 
+  /** The id of the job of a task. */
   static String jobId(String task) {
     return task.substring(0, task.indexOf('/'));
   }
 
   /**
-   * @param hungMs for how long the machine hung between taking the start and beginning the task: no
-   *     controller can call that start back, as the machine hears nothing
+   * Records the start of a task and checks that the task may run on this machine.
+   *
+   * @param hungMs how long the machine hung between receipt of the start command and start of the
+   *     task: no controller can revoke the start in this time, as the machine handles no message
    */
   void taskStarted(String task, FakeWorker worker, long hungMs) {
     SimulatedUser user = cluster.users.get(jobId(task));
     Set<FakeWorker> machines = machinesByTask.computeIfAbsent(task, k -> new HashSet<>());
     if (!machines.isEmpty()) {
-      addViolation("ran_twice: " + task);
+      addViolation("ran_twice: started while another attempt was running: " + task);
     }
     machines.add(worker);
     startedTasks.add(task);
     if (user == null || user.firstSubmittedMs < 0) {
-      addViolation("unknown task " + task);
+      addViolation("unknown task started, its job was never submitted: " + task);
       return;
     }
     if (user.firstTaskStartedMs < 0) {
@@ -84,29 +96,35 @@
     }
     if (user.cancellationConfirmedMs >= 0) {
       if (cluster.time.nowMs() > user.cancellationConfirmedMs + MAX_START_IN_FLIGHT_MS + hungMs) {
-        addViolation("started after its cancellation was confirmed: " + task);
+        addViolation("started after the cancellation of its job was confirmed: " + task);
       }
       if (cluster.time.nowMs()
           > user.cancellationConfirmedMs + SimulatedCluster.MAX_CANCELLATION_MS) {
-        addViolation("ran_cancelled: " + task);
+        addViolation("ran_cancelled: started after the time limit of the cancellation: " + task);
       }
     }
     if ((user.zone != null && !user.zone.equals(worker.zone)) || (worker.spot && !user.spot)) {
-      addViolation("wrong_place: " + task + " on " + worker.name);
+      addViolation("wrong_place: " + task + " started on excluded machine " + worker.name);
     }
     Map<String, Integer> zones = taskCountByZone(user);
     if (user.together && zones.size() > 1) {
-      addViolation("wrong_place: " + task + " apart from the others of its job");
+      addViolation(
+          "wrong_place: " + task + " started in another zone than the running tasks of its job");
     }
     if (user.spread && zones.get(worker.zone) > (user.taskCount + 1) / 2) {
-      addViolation("wrong_place: " + task + " makes too many in zone " + worker.zone);
+      addViolation(
+          "wrong_place: " + task + " exceeds half of the tasks of its job in zone " + worker.zone);
     }
     if (usedCoresOf(user.team) > maxCoresOf(user.team) + 1e-6) {
-      addViolation("quota: " + user.team + " uses " + usedCoresOf(user.team));
+      addViolation(
+          "quota: cores in use exceed the limit of team "
+              + user.team
+              + ": "
+              + usedCoresOf(user.team));
     }
   }
 
-  /** How many tasks of a job are on machines of each zone. */
+  /** The number of running tasks of a job in each zone. */
   private Map<String, Integer> taskCountByZone(SimulatedUser user) {
     Map<String, Integer> zones = new HashMap<>();
     for (Map.Entry<String, Set<FakeWorker>> entry : machinesByTask.entrySet()) {
@@ -138,8 +156,8 @@
   }
 
   /**
-   * Once all troubles are over, no job is left waiting for 90 s while a machine that fits has room
-   * and its team is under its limit.
+   * Checks each second that, after the end of all faults, no job waits for more than 90 s while a
+   * suitable machine has enough free cores and the team is below its limit.
    */
   void checkWaitingJobs() {
     Map<String, Double> free = new HashMap<>();
@@ -176,13 +194,19 @@
       if (suitableMachine == null || cluster.time.nowMs() < faultsEndMs) {
         user.startableSinceMs = cluster.time.nowMs();
       } else if (cluster.time.nowMs() - user.startableSinceMs > MAX_WAITING_MS) {
-        addViolation("waits: " + user.jobId + " while " + suitableMachine.name + " has room");
+        addViolation(
+            "waits: "
+                + user.jobId
+                + " has a waiting task although "
+                + suitableMachine.name
+                + " has enough free cores");
         user.startableSinceMs = cluster.time.nowMs();
       }
     }
     cluster.time.schedule(1_000, this::checkWaitingJobs);
   }
 
+  /** Records that a task has stopped and checks that a task of a cancelled job stops in time. */
   void taskStopped(String task, FakeWorker worker) {
     machinesByTask.get(task).remove(worker);
     SimulatedUser user = cluster.users.get(jobId(task));
@@ -190,7 +214,7 @@
         && user.cancellationConfirmedMs >= 0
         && cluster.time.nowMs()
             > user.cancellationConfirmedMs + SimulatedCluster.MAX_CANCELLATION_MS) {
-      addViolation("ran_cancelled: " + task + " left late");
+      addViolation("ran_cancelled: " + task + " stopped after the time limit of the cancellation");
     }
   }
 
@@ -202,7 +226,7 @@
         && (!user.spread || zones.getOrDefault(machine.zone, 0) < (user.taskCount + 1) / 2);
   }
 
-  /** A task has completed; whether it was the last of its job. */
+  /** Adds a completed task and returns whether all tasks of its job are completed. */
   boolean taskCompleted(String task) {
     completedTasks.add(task);
     SimulatedUser user = cluster.users.get(jobId(task));
@@ -221,7 +245,7 @@
     return completedTasks.contains(task);
   }
 
-  /** The machines that a user's tasks are on, by name. */
+  /** The machines on which tasks of the user's job run, sorted by name. */
   List<FakeWorker> machinesOf(SimulatedUser user) {
     return machinesByTask.entrySet().stream()
         .filter(entry -> jobId(entry.getKey()).equals(user.jobId))
--- a/src/test/java/dev/windbend/daemon/LoopbackCluster.java
+++ b/src/test/java/dev/windbend/daemon/LoopbackCluster.java
@@ -25,12 +25,14 @@
 import org.xnio.XnioWorker;
 
 /**
- * The stand-ins of a {@link SimulatedCluster} in real time, with controllers that are reached and
- * reach their services over sockets on loopback. All runs on one thread. Direct commands to workers
- * alone are handed over without a socket.
+ * Runs the fake services, workers and users of a {@link SimulatedCluster} in real time, with
+ * controllers that communicate over loopback sockets. Only direct commands to workers are delivered
+ * without a socket. Everything runs on one thread.
  */
 final class LoopbackCluster implements AutoCloseable {
+  /** Interval at which the virtual time is advanced to the real time. */
   private static final long TIME_STEP_MS = 5;
+
   private static final int BUFFER_BYTES = 8_192;
   private static final String LOOPBACK_HOST = "127.0.0.1:";
 
@@ -84,16 +86,16 @@
     for (int controllerIndex = 0;
         controllerIndex < simulatedCluster.controllerCount;
         controllerIndex++) {
-      ControllerProcess controller = new ControllerProcess();
-      controller.clientAddress =
+      ControllerProcess process = new ControllerProcess();
+      process.clientAddress =
           listen(
               (request, onResponse) ->
-                  controller.controller.clientEndpoints().handle(request, onResponse));
-      controller.peerAddress =
+                  process.controller.clientEndpoints().handle(request, onResponse));
+      process.peerAddress =
           listen(
               (request, onResponse) ->
-                  controller.controller.peerEndpoints().handle(request, onResponse));
-      controllers.add(controller);
+                  process.controller.peerEndpoints().handle(request, onResponse));
+      controllers.add(process);
     }
     simulatedCluster.delivery = this::deliver;
   }
@@ -115,7 +117,7 @@
     return response -> onResponse.accept(new ServerResponse(response.status(), response.body(), 0));
   }
 
-  /** Starts the controllers and the stand-ins' clock. */
+  /** Starts the controllers and the users and begins to advance the virtual time. */
   void start(int jobCount, long spanMs) {
     eventLoop.after(
         0,
@@ -131,7 +133,7 @@
   }
 
   private void startController(int controllerIndex) {
-    ControllerProcess controller = controllers.get(controllerIndex);
+    ControllerProcess process = controllers.get(controllerIndex);
     String name = "n" + controllerIndex;
     String settings =
         simulatedCluster
@@ -145,7 +147,7 @@
           settings.replace("n" + otherIndex + ":80", controllers.get(otherIndex).clientAddress);
     }
     try {
-      controller.controller =
+      process.controller =
           new Controller(
               SettingsReader.parse(settings),
               simulatedCluster.policy,
@@ -155,10 +157,10 @@
     } catch (InvalidSettingsException e) {
       throw new AssertionError(e);
     }
-    controller.controller.start();
+    process.controller.start();
   }
 
-  /** A call of a controller's. */
+  /** Sends a request of a controller. */
   private void sendRequest(
       String from,
       String address,
@@ -174,7 +176,7 @@
     }
   }
 
-  /** A message of a worker's or a user's that is not lost. */
+  /** Delivers a message of a worker or a user that is not lost. */
   private void deliver(
       String from,
       String address,
@@ -182,14 +184,14 @@
       String path,
       byte[] body,
       Consumer<ClientResponse> onResponse) {
-    String to = SimulatedCluster.hostOf(address);
-    if (to.startsWith("n")) {
-      ControllerProcess controller = controllers.get(to.charAt(1) - '0');
-      // Each worker has connections of its own.
+    String receiver = SimulatedCluster.hostOf(address);
+    if (receiver.startsWith("n")) {
+      ControllerProcess process = controllers.get(receiver.charAt(1) - '0');
+      // Each worker uses its own connections.
       workerClients
           .computeIfAbsent(from, sender -> new UndertowHttpClient(eventLoop, buffers))
           .call(
-              controller.clientAddress,
+              process.clientAddress,
               method,
               path,
               body,
@@ -200,7 +202,11 @@
     }
   }
 
-  /** Looks each second on the cluster's thread; false if it does not hold in this time. */
+  /**
+   * Evaluates the condition each second on the thread of the cluster.
+   *
+   * @return false if the condition did not hold within the time-out
+   */
   boolean awaitCondition(long timeoutS, BooleanSupplier condition) throws Exception {
     for (long elapsedS = 0; elapsedS < timeoutS; elapsedS++) {
       if (callOnEventLoop(condition::getAsBoolean)) {
@@ -211,7 +217,7 @@
     return false;
   }
 
-  /** Asks on the cluster's thread. */
+  /** Runs the callable on the thread of the cluster and returns its result. */
   <T> T callOnEventLoop(java.util.concurrent.Callable<T> callable) throws Exception {
     CompletableFuture<T> result = new CompletableFuture<>();
     eventLoop.after(
@@ -226,7 +232,7 @@
     try {
       return result.get(30, TimeUnit.SECONDS);
     } catch (TimeoutException e) {
-      throw new AssertionError("the cluster's thread does not answer", e);
+      throw new AssertionError("the thread of the cluster did not run the call within 30 s", e);
     }
   }
 
--- a/src/test/java/dev/windbend/daemon/MessageRecorder.java
+++ b/src/test/java/dev/windbend/daemon/MessageRecorder.java
@@ -3,30 +3,35 @@
 import dev.windbend.runtime.ServerRequest;
 import dev.windbend.runtime.ServerResponse;
 
-/** Sees all that the simulated controllers send, at the moment at which they send it. */
+/** Is called for each message that a simulated controller sends, when the message is sent. */
 interface MessageRecorder {
-  /** Sees nothing. */
+  /** Records nothing. */
   MessageRecorder NONE =
       new MessageRecorder() {
         @Override
         public void requestSent(
-            String node, String address, String method, String path, byte[] body, long limitMs) {}
+            String controller,
+            String address,
+            String method,
+            String path,
+            byte[] body,
+            long timeoutMs) {}
 
         @Override
         public void responseSent(
-            String node, String asker, ServerRequest request, ServerResponse answer) {}
+            String controller, String requester, ServerRequest request, ServerResponse response) {}
       };
 
   /**
-   * A controller sends a request, whether it arrives or not.
+   * A controller has sent a request. The request may still be lost.
    *
-   * @param body null: none
-   * @param timeoutMs how long the controller waits for the answer
+   * @param body null if the request has no body
+   * @param timeoutMs how long the controller waits for the response
    */
   void requestSent(
       String controller, String address, String method, String path, byte[] body, long timeoutMs);
 
-  /** A controller answers a request, whether the answer arrives or not. */
+  /** A controller has sent a response. The response may still be lost. */
   void responseSent(
       String controller, String requester, ServerRequest request, ServerResponse response);
 }
--- a/src/test/java/dev/windbend/daemon/SimulatedCluster.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedCluster.java
@@ -21,7 +21,12 @@
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
 
-/** Some nodes, stand-ins for all they talk to, users, and the rules, all in virtual time. */
+/**
+ * Runs controllers in virtual time with a fake state service, a fake cloud, fake workers and
+ * simulated users, and checks the invariants. The same seed gives the same sequence of messages.
+ *
+ * <p>Controllers are named "n0", "n1", and so on. A task is named "JOB/INDEX".
+ */
 final class SimulatedCluster {
   static final long LEASE_MS = 14_000;
   static final long HEARTBEAT_INTERVAL_MS = 1_500;
@@ -44,7 +49,7 @@
   private int nextMachineNumber;
   int cloudCapacity = 30;
 
-  /** Takes a message that is not lost to its receiver. */
+  /** Delivers a message to its receiver. */
   interface Delivery {
     void deliver(
         String from,
@@ -55,96 +60,116 @@
         Consumer<ClientResponse> onResponse);
   }
 
-  /** How messages of workers and users reach the nodes. */
+  /**
+   * Delivers each message that is not lost. {@link LoopbackCluster} replaces it to send the
+   * messages to controllers over sockets.
+   */
   Delivery delivery = this::deliver;
 
-  /** Sees all that the nodes send; changes nothing. */
+  /** Is called for each message that a controller sends. */
   MessageRecorder recorder = MessageRecorder.NONE;
 
-  /** What each team but the guests may use at most. */
+  /** Maximum cores of each team; the team "guests" has no maximum. */
   double teamMaxCores = DEFAULT_TEAM_MAX_CORES;
 
-  /** The operators' settings of all nodes. */
+  /** The operators' settings, the same for all controllers. */
   Policy policy = OperatorSettings.defaults();
 
-  /** Machines that nodes have given back. */
+  /** Number of machines that the controllers have returned to the cloud. */
   int scaledInMachines;
 
-  /** Chances that a message is lost, answered but unheard, or comes late. */
+  /** Probability that a request is lost, and that the response to a delivered request is lost. */
   double lossProbability = 0.002;
 
+  /** Probability that a request is delayed by up to 30 s more. */
   double delayProbability = 0.002;
 
   /**
-   * Chance that a change of the state service gets no answer and is carried out 2 to 12 s later.
+   * Probability that a transaction of the state service gets no response and is executed 2 to 12 s
+   * later.
    */
   double delayedWriteProbability;
 
-  /** Chance that a change of the state service is carried out at once and its answer is lost. */
+  /** Probability that the response to an executed transaction is lost. */
   double lostWriteResponseProbability;
 
-  /** Chance that a direct command is held up, unanswered, and carried out 2 to 16 s later. */
+  /** Probability that a direct command gets no response and is executed 2 to 16 s later. */
   double delayedCommandProbability;
 
-  /** Users look at all nodes within milliseconds after a job was accepted, ended or cancelled. */
+  /**
+   * Whether a user, when the job is accepted or ends, queries all controllers and submits the job
+   * to each of them again within milliseconds.
+   */
   boolean usersQueryAllControllers;
 
-  /** A new machine is up after this time at least, and up to as much more. */
+  /**
+   * Minimum time from the creation of a machine to its first heartbeat; a random time below {@link
+   * #bootJitterMs} is added.
+   */
   long minBootMs = 3_000;
 
   long bootJitterMs = 4_000;
 
-  /** The newest report of each machine; kept of those that are gone, too. */
+  /** The last heartbeat of each machine by name, including terminated machines. */
   private final Map<String, byte[]> latestHeartbeats = new LinkedHashMap<>();
 
-  /** The state service takes up to so much longer for each request. */
+  /** Upper bound of an additional random delay of each request to the state service. */
   long maxStateServiceDelayMs;
 
-  /** A message between a worker and a node takes up to so much longer. */
+  /** Upper bound of an additional random delay of each heartbeat. */
   long maxHeartbeatDelayMs;
 
-  /** An end of a job's last task is met by its user's cancellation, question and repetition. */
+  /**
+   * Whether a user submits, queries and possibly cancels the job within 1.5 s after its last task
+   * completes, so that the requests arrive together with the heartbeat that reports the completion.
+   */
   boolean usersActAtJobEnd;
 
-  /** Direct commands get lost. */
+  /** Whether all direct commands are lost. */
   boolean dropCommands;
 
-  /** Machines that can open no connection to any node. */
+  /** Names of machines whose requests are all lost. */
   final Set<String> machinesWithBlockedRequests = new HashSet<>();
 
-  /** Chance that a copy of a report comes once more to any node, up to so much later. */
+  /**
+   * Probability that a copy of a heartbeat is also delivered to a random controller, after 1 s plus
+   * a random delay below {@link #maxDuplicateDelayMs}.
+   */
   double duplicateHeartbeatProbability;
 
   long maxDuplicateDelayMs = 45_000;
 
-  /** Every task runs for so much longer than the least. */
+  /** Time that is added to the run time of every task. */
   long additionalRunMs;
 
-  /** Each task of a job runs for so much longer than the one before. */
+  /** Difference of the run times of consecutive tasks of a job. */
   long runTimeStepMs;
 
-  /** How long a task runs. */
+  /** Run time of a task in ms, by the name of the task. */
   ToLongFunction<String> taskRunTimeMs = this::defaultTaskRunMs;
 
-  /** Jobs have so many tasks at most. */
+  /** Maximum number of tasks of a job. */
   int maxTasksPerJob = 12;
 
-  /** Nobody cancels a job before this time. */
+  /** Virtual time before which no user cancels its job of its own accord. */
   long earliestCancellationMs;
 
-  /** Machines whose lease ended with tasks on them. */
+  /** Number of leases of workers that expired while the worker had tasks. */
   int expiredLeasesWithTasks;
 
-  /** Pairs "a>b" that can't talk: sends hang. */
+  /** Links "SENDER>RECEIVER" whose messages are lost. Requests on them end by time-out. */
   final Set<String> blockedLinks = new HashSet<>();
 
-  /** Whether messages from one to another are lost, beside the pairs that can't talk. */
+  /**
+   * Whether messages from the first host to the second are lost, in addition to {@link
+   * #blockedLinks}.
+   */
   BiPredicate<String, String> linkBlocked = (from, to) -> false;
 
-  /** Pairs "a>b" where connections are refused at once. */
+  /** Links "SENDER>RECEIVER" on which requests fail after 1 ms, as with a refused connection. */
   final Set<String> refusedLinks = new HashSet<>();
 
-  /** How much later each of a node's events happens. */
+  /** Additional delay of each event of a controller, by the index of the controller. */
   final long[] eventDelayMs;
 
   SimulatedCluster(long seed) {
@@ -159,7 +184,7 @@
     this.eventDelayMs = new long[controllerCount];
   }
 
-  // ---- nodes
+  // ---- controllers
 
   void startController(int controllerIndex) {
     VirtualTime.ProcessLoop eventLoop =
@@ -193,6 +218,7 @@
     eventLoop.after(1_000, controllers[controllerIndex]::start);
   }
 
+  /** Stops a running controller at once and starts it again without its state after the delay. */
   void killController(int controllerIndex, long restartDelayMs) {
     if (controllers[controllerIndex] == null) {
       return;
@@ -202,12 +228,14 @@
     time.schedule(restartDelayMs, () -> startController(controllerIndex));
   }
 
+  /** Pauses the event loop of a controller, while its clocks advance. */
   void pauseController(int controllerIndex, long durationMs) {
     if (eventLoops[controllerIndex] != null) {
       eventLoops[controllerIndex].pause(durationMs);
     }
   }
 
+  /** The text of the settings file of a controller. */
   String controllerSettings(int controllerIndex) {
     StringBuilder toml = new StringBuilder();
     toml.append("host_name = \"n%d\"\ndomain = \"a\"\n".formatted(controllerIndex));
@@ -235,6 +263,7 @@
 
   // ---- network
 
+  /** Returns an empty object if the body is not JSON. */
   JsonNode parseJson(byte[] body) {
     try {
       return FakeStateService.JSON.readTree(body);
@@ -243,6 +272,12 @@
     }
   }
 
+  /**
+   * Sends a request with the delays and losses of the simulated network.
+   *
+   * @param from host name of the sender
+   * @param onResponse called once, with {@link ClientResponse#NO_RESPONSE} on a time-out or failure
+   */
   void sendRequest(
       String from,
       String address,
@@ -254,6 +289,9 @@
     sendRequestFrom(null, from, address, method, path, body, timeoutMs, onResponse);
   }
 
+  /**
+   * @param senderLoop event loop that runs {@code onResponse}; null: it runs without an event loop
+   */
   private void sendRequestFrom(
       VirtualTime.ProcessLoop senderLoop,
       String from,
@@ -288,7 +326,7 @@
     if (path.equals("/hello")
         && duplicateHeartbeatProbability > 0
         && random.nextDouble() < duplicateHeartbeatProbability) {
-      // A late copy: nobody waits for its answer.
+      // A late copy: its response is discarded.
       String anyController = "n" + random.nextInt(controllerCount) + ":80";
       time.schedule(
           1_000L + random.nextInt((int) maxDuplicateDelayMs),
@@ -352,12 +390,12 @@
                 }));
   }
 
-  /** What the machines reported last, to be delivered later. */
+  /** A copy of the last heartbeat of each machine, to be redelivered later. */
   Map<String, byte[]> copyLatestHeartbeats() {
     return new LinkedHashMap<>(latestHeartbeats);
   }
 
-  /** Old reports reach every node; nobody waits for the answers. */
+  /** Delivers old heartbeats to every controller and discards the responses. */
   void redeliverHeartbeats(Map<String, byte[]> heartbeats) {
     heartbeats.forEach(
         (machine, heartbeat) -> {
@@ -373,10 +411,14 @@
         });
   }
 
+  /** The host of an address "HOST:PORT". */
   static String hostOf(String address) {
     return address.substring(0, address.indexOf(':'));
   }
 
+  /**
+   * Delivers a message to its receiver. A stopped controller and a missing machine do not respond.
+   */
   void deliver(
       String from,
       String address,
@@ -465,15 +507,15 @@
       JsonNode scaleOut = parseJson(body);
       String requestName = scaleOut.get("hire").asText();
       if (!machinesByScaleOutRequest.containsKey(requestName)) {
-        int machineName = Math.min(cloudCapacity, scaleOut.get("how_many").asInt());
-        if (machineName == 0) {
+        int machineCount = Math.min(cloudCapacity, scaleOut.get("how_many").asInt());
+        if (machineCount == 0) {
           onResponse.accept(
               new ClientResponse(
                   503, "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8)));
           return;
         }
         List<String> machineNames = new ArrayList<>();
-        for (int i = 0; i < machineName; i++) {
+        for (int i = 0; i < machineCount; i++) {
           machineNames.add(
               bootMachine(scaleOut.get("yard").asText(), scaleOut.get("standby").asBoolean()));
         }
@@ -485,7 +527,7 @@
     onResponse.accept(FakeStateService.jsonResponse(200, out));
   }
 
-  /** A new machine; also one that nobody asked for. */
+  /** Creates a machine and returns its name. Tests also call it without a scale-out request. */
   String bootMachine(String zone, boolean spot) {
     String name = "host-%06d".formatted(nextMachineNumber++);
     FakeWorker worker = new FakeWorker(this, name, zone, spot);
@@ -496,7 +538,9 @@
     return name;
   }
 
-  /** The cloud takes a machine without notice. */
+  /**
+   * Terminates a machine without notice, as the cloud may do; null or a removed machine: no effect.
+   */
   void reclaimMachine(FakeWorker worker) {
     if (worker != null && machines.remove(worker.name) != null) {
       worker.terminate();
@@ -504,7 +548,7 @@
     }
   }
 
-  /** A task has completed; the end of a job may be met by its user. */
+  /** Records that a task has completed; see {@link #usersActAtJobEnd}. */
   void taskCompleted(String task) {
     if (invariantChecker.taskCompleted(task) && usersActAtJobEnd) {
       SimulatedUser user = users.get(InvariantChecker.jobId(task));
@@ -532,7 +576,12 @@
         + Math.floorMod(task.hashCode(), 9_000);
   }
 
-  /** Users call off so many jobs that run, through any node but one; their tasks' machines. */
+  /**
+   * Cancels up to {@code count} jobs that have tasks on machines.
+   *
+   * @param avoidedController name of a controller that gets none of the cancellations; null: none
+   * @return the machines of the cancelled jobs
+   */
   List<FakeWorker> cancelRunningJobs(int count, String avoidedController) {
     List<FakeWorker> affectedMachines = new ArrayList<>();
     int remaining = count;
@@ -552,7 +601,7 @@
     return affectedMachines;
   }
 
-  /** Jobs told to be cancelled that still have tasks on machines. */
+  /** Ids of the jobs whose cancellation is confirmed and that still have tasks on machines. */
   List<String> cancelledJobsWithTasks() {
     return users.values().stream()
         .filter(user -> user.cancellationConfirmedMs >= 0 && hasTasksOnMachines(user))
@@ -565,18 +614,21 @@
     return user != null && user.tasksAlwaysFail;
   }
 
+  /** Whether the machine exists and is in the zone. */
   boolean isInZone(String name, String zone) {
     FakeWorker machine = machines.get(name);
     return machine != null && machine.zone.equals(zone);
   }
 
-  /** The node that holds a shard's claim; null: none does. */
+  /** The name of the controller that leads the shard; null if none does. */
   String leaderOf(int shard) {
     JsonNode claim = stateService.value("w/c/" + shard);
     return claim == null ? null : claim.path("owner").asText();
   }
 
-  /** Asks about a job that nobody has submitted. */
+  /**
+   * Queries a job that was never submitted, every 7 s. The status 200 is the violation "invented".
+   */
   void queryUnknownJob() {
     sendRequest(
         "users",
@@ -593,7 +645,7 @@
         });
   }
 
-  /** All but the nodes: what the state service, the machines, the cloud and the users hold. */
+  /** The state of the state service, the machines, the cloud and the users, without controllers. */
   ObjectNode save() {
     ObjectNode savedState =
         FakeStateService.JSON
@@ -622,7 +674,10 @@
     return savedState;
   }
 
-  /** Goes on from what was saved, at the same time of day; the nodes are to be started. */
+  /**
+   * Restores a saved state and sets the virtual time to the time of saving. The caller then starts
+   * the controllers.
+   */
   void load(JsonNode saved) {
     time.runUntil(saved.get("now_ms").asLong());
     cloudCapacity = saved.get("capacity").asInt();
@@ -656,6 +711,7 @@
     time.schedule(5_000, invariantChecker::checkWaitingJobs);
   }
 
+  /** Starts all controllers and users, see {@link #startUsers}. */
   void start(int jobCount, long spanMs) {
     for (int controllerIndex = 0; controllerIndex < controllerCount; controllerIndex++) {
       startController(controllerIndex);
@@ -663,7 +719,10 @@
     startUsers(jobCount, spanMs);
   }
 
-  /** Jobs come within a span of time, and are asked about. */
+  /**
+   * Submits the jobs after 3 s plus a random delay below {@code spanMs} each, and begins to check
+   * the invariants on waiting jobs and unknown jobs.
+   */
   void startUsers(int jobCount, long spanMs) {
     for (int jobNumber = 0; jobNumber < jobCount; jobNumber++) {
       String zone = jobNumber % 5 == 0 ? "b" : null;
@@ -683,6 +742,10 @@
     time.schedule(5_000, invariantChecker::checkWaitingJobs);
   }
 
+  /**
+   * Jobs whose last known status is not final, or that are cancelled and still have tasks on
+   * machines, as "JOB STATUS".
+   */
   List<String> unfinishedJobs() {
     List<String> jobs = new ArrayList<>();
     for (SimulatedUser user : users.values()) {
--- a/src/test/java/dev/windbend/daemon/SimulatedUser.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedUser.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A user who submits one job, asks about it until it is over, and may cancel it. */
+/** A user that submits one job, polls its status and may cancel it. */
 final class SimulatedUser {
   private final SimulatedCluster cluster;
   final String jobId;
@@ -16,25 +16,43 @@
   final double coresPerTask;
   final String zone;
   final boolean spot;
+
+  /** All tasks of the job must run in one zone. */
   boolean together;
+
+  /** At most half of the tasks, rounded up, may run in one zone. */
   boolean spread;
 
-  /** The one machine type that the job names; null: it names none. */
+  /** The only machine type on which the job may run; null: any. */
   String machineType;
 
-  /** Submitted with a mistake: its tasks fail on every machine. */
+  /** The tasks of the job fail on every machine, as those of a faulty submission do. */
   boolean tasksAlwaysFail;
 
+  /** Last time at which no waiting task of the job could have started, or a task completed. */
   long startableSinceMs;
+
+  /** Whether the user cancels the job. */
   boolean cancelsJob;
+
+  /** -1: not submitted yet. */
   long firstSubmittedMs = -1;
+
+  /** When the first response with the status "aborted" arrived; -1: none has. */
   long cancellationConfirmedMs = -1;
+
   long lastResponseMs;
+
+  /** When the final status arrived first; before that, when the last response with a status did. */
   long endedMs;
+
+  /** -1: no task has started yet. */
   long firstTaskStartedMs = -1;
+
+  /** The status in the last response; empty: no response has arrived. */
   String lastStatus = "";
 
-  /** Its requests do not go to this node; null: to any. */
+  /** Name of a controller that {@link #sendToRandomController} does not choose; null: none. */
   String avoidedController;
 
   SimulatedUser(
@@ -54,7 +72,7 @@
         cancelsJob);
   }
 
-  /** Also of the guests, a team with neither a guarantee nor a limit. */
+  /** A user of any team, including "guests", which has neither a guarantee nor a limit. */
   SimulatedUser(
       SimulatedCluster cluster,
       int jobNumber,
@@ -74,7 +92,7 @@
     cluster.users.put(jobId, this);
   }
 
-  /** What the user wants and has been answered. */
+  /** The job of the user and its last known status. */
   ObjectNode save() {
     return FakeStateService.JSON
         .createObjectNode()
@@ -93,6 +111,7 @@
         .put("cancelled_ms", cancellationConfirmedMs);
   }
 
+  /** Restores a saved user, who continues to submit, poll or cancel the job. */
   static SimulatedUser load(SimulatedCluster cluster, JsonNode saved) {
     SimulatedUser user =
         new SimulatedUser(
@@ -121,6 +140,7 @@
     return user;
   }
 
+  /** Submits the job until it is accepted, then polls it and cancels it if {@link #cancelsJob}. */
   void submit() {
     long sentMs = cluster.time.nowMs();
     if (firstSubmittedMs < 0) {
@@ -143,7 +163,7 @@
             }
           } else if (response.status() == 400 || response.status() == 422) {
             cluster.invariantChecker.addViolation(
-                "forgotten: " + jobId + " was refused with " + response.status());
+                "forgotten: " + jobId + " was rejected with " + response.status());
           } else {
             cluster.time.schedule(1_000, this::submit);
           }
@@ -172,10 +192,10 @@
     return submission.toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Asks about the job at every node, and submits it again, within milliseconds. */
+  /** Queries the job and submits it again at every controller within milliseconds. */
   private void queryAllControllers() {
-    for (int index = 0; index < cluster.controllerCount; index++) {
-      int controllerIndex = index;
+    for (int i = 0; i < cluster.controllerCount; i++) {
+      int controllerIndex = i;
       cluster.time.schedule(
           1 + cluster.random.nextInt(20),
           () -> queryController(controllerIndex, "GET", "/v1/jobs/" + jobId, null));
@@ -199,7 +219,7 @@
             handleResponse(response, sentMs);
           } else if (response.status() == 201) {
             cluster.invariantChecker.addViolation(
-                "forgotten: " + jobId + " was accepted once more");
+                "forgotten: " + jobId + " was accepted as a new job when submitted again");
           } else if (response.status() >= 400
               && response.status() < 500
               && response.status() != 429) {
@@ -209,6 +229,7 @@
         });
   }
 
+  /** Queries the status of the job every 5 s. */
   void poll() {
     long sentMs = cluster.time.nowMs();
     sendToRandomController(
@@ -218,19 +239,20 @@
         2_000,
         response -> {
           if (response.status() == 404) {
-            cluster.invariantChecker.addViolation("forgotten: " + jobId + " got 404");
+            cluster.invariantChecker.addViolation("forgotten: " + jobId + " got 404 for a query");
           } else if (response.status() == 200) {
             handleResponse(response, sentMs);
           } else if (cluster.time.nowMs()
                   - Math.max(lastResponseMs, cluster.invariantChecker.faultsEndMs)
               > InvariantChecker.MAX_UNANSWERED_MS) {
             cluster.invariantChecker.addViolation(
-                "forgotten: no question about " + jobId + " is answered");
+                "forgotten: " + jobId + " got no response to its queries for 75 s");
           }
           cluster.time.schedule(5_000, this::poll);
         });
   }
 
+  /** Cancels the job; repeats the request until it succeeds. */
   void cancel() {
     long sentMs = cluster.time.nowMs();
     sendToRandomController(
@@ -247,6 +269,11 @@
         });
   }
 
+  /**
+   * Checks the status in a response.
+   *
+   * @param sentMs when the request was sent
+   */
   private void handleResponse(ClientResponse response, long sentMs) {
     lastResponseMs = cluster.time.nowMs();
     String status = cluster.parseJson(response.body()).path("status").asText();
@@ -254,9 +281,14 @@
     if (ended && !status.equals(lastStatus)) {
       if (sentMs > endedMs) {
         cluster.invariantChecker.addViolation(
-            "went_back: " + jobId + " from " + lastStatus + " to " + status);
+            "went_back: "
+                + jobId
+                + " changed from the final status "
+                + lastStatus
+                + " to "
+                + status);
       }
-      return; // asked before it was over, and overtaken by the answer that said so
+      return; // sent before the final status arrived; this response was overtaken
     }
     if (!ended) {
       endedMs = cluster.time.nowMs();
@@ -264,7 +296,7 @@
     if (status.equals("aborted")) {
       if (!cancelsJob) {
         cluster.invariantChecker.addViolation(
-            "went_back: " + jobId + " was not cancelled by its user");
+            "went_back: " + jobId + " has the status aborted, but its user did not cancel it");
       }
       if (cancellationConfirmedMs < 0) {
         cancellationConfirmedMs = cluster.time.nowMs();
@@ -273,7 +305,11 @@
     if (status.equals("done")) {
       for (int taskIndex = 0; taskIndex < taskCount; taskIndex++) {
         if (!cluster.invariantChecker.isCompleted(jobId + "/" + taskIndex)) {
-          cluster.invariantChecker.addViolation("not_done: " + jobId + "/" + taskIndex);
+          cluster.invariantChecker.addViolation(
+              "not_done: job has the status done, but a task has not completed: "
+                  + jobId
+                  + "/"
+                  + taskIndex);
         }
       }
     }
--- a/src/test/java/dev/windbend/daemon/VirtualTime.java
+++ b/src/test/java/dev/windbend/daemon/VirtualTime.java
@@ -4,11 +4,14 @@
 import java.util.PriorityQueue;
 import java.util.function.LongSupplier;
 
-/** Simulated time: everything happens in one thread, in the same order every time. */
+/**
+ * Virtual time. All tasks run on one thread in the order of their times; tasks of the same time run
+ * in the order in which they were scheduled.
+ */
 final class VirtualTime {
   private record ScheduledTask(long atMs, long sequence, Runnable task) {}
 
-  private final PriorityQueue<ScheduledTask> events =
+  private final PriorityQueue<ScheduledTask> scheduledTasks =
       new PriorityQueue<>(
           (a, b) ->
               a.atMs != b.atMs
@@ -22,19 +25,23 @@
   }
 
   void schedule(long delayMs, Runnable task) {
-    events.add(new ScheduledTask(nowMs + Math.max(0, delayMs), nextSequence++, task));
+    scheduledTasks.add(new ScheduledTask(nowMs + Math.max(0, delayMs), nextSequence++, task));
   }
 
+  /** Runs all tasks up to and including this time. */
   void runUntil(long endMs) {
-    while (!events.isEmpty() && events.peek().atMs <= endMs) {
-      ScheduledTask next = events.poll();
+    while (!scheduledTasks.isEmpty() && scheduledTasks.peek().atMs <= endMs) {
+      ScheduledTask next = scheduledTasks.poll();
       nowMs = next.atMs;
       next.task.run();
     }
     nowMs = endMs;
   }
 
-  /** A process's own loop: its clocks start anywhere, and nothing of it runs once it is dead. */
+  /**
+   * The event loop of one process. Its clocks have their own offsets, as the clocks of separate
+   * machines have. After {@link #kill} it runs no task.
+   */
   final class ProcessLoop implements EventLoop {
     private final long monotonicOffsetMs;
     private final long wallClockOffsetMs;
@@ -43,6 +50,9 @@
 
     private final LongSupplier eventDelayMs;
 
+    /**
+     * @param eventDelayMs additional delay of each timer, read when the timer is set
+     */
     ProcessLoop(long monotonicOffsetMs, long wallClockOffsetMs, LongSupplier eventDelayMs) {
       this.eventDelayMs = eventDelayMs;
       this.monotonicOffsetMs = monotonicOffsetMs;
@@ -57,12 +67,12 @@
       return killed;
     }
 
-    /** It runs nothing for so long, while its clocks go on. */
+    /** Runs no task for this time, while the clocks advance. */
     void pause(long durationMs) {
       pausedUntilMs = VirtualTime.this.nowMs + durationMs;
     }
 
-    /** Now, or when it goes on. */
+    /** Runs the task now or at the end of the pause. */
     void run(Runnable task) {
       if (killed) {
         return;
