--- a/src/test/java/dev/windbend/daemon/SimulatedCluster.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedCluster.java
@@ -151,7 +151,7 @@
   /** Maximum number of tasks of a job. */
   int maxTasksPerJob = 12;
 
-  /** Virtual time before which no user cancels its job of its own accord. */
+  /** Earliest virtual time at which users cancel their jobs after acceptance. */
   long earliestCancellationMs;
 
   /** Number of leases of workers that expired while the worker had tasks. */
