--- a/src/main/java/dev/windbend/zone/DisplacedJobs.java
+++ b/src/main/java/dev/windbend/zone/DisplacedJobs.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Jobs whose tasks lost their machine with a zone, until all of their tasks run elsewhere. */
+/** Jobs with tasks that lost their machine with a zone, until all tasks of the job run again. */
 final class DisplacedJobs {
-  /** So many are kept on record, so that the record stays within the size of a value. */
+  /** Maximum number of jobs in a zone's record; keeps the record within the size limit of a value. */
   static final int MAX_RECORDED_JOBS = 150;
 
   private record DisplacedJob(Job job, int zone, long lostMs) {}
@@ -26,12 +26,17 @@
     this.metrics = metrics;
   }
 
-  /** A machine of the zone is proved gone, with a task of this job. */
+  /**
+   * Adds a job with a task on a machine that is confirmed terminated.
+   *
+   * @param zone index of the machine's zone
+   * @param lostMs when the zone was lost (monotonic clock)
+   */
   void add(Job job, int zone, long lostMs) {
     jobsByUid.putIfAbsent(job.spec().uid(), new DisplacedJob(job, zone, lostMs));
   }
 
-  /** As a former owner left it. */
+  /** Adds a job that the previous leader recorded as displaced, if the job still exists. */
   void restore(String uid, int zone, long lostMs) {
     Job job = jobs.find(uid);
     if (job != null) {
@@ -47,7 +52,10 @@
     return (int) jobsByUid.values().stream().filter(d -> d.zone == zone).count();
   }
 
-  /** Forgets the jobs that run again, are over or were cancelled, and measures how long it took. */
+  /**
+   * Removes the jobs that run again, have ended or were cancelled. For jobs that run again, records
+   * the time since the zone was lost.
+   */
   void update(long nowMs) {
     Iterator<DisplacedJob> iterator = jobsByUid.values().iterator();
     while (iterator.hasNext()) {
@@ -71,7 +79,7 @@
     return placement.reported();
   }
 
-  /** The most urgent of a zone's displaced jobs, for the record. */
+  /** Returns the ids of the zone's displaced jobs for its record, the most urgent ones first. */
   List<String> uidsToRecord(int zone) {
     List<DisplacedJob> inZone = new ArrayList<>();
     for (DisplacedJob displacedJob : jobsByUid.values()) {
--- a/src/main/java/dev/windbend/zone/EvacuationPlan.java
+++ b/src/main/java/dev/windbend/zone/EvacuationPlan.java
@@ -5,25 +5,30 @@
 import java.util.List;
 
 /**
- * In which order the machines of an unreachable zone are given up, and which of them at once: a
- * pure function. A task may start elsewhere only once it is proved gone, and giving its machine
- * back to the cloud is the quickest proof. It ends work that might have come back with the zone, so
- * a machine is given up when waiting costs more than that, or would make a task late.
+ * Decides which machines of an unreachable zone are scaled in now, and in which order, as a pure
+ * function. A task may start elsewhere only once its attempt is confirmed terminated, and scaling in
+ * its machine is the fastest way to confirm that. Scale-in also ends work that could have continued
+ * if the zone had returned. A machine is therefore scaled in when waiting for the end of its lease
+ * costs more than the lost work, or would make a task miss its deadline.
  */
 final class EvacuationPlan {
-  /** The chance that a zone is back before its workers' leases end, while nothing is known. */
+  /**
+   * Assumed probability that a zone returns before its workers' leases end; there is no information
+   * that favors either outcome.
+   */
   private static final double RETURN_PROBABILITY = 0.5;
 
   private EvacuationPlan() {}
 
   /**
-   * A task on a machine of the zone.
+   * A task on a machine of the zone. Times are by the monotonic clock.
    *
-   * @param rank its priority, 0 is the highest
-   * @param dueMs when its job is due
-   * @param remainingMs what it would run elsewhere, from its last checkpoint
-   * @param unsavedMs how much of its progress would be lost
-   * @param restrictedToZone it may run in this zone only
+   * @param rank rank of the job's priority; 0 is the highest priority
+   * @param dueMs time at which the job is due
+   * @param remainingMs estimated run time from the last checkpoint if the task is restarted
+   * @param unsavedMs run time since the last checkpoint, which a restart would repeat
+   * @param cores cores that the task uses
+   * @param restrictedToZone whether the task may run in this zone only
    */
   record Task(
       int rank,
@@ -33,16 +38,18 @@
       double cores,
       boolean restrictedToZone) {
 
-    /** How late it may start elsewhere and still be in time. */
+    /** Returns how long the task's restart may be delayed without missing the deadline. */
     private long slackMs(long nowMs) {
       return dueMs - remainingMs - nowMs;
     }
   }
 
   /**
-   * A machine of the zone.
+   * A silent or unresponsive machine of the zone.
    *
-   * @param leaseEndMs when its tasks have surely ended if nobody answers its worker
+   * @param machine name of the machine
+   * @param leaseEndMs time at which the tasks have certainly ended if the worker receives no response
+   *     (monotonic clock)
    */
   record LostMachine(String machine, long leaseEndMs, List<Task> tasks) {
     private int highestRank() {
@@ -63,14 +70,19 @@
     }
   }
 
-  /** Declared priority first, then what is due first, then what is closest to its limit. */
+  /** By declared priority, then by the earliest due time, then by the latest possible start. */
   private static final Comparator<LostMachine> ORDER =
       Comparator.comparingInt(LostMachine::highestRank)
           .thenComparingLong(LostMachine::earliestDueMs)
           .thenComparingLong(LostMachine::latestStartMs)
           .thenComparing(LostMachine::machine);
 
-  /** The machines to be given up now, in this order; the others keep their chance to come back. */
+  /**
+   * Returns the machines to scale in now, in order. The others are kept in case the zone returns.
+   *
+   * @param maxBootMs how long a replacement machine takes to boot, at most
+   * @param nowMs monotonic clock
+   */
   static List<LostMachine> machinesToScaleIn(
       List<LostMachine> machines, long maxBootMs, long nowMs) {
     List<LostMachine> toScaleIn = new ArrayList<>();
@@ -100,7 +112,7 @@
     return expectedWaitCoreMs > expectedLossCoreMs;
   }
 
-  /** In time if it is moved now, late if its lease is waited for. */
+  /** Whether the task meets its deadline if moved now and misses it if moved at the lease's end. */
   private static boolean waitingWouldMissDeadline(
       Task task, long leaseEndMs, long maxBootMs, long nowMs) {
     return !task.restrictedToZone()
--- a/src/main/java/dev/windbend/zone/EvacuationTaskBuilder.java
+++ b/src/main/java/dev/windbend/zone/EvacuationTaskBuilder.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the evacuation needs to know of the tasks on a lost machine. */
+/** Builds the evacuation plan's view of the tasks on a lost machine. */
 final class EvacuationTaskBuilder {
   private static final double MS_PER_SECOND = 1_000;
 
@@ -40,7 +40,10 @@
         zone.equals(job.spec().zone()));
   }
 
-  /** A task taken over from a former owner and not heard of since is half way, for all we know. */
+  /**
+   * Returns how long the task has run. If the task was placed by the previous leader and no heartbeat
+   * has reported it since, assumes half of its estimated run time.
+   */
   private static long elapsedRunTimeMs(Placement placement, long estimatedRunTimeMs, long nowMs) {
     if (placement.runningSinceMs() >= 0) {
       return nowMs - placement.runningSinceMs();
--- a/src/main/java/dev/windbend/zone/ReturnRateLimiter.java
+++ b/src/main/java/dev/windbend/zone/ReturnRateLimiter.java
@@ -1,14 +1,15 @@
 package dev.windbend.zone;
 
 /**
- * A token bucket of machines: how many of a returning zone may be used or rented. Its rate doubles
- * while all goes well, and begins anew when a machine that was taken back is lost.
+ * Token bucket that limits how many machines of a returning zone are opened to new work or created.
+ * Its rate doubles at intervals without a loss, and is reset to the initial rate when machines of the
+ * zone are lost again. Times are by the monotonic clock.
  */
 final class ReturnRateLimiter {
-  /** The bucket holds what comes in this time. */
+  /** The bucket's capacity is the number of tokens added in this time. */
   private static final double BURST_SECONDS = 2;
 
-  /** Beyond that, a zone's return is bounded by the cloud and the reports. */
+  /** Higher rates have no effect: the cloud and the workers' heartbeats limit a zone's return. */
   private static final double MAX_RATE_PER_SECOND = 1_000;
 
   private static final double MS_PER_SECOND = 1_000;
@@ -23,7 +24,7 @@
     this.policy = policy;
   }
 
-  /** The return begins, or begins anew. */
+  /** Resets the limiter to the initial rate and one token. */
   void restart(long nowMs) {
     ratePerSecond = policy.initialReturnPerSecond();
     tokens = 1;
@@ -31,7 +32,7 @@
     lastRateIncreaseMs = nowMs;
   }
 
-  /** Time has passed without a loss. */
+  /** Adds tokens and doubles the rate for the time that has passed without a loss. */
   void advance(long nowMs) {
     while (nowMs - lastRateIncreaseMs >= policy.rateDoublingMs()
         && ratePerSecond < MAX_RATE_PER_SECOND) {
@@ -50,11 +51,12 @@
     }
   }
 
+  /** Returns how many machines may be opened or created now. */
   int availableMachines() {
     return (int) tokens;
   }
 
-  /** Takes room for so many machines, as far as there is. */
+  /** Removes a token for each of these machines, down to zero tokens. */
   void consume(int machines) {
     tokens = Math.max(0, tokens - machines);
   }
--- a/src/main/java/dev/windbend/zone/Zone.java
+++ b/src/main/java/dev/windbend/zone/Zone.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One zone that the owner of a shard looks after: its state, its return and its record. */
+/** One zone that a shard's leader monitors: its state, its return to use and its record. */
 final class Zone {
   final int index;
   final String name;
@@ -13,7 +13,7 @@
   final ZoneRecordWrite recordWrite;
   ZoneEvidence evidence = new ZoneEvidence(0, 0, 0, true);
 
-  /** Machines of a returning zone that are in use again, by name. */
+  /** Names of the machines of a returning zone that are open to new work again. */
   private final Set<String> readmittedMachines = new HashSet<>();
 
   private boolean allMachinesUsable;
@@ -33,34 +33,37 @@
     return stateMachine.state();
   }
 
-  /** Every machine is in use, as far as the state allows that. */
+  /** Returns whether every machine of the zone was open to new work at the last update. */
   boolean allMachinesUsable() {
     return allMachinesUsable;
   }
 
-  /** Neither lost nor on its way back. */
+  /** Returns whether the zone is neither unreachable nor returning. */
   boolean inNormalOperation() {
     return state() == ZoneState.HEALTHY || state() == ZoneState.DEGRADED;
   }
 
-  /** When it was lost last. */
+  /**
+   * Returns when the zone last became unreachable (monotonic clock, ms); 0 if it never did. After
+   * {@link #restore}, this is when the zone entered the recorded state.
+   */
   long lastLostMs() {
     return lastLostMs;
   }
 
-  /** When it entered its state, by the time of day. */
+  /** Returns when the zone entered its state (wall clock, ms). */
   long stateSinceWallMs() {
     return stateSinceWallMs;
   }
 
-  /** As a former owner left it, so long ago. */
+  /** Restores the state that the previous leader recorded, entered {@code stateAgeMs} ago. */
   void restore(ZoneRecord record, long stateAgeMs, long nowMs) {
     stateMachine.restore(record.state(), record.losses(), stateAgeMs, nowMs);
     stateSinceWallMs = record.stateSinceWallMs();
     lastLostMs = stateMachine.stateSinceMs();
   }
 
-  /** The state has changed: a return begins with one machine. */
+  /** Called after a change of state. Resets the rate limiter, so a return starts with one machine. */
   void recordStateChange(long wallMs, long nowMs) {
     readmittedMachines.clear();
     returnRateLimiter.restart(nowMs);
@@ -73,7 +76,7 @@
   /**
    * Opens or closes the zone's machines to new work.
    *
-   * @return how many were taken back just now
+   * @return how many machines of a returning zone were reopened by this call
    */
   int updateUsableMachines(Iterable<Machine> machines, long nowMs) {
     if (state() != ZoneState.RETURNING) {
@@ -96,7 +99,10 @@
     return readmittedMachines.size() - readmittedBefore;
   }
 
-  /** Only a machine that has reported under our token, and as fast as the ramp allows. */
+  /**
+   * Returns whether a machine of a returning zone may get new work. A machine is reopened once its
+   * worker has sent a heartbeat with the leader's token, at the rate that the limiter allows.
+   */
   private boolean tryReadmit(Machine machine) {
     if (readmittedMachines.contains(machine.name())) {
       return true;
--- a/src/main/java/dev/windbend/zone/ZoneAvailability.java
+++ b/src/main/java/dev/windbend/zone/ZoneAvailability.java
@@ -2,9 +2,9 @@
 
 import dev.windbend.job.Job;
 
-/** What scheduling, scale-out and machine health ask of the view of zones. */
+/** Availability of zones, as needed by scheduling, scale-out and machine health checks. */
 public interface ZoneAvailability {
-  /** All zones are open, as where zones are not looked after. */
+  /** All zones are available; used where zones are not monitored. */
   ZoneAvailability UNRESTRICTED =
       new ZoneAvailability() {
         @Override
@@ -14,7 +14,7 @@
 
         @Override
         public void recordScaleOut(int zone, int machines) {
-          // nothing is counted
+          // no limit to count against
         }
 
         @Override
@@ -33,18 +33,18 @@
         }
       };
 
-  /** How many machines may be requested in the zone now. */
+  /** Returns how many machines may be requested in the zone now. */
   int scaleOutLimit(int zone);
 
-  /** So many machines were requested in the zone. */
+  /** Counts machines that were requested in the zone against its limit. */
   void recordScaleOut(int zone, int machines);
 
-  /** Lost machines of this zone are given up in the order of its evacuation. */
+  /** Returns whether the zone is being evacuated, which decides when its lost machines scale in. */
   boolean isEvacuated(int zone);
 
-  /** Tasks of the job lost their machine with a zone, and have not run since. */
+  /** Returns whether tasks of the job lost their machine with a zone and have not run since. */
   boolean isDisplaced(Job job);
 
-  /** Jobs that may run in this zone only have to wait. */
+  /** Returns whether the zone is unreachable, so that jobs restricted to the zone must wait. */
   boolean isUnreachable(String zone);
 }
--- a/src/main/java/dev/windbend/zone/ZoneEvidence.java
+++ b/src/main/java/dev/windbend/zone/ZoneEvidence.java
@@ -1,57 +1,67 @@
 package dev.windbend.zone;
 
 /**
- * What an owner knows of a zone's machines at one moment.
+ * Numbers of a zone's machines by condition, as a shard's leader observes them at one time. A machine
+ * is lost if it is silent or unresponsive.
  *
- * @param responsive machines that reported lately and show the effect of our answers
- * @param silent machines of which a report is overdue
- * @param unresponsive machines that report, but show no effect of our answers
- * @param inconclusive the machines elsewhere are not heard well either, or there are none, so
- *     nothing tells a lost zone from a controller that is cut off or too slow to hear
+ * @param responsive machines that send heartbeats and show the effect of the leader's responses
+ * @param silent machines whose heartbeat is overdue
+ * @param unresponsive machines that send heartbeats but show no effect of the leader's responses
+ * @param inconclusive whether a lost zone cannot be told apart from a controller that is isolated or
+ *     too slow to receive heartbeats, because the other zones' machines are mostly lost too or there
+ *     are none
  */
 public record ZoneEvidence(int responsive, int silent, int unresponsive, boolean inconclusive) {
-  /** A lone machine that is lost says nothing about its zone. */
+  /** Minimum number of lost machines; the loss of a single machine does not indicate a zone loss. */
   private static final int MIN_LOST_MACHINES = 2;
 
-  /** A zone is lost if so many times more of its machines are lost than heard. */
+  /** A zone is lost if it has more than this many lost machines per responsive machine. */
   private static final int MIN_LOST_PER_RESPONSIVE = 2;
 
-  /** It is degraded if at least one of so many machines is lost. */
+  /** A zone is degraded if at least one in this many known machines is lost. */
   private static final int MAX_KNOWN_PER_LOST = 4;
 
-  /** Machines that we can't command at present. */
+  /** Returns the number of machines that the leader cannot control at present. */
   public int lost() {
     return silent + unresponsive;
   }
 
+  /** Returns the number of machines whose condition is known; booting machines do not count. */
   public int known() {
     return responsive + lost();
   }
 
-  /** Nearly all of the zone at once. Machines that the cloud takes back in a wave are fewer. */
+  /**
+   * Returns whether nearly all machines of the zone are lost at once. When the cloud reclaims many
+   * spot machines together, a smaller part of the zone is lost.
+   */
   boolean isZoneLost() {
     return !inconclusive
         && lost() >= MIN_LOST_MACHINES
         && lost() > MIN_LOST_PER_RESPONSIVE * responsive;
   }
 
+  /** Returns whether enough machines are lost to consider the zone degraded. */
   boolean isPartlyLost() {
     return !inconclusive && lost() >= MIN_LOST_MACHINES && MAX_KNOWN_PER_LOST * lost() >= known();
   }
 
-  /** Most machines are heard; or none is left that could tell, and the zone has to be tried. */
+  /**
+   * Returns whether most machines are responsive. Also true if no machine is known: only new machines
+   * can then show whether the zone is back.
+   */
   boolean isMostlyResponsive() {
     return known() == 0 || responsive > lost();
   }
 
-  /** For logs. */
+  /** Formats the counts as fields of a log line. */
   @Override
   public String toString() {
-    return "heard %d, silent %d, deaf %d%s"
+    return "heard=%d silent=%d deaf=%d%s"
         .formatted(
             responsive,
             silent,
             unresponsive,
-            inconclusive ? ", this controller may be cut off itself" : "");
+            inconclusive ? " cause=\"controller may be isolated\"" : "");
   }
 }
--- a/src/main/java/dev/windbend/zone/ZoneMetrics.java
+++ b/src/main/java/dev/windbend/zone/ZoneMetrics.java
@@ -6,9 +6,9 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What a node counts and measures of lost zones, over all its shards. */
+/** Metrics of zone losses, over all shards that the controller leads. */
 public final class ZoneMetrics {
-  /** Longer ones count as this long. */
+  /** Longer times are recorded as this value. */
   private static final long MAX_RECORDED_MS = 3_600_000;
 
   private static final int SIGNIFICANT_DIGITS = 2;
@@ -34,14 +34,18 @@
     takenBack += machines;
   }
 
-  /** All tasks of a displaced job run again, so long after the loss of the zone. */
+  /**
+   * Records that all tasks of a displaced job run again.
+   *
+   * @param restartTimeMs time since the loss of the zone
+   */
   void recordJobRestarted(Urgency urgency, long restartTimeMs) {
     restartTimesMs
         .computeIfAbsent(urgency, u -> new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS))
         .recordValue(Math.min(MAX_RECORDED_MS, Math.max(0, restartTimeMs)));
   }
 
-  /** By name, for operators. */
+  /** Returns the metrics by name, for operators. */
   public Map<String, Double> values() {
     Map<String, Double> values = new TreeMap<>();
     values.put("windbend.zone.losses", (double) losses);
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -20,22 +20,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A shard's view of the zones: from the reports of its machines it tells whether a zone is lost,
- * gives up the machines of a lost one in order of priority, and takes a returning one back
- * gradually. It proves nothing: what may start again is decided by proof alone, as everywhere.
+ * Monitors the zones of a shard. It detects from the workers' heartbeats that a zone is lost, scales
+ * in the machines of a lost zone in order of priority, and admits new work to a returning zone
+ * gradually. The monitor does not decide which tasks may start again: a task is restarted only once
+ * its attempt is confirmed terminated.
  */
 public final class ZoneMonitor implements ZoneAvailability {
   private static final Logger LOG = LoggerFactory.getLogger(ZoneMonitor.class);
 
-  /** The record's list of displaced jobs is renewed at most so often. */
+  /** Minimum time between two updates of the displaced jobs in the zones' records. */
   private static final long RECORD_REFRESH_INTERVAL_MS = 5_000;
 
-  /** So many machines are given up at once, so that a more urgent one need not wait for many. */
+  /**
+   * Maximum number of machines in termination at a time. A machine with more urgent tasks, found
+   * later, then waits for a limited number of terminations only.
+   */
   private static final int MAX_TERMINATING_MACHINES = 100;
 
-  /** A controller that hears its own zone alone can't tell that so many others are lost. */
+  /**
+   * If this many zones other than the controller's own seem lost and no machine outside its own zone
+   * is responsive, the controller is considered isolated and no zone is declared lost.
+   */
   private static final int MIN_LOST_ZONES_FOR_ISOLATION = 2;
 
+  /** With fewer zones, there is no other zone to compare with. */
   private static final int MIN_MONITORED_ZONES = 2;
 
   private static final double MS_PER_SECOND = 1_000;
@@ -54,31 +62,34 @@
   private final long leaseMs;
   private long lastRecordRefreshMs;
 
-  /** What is known of a job's times. */
+  /** Deadlines and durations of jobs. */
   public interface JobTimes {
-    /** When the job is due (steady clock). */
+    /** Returns the time at which the job is due (monotonic clock, ms). */
     long dueMs(Job job, long nowMs);
 
-    /** How long a task of it runs, as estimated. */
+    /** Returns the estimated run time of a task of the job. */
     long estimatedRunTimeMs(Job job);
 
-    /** How long the machines it may run on take to boot, at most. */
+    /** Returns the boot time of the machine type that boots slowest. */
     long maxBootMs();
   }
 
   /**
-   * The state service, as the monitor needs it.
+   * Access to the zones' records in the state service.
    *
-   * @param lookup reads this node's copy of a key
-   * @param enqueueWrite has a changed record written
+   * @param lookup reads a key from this controller's replica; returns null if the key does not exist
+   * @param enqueueWrite enqueues a write of a changed record
    */
   public record RecordStore(
       Function<String, VersionedValue> lookup, Consumer<PendingWrite> enqueueWrite) {}
 
   /**
-   * Where the monitor stands.
+   * The shard and the controller of a monitor, and the timing of the workers.
    *
-   * @param ownZone the zone of this controller
+   * @param shardCount number of shards of the deployment
+   * @param ownZone name of the controller's zone
+   * @param heartbeatIntervalSeconds interval of the workers' heartbeats
+   * @param leaseSeconds how long after its last renewal a worker's lease expires
    */
   public record Config(
       int shard,
@@ -87,6 +98,7 @@
       double heartbeatIntervalSeconds,
       double leaseSeconds) {}
 
+  /** Creates a monitor without zones; {@link #recover} adds them. */
   public ZoneMonitor(
       Config config,
       ZonePolicy policy,
@@ -113,9 +125,11 @@
   }
 
   /**
-   * Goes on where a former owner ended. With less than two zones to look after there is no
-   * elsewhere: then no zone is closed, whatever its record says, and machines are judged one by
-   * one.
+   * Starts monitoring the zones, in the states that the previous leader recorded. If fewer than two
+   * zones are monitored, there is no other zone to compare with: the records are ignored, no zone is
+   * closed, and lost machines are handled one by one.
+   *
+   * @param zoneNames names of the deployment's zones, by index
    */
   public void recover(NameIndex zoneNames) {
     long nowMs = loop.nowMs();
@@ -138,15 +152,18 @@
     if (record != null) {
       zone.restore(record, loop.wallMs() - record.stateSinceWallMs(), nowMs);
       record.displacedUids().forEach(uid -> displacedJobs.restore(uid, index, zone.lastLostMs()));
-      LOG.info("shard {}: zone {} was {} before", config.shard(), name, zone.state().label());
+      LOG.info("zone state restored: shard={} zone={} state={}", config.shard(), name, zone.state().label());
     }
     return zone;
   }
 
   /**
-   * Looks at all machines once.
+   * Updates the state of each zone from its machines' condition, opens or closes the machines to new
+   * work, and scales in machines of unreachable zones.
    *
-   * @param reachableSinceMs since when this owner has been able to hear and answer
+   * @param nowMs monotonic clock
+   * @param reachableSinceMs since when this leader has been able to receive heartbeats and to respond
+   *     to them (monotonic clock)
    */
   public void check(long nowMs, long reachableSinceMs) {
     if (zones.isEmpty()) {
@@ -182,7 +199,11 @@
     return machinesByZone;
   }
 
-  /** A zone is judged only from an elsewhere that is heard well. */
+  /**
+   * Counts the machines of each zone by condition. The evidence for a zone is inconclusive unless
+   * most machines outside the zone are responsive, and for all zones if this controller seems
+   * isolated.
+   */
   private void collectEvidence(
       Map<Integer, List<Machine>> machinesByZone, long nowMs, long reachableSinceMs) {
     int responsive = 0;
@@ -224,7 +245,7 @@
         case SILENT -> silent++;
         case UNRESPONSIVE -> unresponsive++;
         default -> {
-          // it boots, and tells nothing
+          // BOOTING: no heartbeat is expected yet
         }
       }
     }
@@ -235,7 +256,7 @@
     ZoneState newState = zone.state();
     if (previousState != newState) {
       LOG.info(
-          "shard {}: zone {} {} -> {} ({}; lost on record of {} of {} other shards), losses {}",
+          "zone state changed: shard={} zone={} from={} to={} {} others_lost={}/{} losses={}",
           config.shard(),
           zone.name,
           previousState.label(),
@@ -252,7 +273,10 @@
     updateRecord(zone);
   }
 
-  /** Nothing is on record before the first loss and once its backoff has decayed. */
+  /**
+   * Stores the zone's state, losses and displaced jobs. A zone in normal operation has no record
+   * before its first loss and after all of its losses have decayed, unless jobs are still displaced.
+   */
   private void updateRecord(Zone zone) {
     List<String> displacedUids = displacedJobs.uidsToRecord(zone.index);
     boolean recordUnneeded =
@@ -267,6 +291,7 @@
     }
   }
 
+  /** Counts the other shards whose records have this zone as unreachable. */
   private int countOtherShardsUnreachable(Zone zone) {
     int unreachableCount = 0;
     for (int shard = 0; shard < config.shardCount(); shard++) {
@@ -310,11 +335,14 @@
             .toList();
     if (!toScaleIn.isEmpty()) {
       metrics.recordEvacuatedMachines(toScaleIn.size());
-      fleet.scaleIn(toScaleIn, "its zone " + zone.name + " is unreachable");
+      fleet.scaleIn(toScaleIn, "zone " + zone.name + " unreachable");
     }
   }
 
-  /** The cloud has confirmed that the machine is gone; its tasks are still noted on it. */
+  /**
+   * Called when the cloud has confirmed that the machine no longer exists, while its tasks are still
+   * assigned to it. If its zone is lost or returning, their jobs become displaced.
+   */
   public void machineTerminated(Machine machine) {
     Zone zone = zones.get(machine.zone());
     if (zone != null && !zone.inNormalOperation()) {
@@ -324,7 +352,7 @@
     }
   }
 
-  // ---- what planning, renting and machine health ask
+  // ---- queries by scheduling, scale-out and machine health
 
   @Override
   public int scaleOutLimit(int zone) {
@@ -364,7 +392,7 @@
         .anyMatch(z -> z.name.equals(name) && z.state() == ZoneState.UNREACHABLE);
   }
 
-  /** How all zones stand, for operators. */
+  /** Returns the status of each monitored zone, for operators. */
   public List<ZoneStatus> statuses() {
     long nowMs = loop.nowMs();
     List<ZoneStatus> statuses = new ArrayList<>();
--- a/src/main/java/dev/windbend/zone/ZonePolicy.java
+++ b/src/main/java/dev/windbend/zone/ZonePolicy.java
@@ -3,20 +3,19 @@
 import java.util.List;
 
 /**
- * The operators' settings for zones.
+ * The operators' settings for zone monitoring.
  *
- * @param enabled whether zones are looked after at all; if not, machines are judged one by one
- * @param monitoredZones names of the zones looked after; empty: all
- * @param lostAfterMs for how long nearly all of a zone's machines must be lost before the zone is
- *     taken for unreachable
- * @param returnAfterMs for how long most of them must be heard again before the zone returns
- * @param minBackoffMs the least time from a zone's loss to its return; doubled with each further
- *     loss
- * @param maxBackoffMs its bound
- * @param backoffDecayMs a healthy zone's backoff is halved each time it has been healthy for this
- *     long
- * @param initialReturnPerSecond how many machines a second are taken back at first
- * @param rateDoublingMs the rate is doubled after each such time without a lost machine
+ * @param enabled whether zones are monitored; if not, lost machines are handled one by one
+ * @param monitoredZones names of the monitored zones; empty: all zones
+ * @param lostAfterMs for how long nearly all of a zone's machines must be lost before the zone
+ *     becomes unreachable
+ * @param returnAfterMs for how long most of its machines must be responsive before the zone returns
+ * @param minBackoffMs minimum time from a zone's first loss to its return; doubled with each
+ *     further loss
+ * @param maxBackoffMs upper bound of the doubled backoff
+ * @param backoffDecayMs the backoff is halved each time the zone has been healthy for this long
+ * @param initialReturnPerSecond initial rate at which machines of a returning zone are reopened or created
+ * @param rateDoublingMs interval without a lost machine after which the rate is doubled
  */
 public record ZonePolicy(
     boolean enabled,
@@ -29,12 +28,12 @@
     double initialReturnPerSecond,
     long rateDoublingMs) {
 
-  /** Whether a zone is looked after. */
+  /** Returns whether the zone is monitored. */
   boolean isMonitored(String zone) {
     return enabled && (monitoredZones.isEmpty() || monitoredZones.contains(zone));
   }
 
-  /** The least time from a zone's loss to its return, after so many losses that still count. */
+  /** Returns the minimum time from a zone's loss to its return, after losses not yet decayed. */
   long backoffMs(int losses) {
     long doubledBackoffMs = minBackoffMs;
     for (int i = 1; i < losses && doubledBackoffMs < maxBackoffMs; i++) {
--- a/src/main/java/dev/windbend/zone/ZoneRecordWrite.java
+++ b/src/main/java/dev/windbend/zone/ZoneRecordWrite.java
@@ -5,7 +5,7 @@
 import dev.windbend.store.VersionedValue;
 import java.util.Objects;
 
-/** Keeps one zone's record in the state service; there is none while all is well. */
+/** Writes one zone's record in the state service, or deletes it if no record is desired. */
 final class ZoneRecordWrite extends RecordWrite {
   private ZoneRecord desired;
   private ZoneRecord stored;
@@ -13,8 +13,8 @@
   private long version;
 
   /**
-   * @param record what the key holds, null: nothing that this version can read
-   * @param storedValue the same as stored, null: there is none
+   * @param record record under the key; null if there is none that this version can read
+   * @param storedValue value and version under the key; null if the key does not exist
    */
   ZoneRecordWrite(String key, ZoneRecord record, VersionedValue storedValue) {
     super(key);
@@ -23,7 +23,7 @@
     this.version = storedValue == null ? 0 : storedValue.version();
   }
 
-  /** What the record has to say from now on; null: nothing. */
+  /** Sets the record to store; null to delete the stored record. */
   void setDesired(ZoneRecord record) {
     desired = record;
   }
--- a/src/main/java/dev/windbend/zone/ZoneState.java
+++ b/src/main/java/dev/windbend/zone/ZoneState.java
@@ -2,25 +2,25 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** How a zone stands, as the owner of a shard sees it. */
+/** State of a zone, as observed by the leader of a shard. */
 public enum ZoneState {
-  /** Its machines report and hear us. */
+  /** Its machines send heartbeats and receive the leader's responses. */
   @JsonProperty("healthy")
   HEALTHY,
 
-  /** Some of its machines are lost; the others are used as always. */
+  /** Some of its machines are lost; the others are used as usual. */
   @JsonProperty("degraded")
   DEGRADED,
 
-  /** Nearly all of its machines are lost to this owner: nothing is placed or rented there. */
+  /** Nearly all of its machines are lost to this leader: no placement and no scale-out there. */
   @JsonProperty("unreachable")
   UNREACHABLE,
 
-  /** It reports again and is taken back gradually. */
+  /** Its machines are responsive again and are reopened to new work gradually. */
   @JsonProperty("returning")
   RETURNING;
 
-  /** For logs and metrics. */
+  /** Returns the state's name in lower case, for log lines. */
   public String label() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
--- a/src/main/java/dev/windbend/zone/ZoneStateMachine.java
+++ b/src/main/java/dev/windbend/zone/ZoneStateMachine.java
@@ -1,25 +1,28 @@
 package dev.windbend.zone;
 
 /**
- * The state machine of one zone, fed with evidence: a pure function of what it is told and when. It
- * changes state only after evidence has held for a while, and the time from a loss to the return
- * doubles with each further loss, so a zone that flaps settles in {@link ZoneState#UNREACHABLE}.
+ * The state machine of one zone. Its state depends only on the evidence passed in and the time of
+ * each observation. A transition requires evidence that has held for the configured time; only the
+ * loss of a returning zone takes effect immediately. The minimum time from a loss to the return
+ * doubles with each further loss, so a flapping zone stays {@link ZoneState#UNREACHABLE} most of the
+ * time. Times are by the monotonic clock.
  */
 final class ZoneStateMachine {
   private static final long NONE = -1;
 
-  /** A zone stays in its return for at least so many times the time after which its rate widens. */
+  /** Minimum time in {@link ZoneState#RETURNING}, as a multiple of the rate's doubling interval. */
   private static final int MIN_RETURN_INTERVALS = 2;
 
   private final ZonePolicy policy;
   private ZoneState state = ZoneState.HEALTHY;
   private long stateSinceMs;
 
-  /** Losses that still count for the backoff. */
+  /** Number of losses that have not decayed; determines the backoff. */
   private int losses;
 
   private long lostSinceMs = NONE;
   private long responsiveSinceMs = NONE;
+  /** Latest time at which the state changed, a loss decayed or the zone was partly lost. */
   private long stableSinceMs;
 
   ZoneStateMachine(ZonePolicy policy, long nowMs) {
@@ -28,7 +31,11 @@
     this.stableSinceMs = nowMs;
   }
 
-  /** As a former owner left it, so long ago. */
+  /**
+   * Restores what the previous leader recorded.
+   *
+   * @param stateAgeMs how long ago the zone entered the state; negative values count as 0
+   */
   void restore(ZoneState recordedState, int recordedLosses, long stateAgeMs, long nowMs) {
     state = recordedState;
     losses = Math.max(0, recordedLosses);
@@ -47,16 +54,16 @@
     return losses;
   }
 
-  /** The earliest time at which a lost zone may return. */
+  /** Returns the earliest time at which an unreachable zone may start to return. */
   long earliestReturnMs() {
     return stateSinceMs + policy.backoffMs(losses);
   }
 
   /**
-   * Takes in what is known now.
+   * Updates the state from the current evidence.
    *
-   * @param allMachinesUsable every machine of the zone is in use again
-   * @return whether the state or the count of losses has changed
+   * @param allMachinesUsable whether every machine of the zone is open to new work
+   * @return whether the state or the number of losses has changed
    */
   boolean observe(ZoneEvidence evidence, boolean allMachinesUsable, long nowMs) {
     lostSinceMs = conditionSinceMs(lostSinceMs, evidence.isZoneLost(), nowMs);
@@ -68,6 +75,7 @@
     };
   }
 
+  /** Returns since when a condition has held without interruption; {@link #NONE} if it does not. */
   private static long conditionSinceMs(long sinceMs, boolean conditionHolds, long nowMs) {
     if (!conditionHolds) {
       return NONE;
@@ -103,7 +111,7 @@
 
   private boolean observeReturning(boolean allMachinesUsable, long nowMs) {
     if (lostSinceMs != NONE) {
-      // Waiting for certainty here would place more tasks where they are lost.
+      // Without the usual delay, which would place more tasks on machines that are lost.
       return enterUnreachable(nowMs);
     }
     return allMachinesUsable
--- a/src/main/java/dev/windbend/zone/ZoneStatus.java
+++ b/src/main/java/dev/windbend/zone/ZoneStatus.java
@@ -3,12 +3,13 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * A zone as the owner of a shard sees it, for operators.
+ * Status of a zone as observed by the leader of a shard, for operators.
  *
- * @param stateAgeSeconds for how long it has been so
- * @param minReturnInSeconds the least time until it may return, 0: it may, or it is not lost
- * @param otherShardsUnreachable how many other shards have it on record as unreachable
- * @param displacedJobs displaced jobs that do not run again yet
+ * @param stateAgeSeconds how long the zone has been in its state
+ * @param minReturnInSeconds minimum time until the zone may return; 0 if it may return now or is not
+ *     unreachable
+ * @param otherShardsUnreachable number of other shards whose records have the zone as unreachable
+ * @param displacedJobs number of displaced jobs that do not run again yet
  */
 public record ZoneStatus(
     @JsonProperty("shard") int shard,
