--- a/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
+++ b/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which machines of a lost zone are given up, in which order, and who gets room elsewhere. */
+/**
+ * Tests which machines of a lost zone are scaled in, in which order, and that displaced tasks get free
+ * capacity in other zones by priority.
+ */
 class EvacuationPlanTest {
   private static final long NOW = 1_000_000;
   private static final long BOOT_MS = 30_000;
@@ -43,15 +46,15 @@
         .toList();
   }
 
-  @ParameterizedTest(name = "due in {0} ms, {1} ms left, {2} ms unsaved, lease {3} ms: {4}")
+  @ParameterizedTest(name = "due in {0} ms, {1} ms remaining, {2} ms unsaved, lease ends in {3} ms: scaled in {4}")
   @CsvSource({
-    "900000, 60000, 0, 20000, true", // nothing is lost by moving
+    "900000, 60000, 0, 20000, true", // no progress is lost by moving
     "900000, 60000, 19999, 20000, true",
-    "900000, 60000, 20000, 20000, false", // as much would be lost as waiting costs
-    "900000, 60000, 50000, 0, true", // the lease is over
-    "110000, 60000, 50000, 20000, false", // in time either way
-    "109999, 60000, 50000, 20000, true", // late if the lease is waited for
-    "89999, 60000, 50000, 20000, false", // late either way
+    "900000, 60000, 20000, 20000, false", // the lost progress equals the cost of waiting
+    "900000, 60000, 50000, 0, true", // the lease has ended
+    "110000, 60000, 50000, 20000, false", // meets its deadline in either case
+    "109999, 60000, 50000, 20000, true", // misses its deadline if moved at the lease's end
+    "89999, 60000, 50000, 20000, false", // misses its deadline in either case
   })
   void scalesInMachineWhenWaitingCostsMoreThanLostProgress(
       long dueInMs, long remainingMs, long unsavedMs, long leaseInMs, boolean scaledIn) {
@@ -81,7 +84,7 @@
         .containsExactly("f", "e", "d", "c", "b", "a");
   }
 
-  /** A displaced job, and what it asks of room elsewhere. */
+  /** A displaced job and the resources that its waiting tasks require. */
   private record DisplacedJob(
       int rank, int cores, int waiting, long dueInMs, long estimatedRunTimeMs) {
     private PendingJob toPendingJob() {
@@ -96,7 +99,7 @@
   }
 
   @Provide
-  Arbitrary<List<DisplacedJob>> displaced() {
+  Arbitrary<List<DisplacedJob>> displacedJobs() {
     return Combinators.combine(
             Arbitraries.integers().between(0, 3),
             Arbitraries.integers().between(1, 8),
@@ -121,12 +124,12 @@
   }
 
   /**
-   * No priority inversion: where a displaced task was placed, no displaced task of a higher
-   * priority that fits into that room is left waiting.
+   * Guards against priority inversion: if a displaced task was placed, no displaced task of higher
+   * priority that fits into the same resources is left waiting.
    */
   @Property(tries = 400)
   void neverPlacesDisplacedTaskWhereHigherPriorityTaskThatFitsIsWaiting(
-      @ForAll("displaced") List<DisplacedJob> jobs, @ForAll("rooms") List<Integer> freeCores) {
+      @ForAll("displacedJobs") List<DisplacedJob> jobs, @ForAll("freeCoreCounts") List<Integer> freeCores) {
     List<PendingJob> pending = jobs.stream().map(DisplacedJob::toPendingJob).toList();
     List<MachineCapacity> machines =
         freeCores.stream().map(EvacuationPlanTest::machineWithFreeCores).toList();
@@ -149,18 +152,18 @@
         DisplacedJob waitingJob = jobs.get(i);
         boolean fits = waitingJob.cores() <= placedJob.cores();
         assertThat(waitingCounts[i] > 0 && waitingJob.rank() < placedJob.rank() && fits)
-            .as("%s waits, %s is placed", waitingJob, placedJob)
+            .as("%s waits although %s is placed", waitingJob, placedJob)
             .isFalse();
       }
     }
   }
 
   @Provide
-  Arbitrary<List<Integer>> rooms() {
+  Arbitrary<List<Integer>> freeCoreCounts() {
     return Arbitraries.integers().between(1, 8).list().ofMaxSize(6);
   }
 
-  /** Half of 4,000 machines: the order costs one sort, whatever the number of tasks. */
+  /** Half of 4,000 machines: ordering takes a single sort, independent of the number of tasks. */
   @Test
   void orders2000MachinesByPriority() {
     List<LostMachine> lost = new ArrayList<>();
--- a/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What the state service keeps of zones, and what operators are shown of them. */
+/** Tests the formats of zones' stored records, of the zone status and of the zone metrics. */
 class ZoneMessagesTest {
   static Stream<Arguments> messages() {
     return Stream.of(
@@ -30,7 +30,7 @@
             {"state":"unreachable","since_ms":1760000000123,"losses":3,
             "displaced":["wk-000412","wk-000001"]}"""),
         arguments(
-            "stored: zone of which no job is displaced",
+            "stored: zone without displaced jobs",
             new ZoneRecord(ZoneState.HEALTHY, 0, 0, null),
             """
             {"state":"healthy","since_ms":0,"losses":0,"displaced":[]}"""),
@@ -40,7 +40,7 @@
             """
             {"since_ms":1,"losses":2,"displaced":[]}"""),
         arguments(
-            "zone for operators",
+            "zone status for operators",
             new ZoneStatus(1, "a", ZoneState.DEGRADED, 2, 3, 4, 5, 6, 7, 8, 9),
             """
             {"shard":1,"zone":"a","state":"degraded","since_s":2,"heard":3,"silent":4,"deaf":5,
@@ -62,7 +62,7 @@
         new ZoneRecord(null, 0, 0, List.of()));
   }
 
-  /** A record of a later version, with a state that this one lacks, counts as none. */
+  /** A record written by a later version may have a state that this version does not know. */
   @Test
   void treatsRecordWithUnknownOrMissingStateAsAbsent() {
     assertThat(ZoneRecord.read(new VersionedValue(tree("{\"state\":\"frozen\"}"), 1))).isNull();
@@ -127,7 +127,6 @@
             "windbend.zone.runs_again_ms.idle.max");
   }
 
-  /** Each count and measure under its own name. */
   @Test
   void countsEachEventUnderItsMetricName() {
     ZoneMetrics metrics = new ZoneMetrics();
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A shard with 4,000 machines, half of them in the zone that is lost; the cloud stands in. */
+/** Tests a shard with 4,000 machines, half of them in the zone that is lost, and a fake cloud. */
 class ZoneMonitorTest {
   private static final String MACHINE_TYPES_JSON =
       "{\"rigs\":[{\"label\":\"t\",\"cores\":8,\"cards\":0,\"ram_gb\":8,\"cache_gb\":9,"
@@ -140,7 +140,7 @@
     return created;
   }
 
-  /** Stored at once, where a mirror would show it; only zones' records are looked at here. */
+  /** Completes the write of a zone's record immediately; ignores other records. */
   private void storeZoneRecord(PendingWrite write) {
     if (write instanceof ZoneRecordWrite zoneWrite && zoneWrite.dirty()) {
       recordWriteCount++;
@@ -163,7 +163,7 @@
     onResponse.accept(new ClientResponse(200, responseBody.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** One task on each machine of the zone, that has run for so long. */
+  /** Places a task on each machine of the zone that has already run for the given time. */
   private void startTaskOnEachMachine(int zone, long elapsedRunTimeMs) {
     int jobNumber = 0;
     for (Machine machine : fleet.machines()) {
@@ -196,7 +196,7 @@
             loop.nowMs);
   }
 
-  /** Time passes, in which the machines of some zones report. */
+  /** Advances the clock while only the machines of the given zones send heartbeats. */
   private void advance(long durationMs, int... responsiveZones) {
     for (long untilMs = loop.nowMs + durationMs; loop.nowMs < untilMs; ) {
       loop.nowMs += STEP_MS;
@@ -217,7 +217,7 @@
   @Test
   void evacuatesLostZoneOf2000MachinesByPriority() {
     advance(10_000, 0, 1);
-    assertThat(recordWriteCount).as("nothing is written while all is well").isZero();
+    assertThat(recordWriteCount).as("no record is written before a loss").isZero();
     startTaskOnEachMachine(1, 1_000);
     advance(8_000, 0);
     assertThat(monitor.scaleOutLimit(1)).isZero();
@@ -227,19 +227,19 @@
     int scaledInBeforeLeaseEnd = scaledInMachines.size();
     advance(40_000, 0);
     assertThat(scaledInMachines)
-        .as("all of the zone, and nothing else")
+        .as("exactly the machines of the lost zone")
         .hasSize(SCALE_OUT_COUNT * MACHINES_PER_SCALE_OUT / 2);
     assertThat(fleet.machines()).allMatch(m -> m.zone() == 0 && !m.zoneClosed());
-    assertThat(scaledInBeforeLeaseEnd).as("given up before their leases end").isPositive();
+    assertThat(scaledInBeforeLeaseEnd).as("machines scaled in before their leases end").isPositive();
     assertThat(scaledInMachines.stream().limit(500).map(this::rankOfTaskOn))
-        .as("urgent first")
+        .as("most urgent tasks first")
         .isSorted();
-    assertThat(recordWriteCount).as("a few changes a transition").isLessThan(20);
+    assertThat(recordWriteCount).as("number of writes is bounded by transitions, not machines").isLessThan(20);
     assertThat(metrics.values()).containsEntry("windbend.zone.losses", 1.0);
     assertThat(metrics.values()).containsEntry("windbend.zone.evacuated", 2_000.0);
   }
 
-  /** The rank of the task that was placed on it, by the order of placing. */
+  /** Returns the rank of the task that {@link #startTaskOnEachMachine} placed on the machine. */
   private int rankOfTaskOn(String machineName) {
     int scaleOut = Integer.parseInt(machineName.substring(5, 7));
     int jobNumber =
@@ -248,7 +248,8 @@
   }
 
   /**
-   * Work with much to lose keeps its machine until its lease is over, and goes on if it returns.
+   * A machine with much unsaved progress is kept until its lease ends, so its tasks continue if the
+   * zone returns before then.
    */
   @Test
   void readmitsZoneGraduallyWithoutScaleInWhenItReturnsBeforeLeasesEnd() {
@@ -272,7 +273,10 @@
     assertThat(scaledInMachines).isEmpty();
   }
 
-  /** State, backoff and what is on the move survive a takeover; older records are read. */
+  /**
+   * State and backoff survive a failover. Records without some of the fields, or with an unknown
+   * state, are accepted.
+   */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
       delimiter = '|',
@@ -292,7 +296,10 @@
     assertThat(zoneStatus.minReturnInSeconds()).isEqualTo(minReturnInSeconds);
   }
 
-  /** One zone alone is watched: its former record keeps no silent machine from being given back. */
+  /**
+   * With a single monitored zone, a recorded loss must not close the zone or keep its silent machines
+   * from being scaled in.
+   */
   @Test
   void ignoresRecordWhenOnlyOneZoneIsMonitored() {
     JsonNode record = Json.tree(new ZoneRecord(ZoneState.UNREACHABLE, 999_000, 1, null));
@@ -305,7 +312,7 @@
     assertThat(monitor.statuses()).isEmpty();
   }
 
-  /** A controller that hears nobody, as one that is cut off itself, judges nobody. */
+  /** A controller that receives no heartbeats at all may be isolated itself. */
   @Test
   void marksNoZoneUnreachableWhenAllMachinesAreSilent() {
     advance(4_000, 0, 1);
@@ -314,8 +321,8 @@
   }
 
   /**
-   * A controller too slow to take in reports misses those of all zones. Found on loopback: one
-   * zone's machines were all closed for minutes.
+   * A controller that is too slow to process heartbeats misses those of all zones. In a run over
+   * loopback, this closed all machines of one zone for minutes.
    */
   @Test
   void keepsZonesHealthyWhenMostHeartbeatsOfAllZonesAreMissed() {
--- a/src/test/java/dev/windbend/zone/ZoneStateMachineTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneStateMachineTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When a zone is taken for lost, when it returns, and that it never does so too often. */
+/** Tests when a zone becomes unreachable, when it returns, and that flapping is bounded. */
 class ZoneStateMachineTest {
   private static final ZonePolicy POLICY =
       new ZonePolicy(true, List.of(), 3_000, 2_000, 10_000, 80_000, 100_000, 1, 5_000);
@@ -32,7 +32,7 @@
     }
   }
 
-  @ParameterizedTest(name = "heard {0}, silent {1}, deaf {2}, isolated {3}: {4}")
+  @ParameterizedTest(name = "responsive {0}, silent {1}, unresponsive {2}, inconclusive {3}: {4}")
   @CsvSource({
     "10, 0, 0, false, HEALTHY",
     "10, 1, 0, false, HEALTHY",
@@ -58,21 +58,21 @@
     advance(ALL_RESPONSIVE, 500);
     advance(MOSTLY_SILENT, 3_000);
     assertThat(stateMachine.state())
-        .as("not lost for long enough at a time")
+        .as("loss interrupted before the detection time")
         .isNotEqualTo(unreachable());
     advance(MOSTLY_SILENT, 1_000);
     assertThat(stateMachine.state()).isEqualTo(unreachable());
     advance(ALL_RESPONSIVE, 9_000);
-    assertThat(stateMachine.state()).as("within its backoff").isEqualTo(unreachable());
+    assertThat(stateMachine.state()).as("responsive again, but within the backoff").isEqualTo(unreachable());
     advance(MOSTLY_SILENT, 5_000);
     advance(ALL_RESPONSIVE, 2_000);
     assertThat(stateMachine.state())
-        .as("heard again for too short a time")
+        .as("responsive again, but not for long enough")
         .isEqualTo(unreachable());
     advance(ALL_RESPONSIVE, 1_000);
     assertThat(stateMachine.state()).isEqualTo(ZoneState.RETURNING);
     advance(MOSTLY_SILENT, 500);
-    assertThat(stateMachine.state()).as("a relapse counts at once").isEqualTo(unreachable());
+    assertThat(stateMachine.state()).as("loss of a returning zone takes effect immediately").isEqualTo(unreachable());
   }
 
   private static ZoneState unreachable() {
@@ -103,7 +103,7 @@
   }
 
   @Provide
-  Arbitrary<List<ZoneEvidence>> evidence() {
+  Arbitrary<List<ZoneEvidence>> evidenceSequences() {
     Arbitrary<ZoneEvidence> randomEvidence =
         Arbitraries.integers()
             .between(0, 6)
@@ -112,23 +112,23 @@
             .map(n -> new ZoneEvidence(n.get(0), n.get(1), n.get(2), n.get(2) == 6));
     Arbitrary<ZoneEvidence> typicalOrRandomEvidence =
         Arbitraries.oneOf(randomEvidence, Arbitraries.of(ALL_RESPONSIVE, MOSTLY_SILENT));
-    // Spells of some length, as the zone would hardly ever change its state otherwise.
+    // Repeats each evidence, as the zone would rarely change its state otherwise.
     return Arbitraries.integers()
         .between(1, 80)
         .flatMap(
             length -> typicalOrRandomEvidence.map(e -> java.util.Collections.nCopies(length, e)))
         .list()
         .ofMaxSize(40)
-        .map(spells -> spells.stream().flatMap(List::stream).toList());
+        .map(repeated -> repeated.stream().flatMap(List::stream).toList());
   }
 
   /**
-   * Whatever comes, a zone returns no sooner than its backoff after its loss, which doubles with
-   * each loss that has not decayed.
+   * For any sequence of evidence, a zone returns only after the backoff since its loss. The backoff
+   * doubles with each loss that has not decayed.
    */
   @Property(tries = 400, shrinking = ShrinkingMode.BOUNDED)
   void neverReturnsBeforeBackoffHasElapsed(
-      @ForAll("evidence") List<ZoneEvidence> evidenceSequence) {
+      @ForAll("evidenceSequences") List<ZoneEvidence> evidenceSequence) {
     ZoneStateMachine testedStateMachine = new ZoneStateMachine(POLICY, 0);
     long currentMs = 0;
     long lostMs = 0;
@@ -155,9 +155,9 @@
     }
   }
 
-  /** The ramp gives no more machines in any time than its fastest rate and its bucket allow. */
+  /** The limiter never allows more machines than its maximum rate and its capacity permit. */
   @Property(tries = 200)
-  void rateLimiterNeverExceedsMaximumRateAndBurst(@ForAll("gaps") List<Integer> intervalsMs) {
+  void rateLimiterNeverExceedsMaximumRateAndBurst(@ForAll("intervals") List<Integer> intervalsMs) {
     ReturnRateLimiter rateLimiter = new ReturnRateLimiter(POLICY);
     rateLimiter.restart(0);
     long currentMs = 0;
@@ -179,7 +179,7 @@
   }
 
   @Provide
-  Arbitrary<List<Integer>> gaps() {
+  Arbitrary<List<Integer>> intervals() {
     return Arbitraries.integers().between(1, 2_000).list().ofMaxSize(60);
   }
 }
