--- a/src/main/java/dev/windbend/zone/DisplacedJobs.java
+++ b/src/main/java/dev/windbend/zone/DisplacedJobs.java
@@ -12,7 +12,9 @@
 
 /** Jobs with tasks that lost their machine with a zone, until all tasks of the job run again. */
 final class DisplacedJobs {
-  /** Maximum number of jobs in a zone's record; keeps the record within the size limit of a value. */
+  /**
+   * Maximum number of jobs in a zone's record; keeps the record within the size limit of a value.
+   */
   static final int MAX_RECORDED_JOBS = 150;
 
   private record DisplacedJob(Job job, int zone, long lostMs) {}
--- a/src/main/java/dev/windbend/zone/EvacuationPlan.java
+++ b/src/main/java/dev/windbend/zone/EvacuationPlan.java
@@ -6,10 +6,10 @@
 
 /**
  * Decides which machines of an unreachable zone are scaled in now, and in which order, as a pure
- * function. A task may start elsewhere only once its attempt is confirmed terminated, and scaling in
- * its machine is the fastest way to confirm that. Scale-in also ends work that could have continued
- * if the zone had returned. A machine is therefore scaled in when waiting for the end of its lease
- * costs more than the lost work, or would make a task miss its deadline.
+ * function. A task may start elsewhere only once its attempt is confirmed terminated, and scaling
+ * in its machine is the fastest way to confirm that. Scale-in also ends work that could have
+ * continued if the zone had returned. A machine is therefore scaled in when waiting for the end of
+ * its lease costs more than the lost work, or would make a task miss its deadline.
  */
 final class EvacuationPlan {
   /**
@@ -48,8 +48,8 @@
    * A silent or unresponsive machine of the zone.
    *
    * @param machine name of the machine
-   * @param leaseEndMs time at which the tasks have certainly ended if the worker receives no response
-   *     (monotonic clock)
+   * @param leaseEndMs time at which the tasks have certainly ended if the worker receives no
+   *     response (monotonic clock)
    */
   record LostMachine(String machine, long leaseEndMs, List<Task> tasks) {
     private int highestRank() {
--- a/src/main/java/dev/windbend/zone/EvacuationTaskBuilder.java
+++ b/src/main/java/dev/windbend/zone/EvacuationTaskBuilder.java
@@ -41,8 +41,9 @@
   }
 
   /**
-   * Returns how long the task has run. If the task was placed by the previous leader and no heartbeat
-   * has reported it since, assumes half of its estimated run time.
+   * Returns how long the task has run. If the task was placed by the previous leader and no
+   * heartbeat has reported it since, half of its estimated run time is assumed; for other tasks not
+   * reported as running, 0.
    */
   private static long elapsedRunTimeMs(Placement placement, long estimatedRunTimeMs, long nowMs) {
     if (placement.runningSinceMs() >= 0) {
--- a/src/main/java/dev/windbend/zone/ReturnRateLimiter.java
+++ b/src/main/java/dev/windbend/zone/ReturnRateLimiter.java
@@ -2,8 +2,8 @@
 
 /**
  * Token bucket that limits how many machines of a returning zone are opened to new work or created.
- * Its rate doubles at intervals without a loss, and is reset to the initial rate when machines of the
- * zone are lost again. Times are by the monotonic clock.
+ * Its rate doubles at intervals without a loss, and is reset to the initial rate when machines of
+ * the zone are lost again. Times are by the monotonic clock.
  */
 final class ReturnRateLimiter {
   /** The bucket's capacity is the number of tokens added in this time. */
--- a/src/main/java/dev/windbend/zone/Zone.java
+++ b/src/main/java/dev/windbend/zone/Zone.java
@@ -63,7 +63,9 @@
     lastLostMs = stateMachine.stateSinceMs();
   }
 
-  /** Called after a change of state. Resets the rate limiter, so a return starts with one machine. */
+  /**
+   * Called after a change of state. Resets the rate limiter, so a return starts with one machine.
+   */
   void recordStateChange(long wallMs, long nowMs) {
     readmittedMachines.clear();
     returnRateLimiter.restart(nowMs);
--- a/src/main/java/dev/windbend/zone/ZoneAvailability.java
+++ b/src/main/java/dev/windbend/zone/ZoneAvailability.java
@@ -39,7 +39,10 @@
   /** Counts machines that were requested in the zone against its limit. */
   void recordScaleOut(int zone, int machines);
 
-  /** Returns whether the zone is being evacuated, which decides when its lost machines scale in. */
+  /**
+   * Returns whether the zone is being evacuated, so that its lost machines are scaled in according to
+   * the evacuation plan.
+   */
   boolean isEvacuated(int zone);
 
   /** Returns whether tasks of the job lost their machine with a zone and have not run since. */
--- a/src/main/java/dev/windbend/zone/ZoneEvidence.java
+++ b/src/main/java/dev/windbend/zone/ZoneEvidence.java
@@ -1,18 +1,20 @@
 package dev.windbend.zone;
 
 /**
- * Numbers of a zone's machines by condition, as a shard's leader observes them at one time. A machine
- * is lost if it is silent or unresponsive.
+ * Numbers of a zone's machines by condition, as a shard's leader observes them at one time. A
+ * machine is lost if it is silent or unresponsive.
  *
  * @param responsive machines that send heartbeats and show the effect of the leader's responses
  * @param silent machines whose heartbeat is overdue
  * @param unresponsive machines that send heartbeats but show no effect of the leader's responses
- * @param inconclusive whether a lost zone cannot be told apart from a controller that is isolated or
- *     too slow to receive heartbeats, because the other zones' machines are mostly lost too or there
- *     are none
+ * @param inconclusive whether a lost zone cannot be distinguished from a controller that is isolated
+ *     or too slow to receive heartbeats, because the other zones' machines are mostly lost too or
+ *     there are none
  */
 public record ZoneEvidence(int responsive, int silent, int unresponsive, boolean inconclusive) {
-  /** Minimum number of lost machines; the loss of a single machine does not indicate a zone loss. */
+  /**
+   * Minimum number of lost machines; the loss of a single machine does not indicate a zone loss.
+   */
   private static final int MIN_LOST_MACHINES = 2;
 
   /** A zone is lost if it has more than this many lost machines per responsive machine. */
@@ -47,8 +49,8 @@
   }
 
   /**
-   * Returns whether most machines are responsive. Also true if no machine is known: only new machines
-   * can then show whether the zone is back.
+   * Returns whether most machines are responsive. Also true if no machine is known: only new
+   * machines can then show whether the zone is back.
    */
   boolean isMostlyResponsive() {
     return known() == 0 || responsive > lost();
--- a/src/main/java/dev/windbend/zone/ZoneMetrics.java
+++ b/src/main/java/dev/windbend/zone/ZoneMetrics.java
@@ -18,8 +18,8 @@
   private final Map<Urgency, Histogram> restartTimesMs = new EnumMap<>(Urgency.class);
   private long losses;
   private long lossesWhileReturning;
-  private long evacuated;
-  private long takenBack;
+  private long evacuatedMachines;
+  private long readmittedMachines;
 
   void recordLoss(boolean whileReturning) {
     losses++;
@@ -27,11 +27,11 @@
   }
 
   void recordEvacuatedMachines(int machines) {
-    evacuated += machines;
+    evacuatedMachines += machines;
   }
 
   void recordReadmittedMachines(int machines) {
-    takenBack += machines;
+    readmittedMachines += machines;
   }
 
   /**
@@ -50,8 +50,8 @@
     Map<String, Double> values = new TreeMap<>();
     values.put("windbend.zone.losses", (double) losses);
     values.put("windbend.zone.relapses", (double) lossesWhileReturning);
-    values.put("windbend.zone.evacuated", (double) evacuated);
-    values.put("windbend.zone.taken_back", (double) takenBack);
+    values.put("windbend.zone.evacuated", (double) evacuatedMachines);
+    values.put("windbend.zone.taken_back", (double) readmittedMachines);
     restartTimesMs.forEach(
         (urgency, histogram) -> {
           String name =
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -20,26 +20,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Monitors the zones of a shard. It detects from the workers' heartbeats that a zone is lost, scales
- * in the machines of a lost zone in order of priority, and admits new work to a returning zone
- * gradually. The monitor does not decide which tasks may start again: a task is restarted only once
- * its attempt is confirmed terminated.
+ * Monitors the zones of a shard. It detects from the workers' heartbeats that a zone is lost,
+ * scales in the machines of a lost zone in order of priority, and admits new work to a returning
+ * zone gradually. The monitor does not decide which tasks may start again: a task is restarted only
+ * once its attempt is confirmed terminated.
  */
 public final class ZoneMonitor implements ZoneAvailability {
   private static final Logger LOG = LoggerFactory.getLogger(ZoneMonitor.class);
 
-  /** Minimum time between two updates of the displaced jobs in the zones' records. */
+  /**
+   * Interval at which the displaced jobs in the zones' records are updated; a change of a zone's
+   * state also updates its record.
+   */
   private static final long RECORD_REFRESH_INTERVAL_MS = 5_000;
 
   /**
-   * Maximum number of machines in termination at a time. A machine with more urgent tasks, found
-   * later, then waits for a limited number of terminations only.
+   * Maximum number of machines being terminated at a time. Limits how many terminations precede that
+   * of a machine with more urgent tasks that is found lost later.
    */
   private static final int MAX_TERMINATING_MACHINES = 100;
 
   /**
-   * If this many zones other than the controller's own seem lost and no machine outside its own zone
-   * is responsive, the controller is considered isolated and no zone is declared lost.
+   * If this many zones other than the controller's own seem lost and no machine outside its own
+   * zone is responsive, the controller is considered isolated and no zone is declared lost.
    */
   private static final int MIN_LOST_ZONES_FOR_ISOLATION = 2;
 
@@ -77,7 +80,8 @@
   /**
    * Access to the zones' records in the state service.
    *
-   * @param lookup reads a key from this controller's replica; returns null if the key does not exist
+   * @param lookup reads a key from this controller's replica; returns null if the key does not
+   *     exist
    * @param enqueueWrite enqueues a write of a changed record
    */
   public record RecordStore(
@@ -126,8 +130,8 @@
 
   /**
    * Starts monitoring the zones, in the states that the previous leader recorded. If fewer than two
-   * zones are monitored, there is no other zone to compare with: the records are ignored, no zone is
-   * closed, and lost machines are handled one by one.
+   * zones are monitored, there is no other zone to compare with: the records are ignored, no zone
+   * is closed, and lost machines are handled one by one.
    *
    * @param zoneNames names of the deployment's zones, by index
    */
@@ -152,18 +156,22 @@
     if (record != null) {
       zone.restore(record, loop.wallMs() - record.stateSinceWallMs(), nowMs);
       record.displacedUids().forEach(uid -> displacedJobs.restore(uid, index, zone.lastLostMs()));
-      LOG.info("zone state restored: shard={} zone={} state={}", config.shard(), name, zone.state().label());
+      LOG.info(
+          "zone state restored: shard={} zone={} state={}",
+          config.shard(),
+          name,
+          zone.state().label());
     }
     return zone;
   }
 
   /**
-   * Updates the state of each zone from its machines' condition, opens or closes the machines to new
-   * work, and scales in machines of unreachable zones.
+   * Updates the state of each zone from its machines' condition, opens or closes the machines to
+   * new work, and scales in machines of unreachable zones.
    *
    * @param nowMs monotonic clock
-   * @param reachableSinceMs since when this leader has been able to receive heartbeats and to respond
-   *     to them (monotonic clock)
+   * @param reachableSinceMs since when this leader has been able to receive heartbeats and to
+   *     respond to them (monotonic clock)
    */
   public void check(long nowMs, long reachableSinceMs) {
     if (zones.isEmpty()) {
@@ -275,7 +283,8 @@
 
   /**
    * Stores the zone's state, losses and displaced jobs. A zone in normal operation has no record
-   * before its first loss and after all of its losses have decayed, unless jobs are still displaced.
+   * before its first loss and after all of its losses have decayed, unless jobs are still
+   * displaced.
    */
   private void updateRecord(Zone zone) {
     List<String> displacedUids = displacedJobs.uidsToRecord(zone.index);
@@ -340,8 +349,8 @@
   }
 
   /**
-   * Called when the cloud has confirmed that the machine no longer exists, while its tasks are still
-   * assigned to it. If its zone is lost or returning, their jobs become displaced.
+   * Called when the cloud has confirmed that the machine no longer exists, while its tasks are
+   * still assigned to it. If its zone is lost or returning, their jobs become displaced.
    */
   public void machineTerminated(Machine machine) {
     Zone zone = zones.get(machine.zone());
--- a/src/main/java/dev/windbend/zone/ZonePolicy.java
+++ b/src/main/java/dev/windbend/zone/ZonePolicy.java
@@ -14,7 +14,8 @@
  *     further loss
  * @param maxBackoffMs upper bound of the doubled backoff
  * @param backoffDecayMs the backoff is halved each time the zone has been healthy for this long
- * @param initialReturnPerSecond initial rate at which machines of a returning zone are reopened or created
+ * @param initialReturnPerSecond initial rate at which machines of a returning zone are reopened or
+ *     created
  * @param rateDoublingMs interval without a lost machine after which the rate is doubled
  */
 public record ZonePolicy(
@@ -33,7 +34,11 @@
     return enabled && (monitoredZones.isEmpty() || monitoredZones.contains(zone));
   }
 
-  /** Returns the minimum time from a zone's loss to its return, after losses not yet decayed. */
+  /**
+   * Returns the minimum time from a zone's loss to its return.
+   *
+   * @param losses number of losses that have not decayed
+   */
   long backoffMs(int losses) {
     long doubledBackoffMs = minBackoffMs;
     for (int i = 1; i < losses && doubledBackoffMs < maxBackoffMs; i++) {
--- a/src/main/java/dev/windbend/zone/ZoneRecord.java
+++ b/src/main/java/dev/windbend/zone/ZoneRecord.java
@@ -7,12 +7,13 @@
 
 /**
  * A zone's state as observed by the leader of a shard. The record is kept in the state service from
- * the zone's first loss until the backoff has decayed, so that the next leader continues in the same
- * state.
+ * the zone's first loss until the backoff has decayed, so that the next leader continues in the
+ * same state.
  *
  * @param stateSinceWallMs when the zone entered the state (wall clock, ms)
  * @param losses number of losses that have not decayed; determines the backoff
- * @param displacedUids ids of jobs with tasks that lost their machine in the zone and have not run since
+ * @param displacedUids ids of jobs with tasks that lost their machine in the zone and have not run
+ *     since
  */
 public record ZoneRecord(
     @JsonProperty("state") ZoneState state,
--- a/src/main/java/dev/windbend/zone/ZoneStateMachine.java
+++ b/src/main/java/dev/windbend/zone/ZoneStateMachine.java
@@ -2,10 +2,10 @@
 
 /**
  * The state machine of one zone. Its state depends only on the evidence passed in and the time of
- * each observation. A transition requires evidence that has held for the configured time; only the
- * loss of a returning zone takes effect immediately. The minimum time from a loss to the return
- * doubles with each further loss, so a flapping zone stays {@link ZoneState#UNREACHABLE} most of the
- * time. Times are by the monotonic clock.
+ * each observation. Loss and return require evidence that has held for the configured time; the loss
+ * of a returning zone and the change to {@link ZoneState#DEGRADED} take effect immediately. The minimum time from a loss to the return
+ * doubles with each further loss, so a flapping zone stays {@link ZoneState#UNREACHABLE} most of
+ * the time. Times are by the monotonic clock.
  */
 final class ZoneStateMachine {
   private static final long NONE = -1;
@@ -22,6 +22,7 @@
 
   private long lostSinceMs = NONE;
   private long responsiveSinceMs = NONE;
+
   /** Latest time at which the state changed, a loss decayed or the zone was partly lost. */
   private long stableSinceMs;
 
@@ -111,7 +112,7 @@
 
   private boolean observeReturning(boolean allMachinesUsable, long nowMs) {
     if (lostSinceMs != NONE) {
-      // Without the usual delay, which would place more tasks on machines that are lost.
+      // Skips the usual delay, during which more tasks would be placed on lost machines.
       return enterUnreachable(nowMs);
     }
     return allMachinesUsable
--- a/src/main/java/dev/windbend/zone/ZoneStatus.java
+++ b/src/main/java/dev/windbend/zone/ZoneStatus.java
@@ -6,8 +6,8 @@
  * Status of a zone as observed by the leader of a shard, for operators.
  *
  * @param stateAgeSeconds how long the zone has been in its state
- * @param minReturnInSeconds minimum time until the zone may return; 0 if it may return now or is not
- *     unreachable
+ * @param minReturnInSeconds minimum time until the zone may return; 0 if it may return now or is
+ *     not unreachable
  * @param otherShardsUnreachable number of other shards whose records have the zone as unreachable
  * @param displacedJobs number of displaced jobs that do not run again yet
  */
--- a/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
+++ b/src/test/java/dev/windbend/zone/EvacuationPlanTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests which machines of a lost zone are scaled in, in which order, and that displaced tasks get free
- * capacity in other zones by priority.
+ * Tests which machines of a lost zone are scaled in, in which order, and that displaced tasks get
+ * free capacity in other zones by priority.
  */
 class EvacuationPlanTest {
   private static final long NOW = 1_000_000;
@@ -46,7 +46,8 @@
         .toList();
   }
 
-  @ParameterizedTest(name = "due in {0} ms, {1} ms remaining, {2} ms unsaved, lease ends in {3} ms: scaled in {4}")
+  @ParameterizedTest(
+      name = "due in {0} ms, {1} ms remaining, {2} ms unsaved, lease ends in {3} ms: scaled in {4}")
   @CsvSource({
     "900000, 60000, 0, 20000, true", // no progress is lost by moving
     "900000, 60000, 19999, 20000, true",
@@ -129,7 +130,8 @@
    */
   @Property(tries = 400)
   void neverPlacesDisplacedTaskWhereHigherPriorityTaskThatFitsIsWaiting(
-      @ForAll("displacedJobs") List<DisplacedJob> jobs, @ForAll("freeCoreCounts") List<Integer> freeCores) {
+      @ForAll("displacedJobs") List<DisplacedJob> jobs,
+      @ForAll("freeCoreCounts") List<Integer> freeCores) {
     List<PendingJob> pending = jobs.stream().map(DisplacedJob::toPendingJob).toList();
     List<MachineCapacity> machines =
         freeCores.stream().map(EvacuationPlanTest::machineWithFreeCores).toList();
--- a/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMonitorTest.java
@@ -230,11 +230,15 @@
         .as("exactly the machines of the lost zone")
         .hasSize(SCALE_OUT_COUNT * MACHINES_PER_SCALE_OUT / 2);
     assertThat(fleet.machines()).allMatch(m -> m.zone() == 0 && !m.zoneClosed());
-    assertThat(scaledInBeforeLeaseEnd).as("machines scaled in before their leases end").isPositive();
+    assertThat(scaledInBeforeLeaseEnd)
+        .as("machines scaled in before their leases end")
+        .isPositive();
     assertThat(scaledInMachines.stream().limit(500).map(this::rankOfTaskOn))
         .as("most urgent tasks first")
         .isSorted();
-    assertThat(recordWriteCount).as("number of writes is bounded by transitions, not machines").isLessThan(20);
+    assertThat(recordWriteCount)
+        .as("number of writes is bounded by transitions, not machines")
+        .isLessThan(20);
     assertThat(metrics.values()).containsEntry("windbend.zone.losses", 1.0);
     assertThat(metrics.values()).containsEntry("windbend.zone.evacuated", 2_000.0);
   }
@@ -297,8 +301,8 @@
   }
 
   /**
-   * With a single monitored zone, a recorded loss must not close the zone or keep its silent machines
-   * from being scaled in.
+   * With a single monitored zone, a recorded loss must not close the zone or keep its silent
+   * machines from being scaled in.
    */
   @Test
   void ignoresRecordWhenOnlyOneZoneIsMonitored() {
--- a/src/test/java/dev/windbend/zone/ZoneStateMachineTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneStateMachineTest.java
@@ -63,7 +63,9 @@
     advance(MOSTLY_SILENT, 1_000);
     assertThat(stateMachine.state()).isEqualTo(unreachable());
     advance(ALL_RESPONSIVE, 9_000);
-    assertThat(stateMachine.state()).as("responsive again, but within the backoff").isEqualTo(unreachable());
+    assertThat(stateMachine.state())
+        .as("responsive again, but within the backoff")
+        .isEqualTo(unreachable());
     advance(MOSTLY_SILENT, 5_000);
     advance(ALL_RESPONSIVE, 2_000);
     assertThat(stateMachine.state())
@@ -72,7 +74,9 @@
     advance(ALL_RESPONSIVE, 1_000);
     assertThat(stateMachine.state()).isEqualTo(ZoneState.RETURNING);
     advance(MOSTLY_SILENT, 500);
-    assertThat(stateMachine.state()).as("loss of a returning zone takes effect immediately").isEqualTo(unreachable());
+    assertThat(stateMachine.state())
+        .as("loss of a returning zone takes effect immediately")
+        .isEqualTo(unreachable());
   }
 
   private static ZoneState unreachable() {
