--- a/src/main/java/dev/windbend/zone/ZoneAvailability.java
+++ b/src/main/java/dev/windbend/zone/ZoneAvailability.java
@@ -40,8 +40,8 @@
   void recordScaleOut(int zone, int machines);
 
   /**
-   * Returns whether the zone is being evacuated, so that its lost machines are scaled in according to
-   * the evacuation plan.
+   * Returns whether the zone is being evacuated, so that its lost machines are scaled in according
+   * to the evacuation plan.
    */
   boolean isEvacuated(int zone);
 
--- a/src/main/java/dev/windbend/zone/ZoneEvidence.java
+++ b/src/main/java/dev/windbend/zone/ZoneEvidence.java
@@ -7,9 +7,9 @@
  * @param responsive machines that send heartbeats and show the effect of the leader's responses
  * @param silent machines whose heartbeat is overdue
  * @param unresponsive machines that send heartbeats but show no effect of the leader's responses
- * @param inconclusive whether a lost zone cannot be distinguished from a controller that is isolated
- *     or too slow to receive heartbeats, because the other zones' machines are mostly lost too or
- *     there are none
+ * @param inconclusive whether a lost zone cannot be distinguished from a controller that is
+ *     isolated or too slow to receive heartbeats, because the other zones' machines are mostly lost
+ *     too or there are none
  */
 public record ZoneEvidence(int responsive, int silent, int unresponsive, boolean inconclusive) {
   /**
--- a/src/main/java/dev/windbend/zone/ZoneMonitor.java
+++ b/src/main/java/dev/windbend/zone/ZoneMonitor.java
@@ -35,8 +35,8 @@
   private static final long RECORD_REFRESH_INTERVAL_MS = 5_000;
 
   /**
-   * Maximum number of machines being terminated at a time. Limits how many terminations precede that
-   * of a machine with more urgent tasks that is found lost later.
+   * Maximum number of machines being terminated at a time. Limits how many terminations precede
+   * that of a machine with more urgent tasks that is found lost later.
    */
   private static final int MAX_TERMINATING_MACHINES = 100;
 
--- a/src/main/java/dev/windbend/zone/ZoneStateMachine.java
+++ b/src/main/java/dev/windbend/zone/ZoneStateMachine.java
@@ -2,10 +2,10 @@
 
 /**
  * The state machine of one zone. Its state depends only on the evidence passed in and the time of
- * each observation. Loss and return require evidence that has held for the configured time; the loss
- * of a returning zone and the change to {@link ZoneState#DEGRADED} take effect immediately. The minimum time from a loss to the return
- * doubles with each further loss, so a flapping zone stays {@link ZoneState#UNREACHABLE} most of
- * the time. Times are by the monotonic clock.
+ * each observation. Loss and return require evidence that has held for the configured time; the
+ * loss of a returning zone and the change to {@link ZoneState#DEGRADED} take effect immediately.
+ * The minimum time from a loss to the return doubles with each further loss, so a flapping zone
+ * stays {@link ZoneState#UNREACHABLE} most of the time. Times are by the monotonic clock.
  */
 final class ZoneStateMachine {
   private static final long NONE = -1;
