--- a/src/main/java/dev/windbend/daemon/MetricsEndpoint.java
+++ b/src/main/java/dev/windbend/daemon/MetricsEndpoint.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** This controller's metrics, served as one JSON object from name to value. */
+/** Serves this controller's metrics as one JSON object with a field for each metric. */
 final class MetricsEndpoint implements RequestHandler {
   private final MeterRegistry registry = new SimpleMeterRegistry();
   private final Map<Integer, Counter> responsesByStatus = new HashMap<>();
@@ -43,7 +43,7 @@
     Gauge.builder("windbend.store.failing.ms", store, StoreClient::failingForMs).register(registry);
   }
 
-  /** A handler that counts the responses of another one by status. */
+  /** Returns a handler that delegates to another one and counts its responses by status. */
   RequestHandler countingResponses(RequestHandler handler) {
     return (request, done) ->
         handler.handle(
