--- a/src/test/java/dev/windbend/daemon/BehaviourTrace.java
+++ b/src/test/java/dev/windbend/daemon/BehaviourTrace.java
@@ -119,8 +119,8 @@
     SimulatedCluster cluster = day.cluster().apply(seed * SEED_STEP + day.number());
     TraceDigest digest = new TraceDigest(cluster.time::nowMs, dump);
     cluster.recorder = digest;
-    cluster.time.at(VISIT_MS, () -> visit(cluster));
-    cluster.time.at(HEALTH_CHECK_MS, () -> checkHealth(cluster));
+    cluster.time.schedule(VISIT_MS, () -> visit(cluster));
+    cluster.time.schedule(HEALTH_CHECK_MS, () -> checkHealth(cluster));
     String end = "";
     try {
       day.play().accept(cluster);
@@ -138,9 +138,14 @@
 
   private static List<Day> days() {
     List<Day> all = new ArrayList<>();
-    addDays(all, "rules", InvariantsTest.days(), DAY_MS, SimulatedCluster::new);
-    addDays(all, "meetings", ConcurrentFaultsTest.meetings(), LONG_DAY_MS, SimulatedCluster::new);
-    addDays(all, "zones", ZoneLossTest.days(), LONG_DAY_MS, ZoneLossTest::cluster);
+    addDays(all, "rules", InvariantsTest.scenarios(), DAY_MS, SimulatedCluster::new);
+    addDays(
+        all,
+        "meetings",
+        ConcurrentFaultsTest.concurrentFaults(),
+        LONG_DAY_MS,
+        SimulatedCluster::new);
+    addDays(all, "zones", ZoneLossTest.scenarios(), LONG_DAY_MS, ZoneLossTest::newCluster);
     addGaps(all);
     return all;
   }
@@ -160,9 +165,9 @@
               all.size(),
               cluster,
               c -> {
-                c.judge.calmFromMs = CALM_FROM_MS;
+                c.invariantChecker.faultsEndMs = CALM_FROM_MS;
                 faults.accept(c);
-                c.begin(JOBS, JOBS_SPAN_MS);
+                c.start(JOBS, JOBS_SPAN_MS);
                 c.time.runUntil(dayMs);
               }));
     }
@@ -170,7 +175,7 @@
 
   /** Cancellations that meet an outage; long tasks, and an owner chosen in the middle. */
   private static void addGaps(List<Day> all) {
-    for (Arguments row : ConcurrentFaultsTest.gaps().toList()) {
+    for (Arguments row : ConcurrentFaultsTest.faultSequences().toList()) {
       @SuppressWarnings("unchecked")
       BiConsumer<SimulatedCluster, String> faults =
           (BiConsumer<SimulatedCluster, String>) faults(row);
@@ -180,12 +185,12 @@
               all.size(),
               SimulatedCluster::new,
               c -> {
-                c.leastRunMs = 150_000;
-                c.cancelsFromMs = LONG_DAY_MS;
-                c.capacity = 60;
-                c.begin(JOBS, 15_000);
+                c.additionalRunMs = 150_000;
+                c.earliestCancellationMs = LONG_DAY_MS;
+                c.cloudCapacity = 60;
+                c.start(JOBS, 15_000);
                 c.time.runUntil(GAP_FROM_MS);
-                faults.accept(c, c.owner(0));
+                faults.accept(c, c.leaderOf(0));
                 c.time.runUntil(LONG_DAY_MS);
               }));
     }
@@ -205,15 +210,15 @@
 
   /** Often enough to see the moment at which a controller's answer changes. */
   private static void checkHealth(SimulatedCluster c) {
-    for (int n = 0; n < c.size; n++) {
+    for (int n = 0; n < c.controllerCount; n++) {
       ask(c, "n" + n + ":80", "GET", "/up", null);
     }
-    c.time.at(HEALTH_CHECK_MS, () -> checkHealth(c));
+    c.time.schedule(HEALTH_CHECK_MS, () -> checkHealth(c));
   }
 
   /** What the days' users, workers and peers never ask: metrics, zones, faulty requests. */
   private static void visit(SimulatedCluster c) {
-    for (int n = 0; n < c.size; n++) {
+    for (int n = 0; n < c.controllerCount; n++) {
       String node = "n" + n;
       for (String path : List.of("/v1/jobs/wk-999998", "/v1/unknown", "/v1/jobs")) {
         ask(c, node + ":80", "GET", path, null);
@@ -229,7 +234,7 @@
       ask(c, node + ":80", "POST", "/v1/jobs", job("guests", 1, 5));
       ask(c, node + ":80", "POST", "/v1/jobs/wk-999998/cancel", "");
     }
-    c.time.at(VISIT_MS, () -> visit(c));
+    c.time.schedule(VISIT_MS, () -> visit(c));
   }
 
   /** A job that can't be accepted. */
@@ -245,6 +250,6 @@
   private static void ask(
       SimulatedCluster c, String address, String method, String path, String body) {
     byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
-    c.call("visitor", address, method, path, bytes, VISIT_LIMIT_MS, r -> {});
+    c.sendRequest("visitor", address, method, path, bytes, VISIT_LIMIT_MS, r -> {});
   }
 }
--- a/src/test/java/dev/windbend/daemon/CancellationWaveTest.java
+++ b/src/test/java/dev/windbend/daemon/CancellationWaveTest.java
@@ -12,42 +12,46 @@
 class CancellationWaveTest {
   private static final int MACHINES = 60;
   private static final int JOBS = 144;
-  private static final long WAITING_FROM_MS = 60_000;
-  private static final long WAVE_MS = 90_000;
+  private static final long WAITING_JOBS_FROM_MS = 60_000;
+  private static final long CANCELLATIONS_MS = 90_000;
 
   /** Guards against placements that wait until the ends of all cancelled jobs are on record. */
   @Tag("known-red")
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
-  void whatWaitsStartsWhileCancelledJobsAreCleanedUp(long seed) {
+  void startsWaitingJobsWhileCancelledJobsAreCleanedUp(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
-    cluster.capacity = MACHINES;
-    cluster.teamCores = 1_000;
-    cluster.loss = 0;
-    cluster.late = 0;
-    cluster.runs = task -> 200_000;
-    cluster.begin(0, 1);
-    List<SimulatedUser> cancelling = new ArrayList<>();
-    List<SimulatedUser> waiting = new ArrayList<>();
-    for (int n = 0; n < JOBS; n++) {
-      SimulatedUser first = new SimulatedUser(cluster, n, 1, null, true, false);
-      cancelling.add(first);
-      cluster.time.at(5_000 + 50L * n, first::submit);
-      SimulatedUser second = new SimulatedUser(cluster, JOBS + n, 1, null, true, false);
-      waiting.add(second);
-      cluster.time.at(WAITING_FROM_MS + 20L * n, second::submit);
+    cluster.cloudCapacity = MACHINES;
+    cluster.teamMaxCores = 1_000;
+    cluster.lossProbability = 0;
+    cluster.delayProbability = 0;
+    cluster.taskRunTimeMs = task -> 200_000;
+    cluster.start(0, 1);
+    List<SimulatedUser> cancellingUsers = new ArrayList<>();
+    List<SimulatedUser> waitingUsers = new ArrayList<>();
+    for (int job = 0; job < JOBS; job++) {
+      SimulatedUser cancellingUser = new SimulatedUser(cluster, job, 1, null, true, false);
+      cancellingUsers.add(cancellingUser);
+      cluster.time.schedule(5_000 + 50L * job, cancellingUser::submit);
+      SimulatedUser waitingUser = new SimulatedUser(cluster, JOBS + job, 1, null, true, false);
+      waitingUsers.add(waitingUser);
+      cluster.time.schedule(WAITING_JOBS_FROM_MS + 20L * job, waitingUser::submit);
     }
-    cluster.time.runUntil(WAVE_MS);
-    for (SimulatedUser user : cancelling) {
-      user.cancels = true;
+    cluster.time.runUntil(CANCELLATIONS_MS);
+    for (SimulatedUser user : cancellingUsers) {
+      user.cancelsJob = true;
       user.cancel();
     }
-    cluster.time.runUntil(2 * WAVE_MS);
-    long[] waits = waiting.stream().mapToLong(user -> user.begunMs - WAVE_MS).sorted().toArray();
-    assertThat(waiting).allMatch(user -> user.begunMs >= 0);
-    assertThat(waits[JOBS * 3 / 4]).as("three quarters of them begin within").isLessThan(1_500);
-    assertThat(waits[JOBS - 1]).as("all of them begin within").isLessThan(5_000);
-    assertThat(cluster.store.liveKeys("w/j/")).as("live jobs").isEqualTo(JOBS);
-    assertThat(cluster.judge.violations).isEmpty();
+    cluster.time.runUntil(2 * CANCELLATIONS_MS);
+    long[] waitsMs =
+        waitingUsers.stream()
+            .mapToLong(user -> user.firstTaskStartedMs - CANCELLATIONS_MS)
+            .sorted()
+            .toArray();
+    assertThat(waitingUsers).allMatch(user -> user.firstTaskStartedMs >= 0);
+    assertThat(waitsMs[JOBS * 3 / 4]).as("three quarters of them begin within").isLessThan(1_500);
+    assertThat(waitsMs[JOBS - 1]).as("all of them begin within").isLessThan(5_000);
+    assertThat(cluster.stateService.countKeys("w/j/")).as("live jobs").isEqualTo(JOBS);
+    assertThat(cluster.invariantChecker.violations).isEmpty();
   }
 }
--- a/src/test/java/dev/windbend/daemon/ControllerTest.java
+++ b/src/test/java/dev/windbend/daemon/ControllerTest.java
@@ -19,15 +19,15 @@
   private final SimulatedCluster cluster = new SimulatedCluster(5);
 
   ControllerTest() {
-    cluster.loss = 0;
-    cluster.late = 0;
-    cluster.begin(0, 1);
+    cluster.lossProbability = 0;
+    cluster.delayProbability = 0;
+    cluster.start(0, 1);
     cluster.time.runUntil(4_000);
   }
 
   private ClientResponse sendRequest(int controller, String method, String path, String body) {
     ClientResponse[] received = {ClientResponse.NO_RESPONSE};
-    cluster.call(
+    cluster.sendRequest(
         "users",
         "n" + controller + ":80",
         method,
@@ -85,12 +85,12 @@
     assertThat(sendRequest(1, "POST", "/v1/jobs", SUBMISSION).status()).isEqualTo(200);
     assertThat(sendRequest(2, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(200);
     ClientResponse cancelled = sendRequest(2, "POST", "/v1/jobs/wk-000001/cancel", "");
-    assertThat(cluster.json(cancelled.body()).path("status").asText()).isEqualTo("aborted");
+    assertThat(cluster.parseJson(cancelled.body()).path("status").asText()).isEqualTo("aborted");
     cluster.time.runUntil(60_000);
     for (int controller = 0; controller < 3; controller++) {
       ClientResponse response = sendRequest(controller, "POST", "/v1/jobs", SUBMISSION);
       assertThat(response.status()).isEqualTo(200);
-      assertThat(cluster.json(response.body()).path("status").asText()).isEqualTo("aborted");
+      assertThat(cluster.parseJson(response.body()).path("status").asText()).isEqualTo("aborted");
     }
   }
 
@@ -105,17 +105,19 @@
     cluster.time.runUntil(60_000);
     assertThat(
             cluster
-                .json(sendRequest(1, "GET", "/v1/jobs/wk-000001", "").body())
+                .parseJson(sendRequest(1, "GET", "/v1/jobs/wk-000001", "").body())
                 .path("status")
                 .asText())
         .isEqualTo("running");
-    assertThat(cluster.store.largestValue).as("largest stored value in bytes").isLessThan(4096);
+    assertThat(cluster.stateService.largestValueBytes)
+        .as("largest stored value in bytes")
+        .isLessThan(4096);
     assertThat(sendRequest(2, "POST", "/v1/jobs/wk-000001/cancel", "").status()).isEqualTo(200);
     cluster.time.runUntil(120_000);
-    assertThat(cluster.store.liveKeys("w/j/")).isZero();
+    assertThat(cluster.stateService.countKeys("w/j/")).isZero();
     assertThat(
             cluster
-                .json(sendRequest(0, "GET", "/v1/jobs/wk-000001", "").body())
+                .parseJson(sendRequest(0, "GET", "/v1/jobs/wk-000001", "").body())
                 .path("status")
                 .asText())
         .isEqualTo("aborted");
@@ -123,10 +125,10 @@
 
   @Test
   void returns503DuringStoreOutage() {
-    cluster.store.outage = true;
+    cluster.stateService.outage = true;
     assertThat(sendRequest(0, "POST", "/v1/jobs", SUBMISSION).status()).isEqualTo(503);
     assertThat(sendRequest(0, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(503);
-    cluster.store.recover();
+    cluster.stateService.endOutage();
     assertThat(sendRequest(0, "GET", "/v1/jobs/wk-000001", "").status()).isEqualTo(404);
   }
 
@@ -136,19 +138,19 @@
    */
   @Test
   void adoptsMachineOnceIfRecordWriteIsDelayed() {
-    cluster.store.holdWrites = "w/h/";
+    cluster.stateService.rejectedKeyPrefix = "w/h/";
     for (int i = 0; i < 5; i++) {
-      cluster.boot("a", false);
+      cluster.bootMachine("a", false);
     }
     cluster.time.runUntil(25_000);
-    cluster.store.holdWrites = "";
+    cluster.stateService.rejectedKeyPrefix = "";
     cluster.time.runUntil(40_000);
-    assertThat(cluster.store.timesNamed("w/h/", "host-")).isEqualTo(5);
+    assertThat(cluster.stateService.countOccurrences("w/h/", "host-")).isEqualTo(5);
   }
 
   @Test
   void redirectsWorkersToTheLeaderAndIgnoresStaleHeartbeats() {
-    cluster.boot("a", false);
+    cluster.bootMachine("a", false);
     cluster.time.runUntil(30_000);
     // The machine must not be adopted again, and a stale heartbeat must have no effect.
     String staleHeartbeat =
@@ -160,10 +162,10 @@
       ClientResponse response = sendRequest(controller, "POST", "/hello", staleHeartbeat);
       if (response.status() == 200) {
         handled++;
-        assertThat(cluster.json(response.body()).path("orders")).isEmpty();
+        assertThat(cluster.parseJson(response.body()).path("orders")).isEmpty();
       } else {
         assertThat(response.status()).isEqualTo(421);
-        assertThat(cluster.json(response.body()).path("dispatcher").asText()).startsWith("n");
+        assertThat(cluster.parseJson(response.body()).path("dispatcher").asText()).startsWith("n");
       }
     }
     assertThat(handled).isEqualTo(1);
--- a/src/test/java/dev/windbend/daemon/FakeStateService.java
+++ b/src/test/java/dev/windbend/daemon/FakeStateService.java
@@ -19,333 +19,354 @@
 final class FakeStateService {
   static final ObjectMapper JSON = new ObjectMapper();
 
-  private static final int TXN_OPS = 8;
-  private static final int CONDITIONS_PER_OP = 4;
-  private static final int VALUE_BYTES = 4_096;
+  private static final int MAX_TRANSACTION_OPERATIONS = 8;
+  private static final int MAX_CONDITIONS_PER_OPERATION = 4;
+  private static final int MAX_VALUE_BYTES = 4_096;
 
-  private record Value(JsonNode v, long stamp, long permit) {}
+  private record Entry(JsonNode value, long version, long leaseId) {}
 
-  private record Change(String key, JsonNode v, long stamp) {}
+  private record Change(String key, JsonNode value, long revision) {}
 
   private final VirtualTime time;
-  private final TreeMap<String, Value> keys = new TreeMap<>();
-  private final List<Change> log = new ArrayList<>();
-  private final Map<Long, long[]> holds = new HashMap<>();
-  private final List<Runnable> watchers = new ArrayList<>();
-  private long ledger;
-  private long nextHold = 1;
-  private long forgotten;
+  private final TreeMap<String, Entry> entries = new TreeMap<>();
+  private final List<Change> changes = new ArrayList<>();
+  private final Map<Long, long[]> leases = new HashMap<>();
+  private final List<Runnable> followers = new ArrayList<>();
+  private long revision;
+  private long nextLeaseId = 1;
+  private long compactedRevision;
   boolean outage;
 
   /** These nodes alone get 503. */
-  final Set<String> deaf = new HashSet<>();
+  final Set<String> refusedControllers = new HashSet<>();
 
   /** Changes of keys that start so are refused; none if empty. */
-  String holdWrites = "";
+  String rejectedKeyPrefix = "";
 
-  int largestValue;
+  int largestValueBytes;
 
   FakeStateService(VirtualTime time) {
     this.time = time;
   }
 
   /** How many changes have been made so far. */
-  long changes() {
-    return ledger;
+  long revision() {
+    return revision;
   }
 
-  int liveKeys(String prefix) {
-    return keys.subMap(prefix, prefix + '\uffff').size();
+  int countKeys(String prefix) {
+    return entries.subMap(prefix, prefix + '\uffff').size();
   }
 
   /** The value of a key, null if there is none. */
   JsonNode value(String key) {
-    Value v = keys.get(key);
-    return v == null ? null : v.v;
+    Entry entry = entries.get(key);
+    return entry == null ? null : entry.value;
   }
 
   /** How often a text stands in the values below a prefix. */
-  int timesNamed(String prefix, String text) {
-    int n = 0;
-    for (Value v : keys.subMap(prefix, prefix + '\uffff').values()) {
-      n += v.v.toString().split(text, -1).length - 1;
+  int countOccurrences(String prefix, String text) {
+    int count = 0;
+    for (Entry entry : entries.subMap(prefix, prefix + '\uffff').values()) {
+      count += entry.value.toString().split(text, -1).length - 1;
     }
-    return n;
+    return count;
   }
 
   /** All keys with their versions and leases, and all leases with the time left to them. */
   ObjectNode save() {
-    ObjectNode out = JSON.createObjectNode().put("revision", ledger).put("next_lease", nextHold);
-    ArrayNode leases = out.putArray("leases");
-    new TreeMap<>(holds)
+    ObjectNode savedState =
+        JSON.createObjectNode().put("revision", revision).put("next_lease", nextLeaseId);
+    ArrayNode savedLeases = savedState.putArray("leases");
+    new TreeMap<>(leases)
         .forEach(
-            (id, h) ->
-                leases
+            (id, lease) ->
+                savedLeases
                     .addObject()
                     .put("id", id)
-                    .put("life_ms", h[0])
-                    .put("left_ms", h[1] - time.nowMs()));
-    ArrayNode all = out.putArray("keys");
-    keys.forEach(
-        (key, value) ->
-            all.addObject()
+                    .put("life_ms", lease[0])
+                    .put("left_ms", lease[1] - time.nowMs()));
+    ArrayNode savedKeys = savedState.putArray("keys");
+    entries.forEach(
+        (key, entry) ->
+            savedKeys
+                .addObject()
                 .put("key", key)
-                .put("version", value.stamp)
-                .put("lease", value.permit)
-                .set("value", value.v));
-    return out;
+                .put("version", entry.version)
+                .put("lease", entry.leaseId)
+                .set("value", entry.value));
+    return savedState;
   }
 
   /** Goes on from what was saved; what changed before can be followed no more. */
   void load(JsonNode saved) {
-    ledger = saved.get("revision").asLong();
-    forgotten = ledger;
-    nextHold = saved.get("next_lease").asLong();
-    for (JsonNode k : saved.get("keys")) {
-      Value value = new Value(k.get("value"), k.get("version").asLong(), k.get("lease").asLong());
-      keys.put(k.get("key").asText(), value);
+    revision = saved.get("revision").asLong();
+    compactedRevision = revision;
+    nextLeaseId = saved.get("next_lease").asLong();
+    for (JsonNode savedKey : saved.get("keys")) {
+      Entry entry =
+          new Entry(
+              savedKey.get("value"),
+              savedKey.get("version").asLong(),
+              savedKey.get("lease").asLong());
+      entries.put(savedKey.get("key").asText(), entry);
     }
-    for (JsonNode l : saved.get("leases")) {
-      long id = l.get("id").asLong();
-      long endMs = time.nowMs() + l.get("left_ms").asLong();
-      holds.put(id, new long[] {l.get("life_ms").asLong(), endMs});
-      watchHold(id);
+    for (JsonNode savedLease : saved.get("leases")) {
+      long id = savedLease.get("id").asLong();
+      long endMs = time.nowMs() + savedLease.get("left_ms").asLong();
+      leases.put(id, new long[] {savedLease.get("life_ms").asLong(), endMs});
+      scheduleLeaseExpiry(id);
     }
   }
 
   /** An outage ends: every hold has its full time again. */
-  void recover() {
+  void endOutage() {
     outage = false;
-    holds.values().forEach(h -> h[1] = time.nowMs() + h[0]);
-    holds.keySet().forEach(this::watchHold);
+    leases.values().forEach(lease -> lease[1] = time.nowMs() + lease[0]);
+    leases.keySet().forEach(this::scheduleLeaseExpiry);
   }
 
   /** Old changes can be followed no more. */
-  void forgetChanges() {
-    forgotten = ledger;
+  void compactChanges() {
+    compactedRevision = revision;
   }
 
-  void handle(String from, String method, String path, byte[] body, Consumer<ClientResponse> done) {
+  void handle(
+      String requester,
+      String method,
+      String path,
+      byte[] body,
+      Consumer<ClientResponse> onResponse) {
     if (path.startsWith("/follow")) {
-      follow(from, path, done);
+      follow(requester, path, onResponse);
       return;
     }
-    if (unserved(from)) {
-      done.accept(new ClientResponse(503, "{}".getBytes(StandardCharsets.UTF_8)));
+    if (isUnavailableTo(requester)) {
+      onResponse.accept(new ClientResponse(503, "{}".getBytes(StandardCharsets.UTF_8)));
       return;
     }
     try {
-      done.accept(answer(path, body));
+      onResponse.accept(respond(path, body));
     } catch (java.io.IOException e) {
-      done.accept(new ClientResponse(400, "{}".getBytes(StandardCharsets.UTF_8)));
+      onResponse.accept(new ClientResponse(400, "{}".getBytes(StandardCharsets.UTF_8)));
     }
   }
 
-  private boolean unserved(String node) {
-    return outage || deaf.contains(node);
+  private boolean isUnavailableTo(String requester) {
+    return outage || refusedControllers.contains(requester);
   }
 
-  private ClientResponse answer(String path, byte[] body) throws java.io.IOException {
+  private ClientResponse respond(String path, byte[] body) throws java.io.IOException {
     if (path.startsWith("/keys?")) {
-      String prefix = query(path, "prefix");
-      String after = query(path, "from");
-      int limit = Integer.parseInt(query(path, "limit"));
+      String prefix = queryParameter(path, "prefix");
+      String after = queryParameter(path, "from");
+      int limit = Integer.parseInt(queryParameter(path, "limit"));
       ObjectNode page = JSON.createObjectNode();
       ArrayNode pairs = page.putArray("pairs");
-      boolean more = false;
-      for (Map.Entry<String, Value> e : keys.tailMap(prefix, true).entrySet()) {
-        if (!e.getKey().startsWith(prefix) || e.getKey().compareTo(after) <= 0) {
+      boolean hasNext = false;
+      for (Map.Entry<String, Entry> entry : entries.tailMap(prefix, true).entrySet()) {
+        if (!entry.getKey().startsWith(prefix) || entry.getKey().compareTo(after) <= 0) {
           continue;
         }
         if (pairs.size() == limit) {
-          more = true;
+          hasNext = true;
           break;
         }
-        pairs.add(pair(e.getKey(), e.getValue()));
+        pairs.add(toJson(entry.getKey(), entry.getValue()));
       }
-      page.put("has_next", more).put("ledger", ledger);
-      return reply(200, page);
+      page.put("has_next", hasNext).put("ledger", revision);
+      return jsonResponse(200, page);
     }
     if (path.startsWith("/keys/")) {
-      Value v = keys.get(path.substring(6));
-      return v == null
-          ? reply(404, JSON.createObjectNode().put("ledger", ledger))
-          : reply(200, pair(path.substring(6), v));
+      Entry entry = entries.get(path.substring(6));
+      return entry == null
+          ? jsonResponse(404, JSON.createObjectNode().put("ledger", revision))
+          : jsonResponse(200, toJson(path.substring(6), entry));
     }
     if (path.equals("/txn")) {
-      return txn(JSON.readTree(body));
+      return executeTransaction(JSON.readTree(body));
     }
     if (path.equals("/holds")) {
-      long id = nextHold++;
-      long life = JSON.readTree(body).get("life_ms").asLong();
-      holds.put(id, new long[] {life, time.nowMs() + life});
-      watchHold(id);
-      return reply(200, JSON.createObjectNode().put("permit", id));
+      long leaseId = nextLeaseId++;
+      long lifetimeMs = JSON.readTree(body).get("life_ms").asLong();
+      leases.put(leaseId, new long[] {lifetimeMs, time.nowMs() + lifetimeMs});
+      scheduleLeaseExpiry(leaseId);
+      return jsonResponse(200, JSON.createObjectNode().put("permit", leaseId));
     }
     if (path.endsWith("/renew")) {
-      long[] h = holds.get(Long.parseLong(path.split("/", -1)[2]));
-      if (h == null) {
+      long[] lease = leases.get(Long.parseLong(path.split("/", -1)[2]));
+      if (lease == null) {
         return new ClientResponse(404, "{}".getBytes(StandardCharsets.UTF_8));
       }
-      h[1] = time.nowMs() + h[0];
+      lease[1] = time.nowMs() + lease[0];
       return new ClientResponse(200, "{}".getBytes(StandardCharsets.UTF_8));
     }
     return new ClientResponse(400, "{}".getBytes(StandardCharsets.UTF_8));
   }
 
   /** The protocol's limits on a transaction, as the simulated deployments set them. */
-  private static boolean tooLarge(JsonNode transaction) {
+  private static boolean exceedsLimits(JsonNode transaction) {
     for (JsonNode change : transaction.path("then")) {
-      if (change.path("v").toString().length() > VALUE_BYTES) {
+      if (change.path("v").toString().length() > MAX_VALUE_BYTES) {
         return true;
       }
     }
-    return transaction.path("then").size() > TXN_OPS
-        || transaction.path("when").size() > CONDITIONS_PER_OP * TXN_OPS;
+    return transaction.path("then").size() > MAX_TRANSACTION_OPERATIONS
+        || transaction.path("when").size()
+            > MAX_CONDITIONS_PER_OPERATION * MAX_TRANSACTION_OPERATIONS;
   }
 
-  private ClientResponse txn(JsonNode t) {
-    if (tooLarge(t)) {
+  private ClientResponse executeTransaction(JsonNode transaction) {
+    if (exceedsLimits(transaction)) {
       return new ClientResponse(
           400, "{\"error\":\"too many operations\"}".getBytes(StandardCharsets.UTF_8));
     }
-    ObjectNode out = JSON.createObjectNode();
-    ArrayNode failed = JSON.createArrayNode();
-    for (JsonNode c : t.path("when")) {
-      Value v = keys.get(c.get("path").asText());
-      if ((v == null ? 0 : v.stamp) != c.get("stamp").asLong()) {
-        failed.add(c.get("path"));
+    ObjectNode response = JSON.createObjectNode();
+    ArrayNode failedKeys = JSON.createArrayNode();
+    for (JsonNode c : transaction.path("when")) {
+      Entry entry = entries.get(c.get("path").asText());
+      if ((entry == null ? 0 : entry.version) != c.get("stamp").asLong()) {
+        failedKeys.add(c.get("path"));
       }
     }
-    if (!failed.isEmpty()) {
-      out.set("failed", failed);
-      return reply(409, out.put("ledger", ledger));
+    if (!failedKeys.isEmpty()) {
+      response.set("failed", failedKeys);
+      return jsonResponse(409, response.put("ledger", revision));
     }
-    for (JsonNode c : t.path("then")) {
-      if (c.has("permit") && !holds.containsKey(c.get("permit").asLong())) {
+    for (JsonNode c : transaction.path("then")) {
+      if (c.has("permit") && !leases.containsKey(c.get("permit").asLong())) {
         return new ClientResponse(
             400, "{\"error\":\"no such lease\"}".getBytes(StandardCharsets.UTF_8));
       }
     }
-    for (JsonNode c : t.path("then")) {
-      if (!holdWrites.isEmpty() && c.path("set").asText().startsWith(holdWrites)) {
+    for (JsonNode c : transaction.path("then")) {
+      if (!rejectedKeyPrefix.isEmpty() && c.path("set").asText().startsWith(rejectedKeyPrefix)) {
         return new ClientResponse(429, "{}".getBytes(StandardCharsets.UTF_8));
       }
     }
-    ledger++;
-    for (JsonNode c : t.path("then")) {
+    revision++;
+    for (JsonNode c : transaction.path("then")) {
       if (c.has("set")) {
         String key = c.get("set").asText();
-        largestValue = Math.max(largestValue, c.get("v").toString().length());
-        keys.put(key, new Value(c.get("v"), ledger, c.path("permit").asLong(-1)));
-        log.add(new Change(key, c.get("v"), ledger));
+        largestValueBytes = Math.max(largestValueBytes, c.get("v").toString().length());
+        entries.put(key, new Entry(c.get("v"), revision, c.path("permit").asLong(-1)));
+        changes.add(new Change(key, c.get("v"), revision));
       } else {
         String key = c.get("remove").asText();
-        keys.remove(key);
-        log.add(new Change(key, null, ledger));
+        entries.remove(key);
+        changes.add(new Change(key, null, revision));
       }
     }
-    wake();
-    return reply(200, out.put("ledger", ledger));
+    notifyFollowers();
+    return jsonResponse(200, response.put("ledger", revision));
   }
 
-  private void watchHold(long id) {
-    long[] h = holds.get(id);
-    time.at(
-        h[1] - time.nowMs() + 50,
+  private void scheduleLeaseExpiry(long leaseId) {
+    long[] lease = leases.get(leaseId);
+    time.schedule(
+        lease[1] - time.nowMs() + 50,
         () -> {
-          if (outage || holds.get(id) != h) {
+          if (outage || leases.get(leaseId) != lease) {
             return;
           }
-          if (h[1] <= time.nowMs()) {
-            holds.remove(id);
-            for (String k : List.copyOf(keys.keySet())) {
-              if (keys.get(k).permit == id) {
-                keys.remove(k);
-                log.add(new Change(k, null, ++ledger));
+          if (lease[1] <= time.nowMs()) {
+            leases.remove(leaseId);
+            for (String key : List.copyOf(entries.keySet())) {
+              if (entries.get(key).leaseId == leaseId) {
+                entries.remove(key);
+                changes.add(new Change(key, null, ++revision));
               }
             }
-            wake();
+            notifyFollowers();
           } else {
-            watchHold(id);
+            scheduleLeaseExpiry(leaseId);
           }
         });
   }
 
-  private void follow(String node, String path, Consumer<ClientResponse> done) {
-    long from = Long.parseLong(query(path, "from"));
-    String prefix = query(path, "prefix");
-    boolean[] answered = {false};
-    Runnable look =
+  private void follow(String requester, String path, Consumer<ClientResponse> onResponse) {
+    long afterRevision = Long.parseLong(queryParameter(path, "from"));
+    String prefix = queryParameter(path, "prefix");
+    boolean[] responded = {false};
+    Runnable respondIfChanged =
         () -> {
-          if (answered[0] || unserved(node)) {
+          if (responded[0] || isUnavailableTo(requester)) {
             return;
           }
-          if (from < forgotten) {
-            answered[0] = true;
-            done.accept(new ClientResponse(410, "{}".getBytes(StandardCharsets.UTF_8)));
+          if (afterRevision < compactedRevision) {
+            responded[0] = true;
+            onResponse.accept(new ClientResponse(410, "{}".getBytes(StandardCharsets.UTF_8)));
             return;
           }
           ArrayNode events = JSON.createArrayNode();
-          for (Change c : log) {
-            if (c.stamp > from && c.key.startsWith(prefix)) {
-              ObjectNode e = JSON.createObjectNode().put("stamp", c.stamp);
-              if (c.v == null) {
-                e.put("remove", c.key);
+          for (Change change : changes) {
+            if (change.revision > afterRevision && change.key.startsWith(prefix)) {
+              ObjectNode event = JSON.createObjectNode().put("stamp", change.revision);
+              if (change.value == null) {
+                event.put("remove", change.key);
               } else {
-                e.put("set", c.key).set("v", c.v);
+                event.put("set", change.key).set("v", change.value);
               }
-              events.add(e);
+              events.add(event);
             }
           }
           if (!events.isEmpty()) {
-            answered[0] = true;
-            ObjectNode out = JSON.createObjectNode().put("ledger", ledger);
-            out.set("log", events);
-            done.accept(reply(200, out));
+            responded[0] = true;
+            ObjectNode response = JSON.createObjectNode().put("ledger", revision);
+            response.set("log", events);
+            onResponse.accept(jsonResponse(200, response));
           }
         };
-    watchers.add(look);
-    look.run();
-    timeOut(node, look, answered, Long.parseLong(query(path, "block_ms")), done);
+    followers.add(respondIfChanged);
+    respondIfChanged.run();
+    scheduleFollowTimeout(
+        requester,
+        respondIfChanged,
+        responded,
+        Long.parseLong(queryParameter(path, "block_ms")),
+        onResponse);
   }
 
   /** Open watches remain open through an outage. */
-  private void timeOut(
-      String node, Runnable look, boolean[] answered, long ms, Consumer<ClientResponse> done) {
-    time.at(
-        ms,
+  private void scheduleFollowTimeout(
+      String requester,
+      Runnable respondIfChanged,
+      boolean[] responded,
+      long delayMs,
+      Consumer<ClientResponse> onResponse) {
+    time.schedule(
+        delayMs,
         () -> {
-          look.run();
-          if (unserved(node) && !answered[0]) {
-            timeOut(node, look, answered, 500, done);
+          respondIfChanged.run();
+          if (isUnavailableTo(requester) && !responded[0]) {
+            scheduleFollowTimeout(requester, respondIfChanged, responded, 500, onResponse);
             return;
           }
-          watchers.remove(look);
-          if (!answered[0]) {
-            answered[0] = true;
-            ObjectNode out = JSON.createObjectNode().put("ledger", ledger);
-            out.putArray("log");
-            done.accept(reply(200, out));
+          followers.remove(respondIfChanged);
+          if (!responded[0]) {
+            responded[0] = true;
+            ObjectNode response = JSON.createObjectNode().put("ledger", revision);
+            response.putArray("log");
+            onResponse.accept(jsonResponse(200, response));
           }
         });
   }
 
-  private void wake() {
-    List.copyOf(watchers).forEach(w -> time.at(0, w));
+  private void notifyFollowers() {
+    List.copyOf(followers).forEach(follower -> time.schedule(0, follower));
   }
 
-  private static JsonNode pair(String key, Value v) {
-    ObjectNode p = JSON.createObjectNode().put("path", key).put("stamp", v.stamp);
-    p.set("v", v.v);
-    return p;
+  private static JsonNode toJson(String key, Entry entry) {
+    ObjectNode json = JSON.createObjectNode().put("path", key).put("stamp", entry.version);
+    json.set("v", entry.value);
+    return json;
   }
 
-  static ClientResponse reply(int status, JsonNode body) {
+  static ClientResponse jsonResponse(int status, JsonNode body) {
     return new ClientResponse(status, body.toString().getBytes(StandardCharsets.UTF_8));
   }
 
-  private static String query(String path, String name) {
+  private static String queryParameter(String path, String name) {
     for (String parameter : path.substring(path.indexOf('?') + 1).split("&", -1)) {
       if (parameter.startsWith(name + "=")) {
         return parameter.substring(name.length() + 1);
--- a/src/test/java/dev/windbend/daemon/FakeWorker.java
+++ b/src/test/java/dev/windbend/daemon/FakeWorker.java
@@ -12,152 +12,154 @@
 
 /** A machine's worker by its published protocol. */
 final class FakeWorker {
-  static final long ANSWER_MS = 4_000;
-  private static final long FETCH_MS = 300;
+  static final long RESPONSE_TIMEOUT_MS = 4_000;
+  private static final long IMAGE_PULL_MS = 300;
 
   final String name;
   final String zone;
   final boolean spot;
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Map<String, Task> tasks = new LinkedHashMap<>();
-  private int node;
-  private long shift = 1;
-  private long tally;
-  private long baton;
-  private long leaseFromMs;
-  private long sentMs;
-  private long asked;
-  private boolean inFlight;
-  private boolean news;
-  boolean gone;
+  private int controllerIndex;
+  private long incarnation = 1;
+  private long sequence;
+  private long fencingToken;
+  private long leaseStartMs;
+  private long lastHeartbeatMs;
+  private long heartbeatSchedule;
+  private boolean heartbeatInFlight;
+  private boolean changedInFlight;
+  boolean terminated;
   boolean hung;
 
   /** Has begun to report. */
-  boolean up;
+  boolean started;
 
   /** Fails every task that it starts. */
-  boolean sick;
+  boolean failsAllTasks;
 
-  Double recallS;
+  Double reclaimInSeconds;
 
   private static final class Task {
-    String drop;
-    long run;
+    String name;
+    long attempt;
     String status;
     String cause;
-    boolean counted;
+    boolean running;
     long hungMs;
   }
 
-  FakeWorker(SimulatedCluster world, String name, String zone, boolean spot) {
-    this.world = world;
+  FakeWorker(SimulatedCluster cluster, String name, String zone, boolean spot) {
+    this.cluster = cluster;
     this.name = name;
     this.zone = zone;
     this.spot = spot;
-    this.node = world.random.nextInt(world.size);
+    this.controllerIndex = cluster.random.nextInt(cluster.controllerCount);
   }
 
   /** The machine as it is, with the tasks on it. */
   ObjectNode save() {
-    ObjectNode out =
+    ObjectNode savedState =
         FakeStateService.JSON
             .createObjectNode()
             .put("machine", name)
             .put("zone", zone)
             .put("spot", spot)
-            .put("up", up)
-            .put("controller", node)
-            .put("session", shift)
-            .put("report", tally)
-            .put("token", baton);
-    ArrayNode all = out.putArray("tasks");
-    for (Task t : tasks.values()) {
-      all.addObject()
-          .put("task", t.drop)
-          .put("attempt", t.run)
-          .put("status", t.status)
-          .put("cause", t.cause);
+            .put("up", started)
+            .put("controller", controllerIndex)
+            .put("session", incarnation)
+            .put("report", sequence)
+            .put("token", fencingToken);
+    ArrayNode savedTasks = savedState.putArray("tasks");
+    for (Task task : tasks.values()) {
+      savedTasks
+          .addObject()
+          .put("task", task.name)
+          .put("attempt", task.attempt)
+          .put("status", task.status)
+          .put("cause", task.cause);
     }
-    return out;
+    return savedState;
   }
 
   /** Goes on from what was saved: its tasks run on, and its lease has its full time. */
   void load(JsonNode saved) {
-    node = saved.get("controller").asInt();
-    shift = saved.get("session").asLong();
-    tally = saved.get("report").asLong();
-    baton = saved.get("token").asLong();
-    for (JsonNode s : saved.get("tasks")) {
-      Task t = new Task();
-      t.drop = s.get("task").asText();
-      t.run = s.get("attempt").asLong();
-      t.status = s.get("status").asText();
-      t.cause = s.get("cause").isNull() ? null : s.get("cause").asText();
-      tasks.put(t.drop, t);
-      if (t.status.equals("pulling")) {
-        world.time.at(FETCH_MS, () -> begin(t));
-      } else if (t.status.equals("running")) {
-        t.counted = true;
-        world.judge.runsAlready(t.drop, this);
-        world.time.at(world.runMs(t.drop), () -> end(t));
+    controllerIndex = saved.get("controller").asInt();
+    incarnation = saved.get("session").asLong();
+    sequence = saved.get("report").asLong();
+    fencingToken = saved.get("token").asLong();
+    for (JsonNode savedTask : saved.get("tasks")) {
+      Task task = new Task();
+      task.name = savedTask.get("task").asText();
+      task.attempt = savedTask.get("attempt").asLong();
+      task.status = savedTask.get("status").asText();
+      task.cause = savedTask.get("cause").isNull() ? null : savedTask.get("cause").asText();
+      tasks.put(task.name, task);
+      if (task.status.equals("pulling")) {
+        cluster.time.schedule(IMAGE_PULL_MS, () -> beginRunning(task));
+      } else if (task.status.equals("running")) {
+        task.running = true;
+        cluster.invariantChecker.addRunningTask(task.name, this);
+        cluster.time.schedule(cluster.taskRunMs(task.name), () -> endTask(task));
       }
     }
-    world.time.at(
-        saved.get("up").asBoolean() ? world.random.nextInt(1_000) : world.bootMs, this::start);
+    cluster.time.schedule(
+        saved.get("up").asBoolean() ? cluster.random.nextInt(1_000) : cluster.minBootMs,
+        this::start);
   }
 
   /** The highest fencing token it has been sent. */
-  long token() {
-    return baton;
+  long fencingToken() {
+    return fencingToken;
   }
 
   void start() {
-    up = true;
-    leaseFromMs = world.time.nowMs();
-    report();
-    lease();
+    started = true;
+    leaseStartMs = cluster.time.nowMs();
+    sendHeartbeat();
+    checkLease();
   }
 
-  void vanish() {
-    gone = true;
-    tasks.values().forEach(this::leave);
+  void terminate() {
+    terminated = true;
+    tasks.values().forEach(this::stopTask);
     tasks.clear();
   }
 
-  private void lease() {
-    if (gone) {
+  private void checkLease() {
+    if (terminated) {
       return;
     }
-    if (!hung && world.time.nowMs() - leaseFromMs > SimulatedCluster.LEASE_MS) {
-      world.lapsed += tasks.isEmpty() ? 0 : 1;
-      tasks.values().forEach(this::leave);
+    if (!hung && cluster.time.nowMs() - leaseStartMs > SimulatedCluster.LEASE_MS) {
+      cluster.expiredLeasesWithTasks += tasks.isEmpty() ? 0 : 1;
+      tasks.values().forEach(this::stopTask);
       tasks.clear();
-      shift++;
-      leaseFromMs = world.time.nowMs();
+      incarnation++;
+      leaseStartMs = cluster.time.nowMs();
     }
-    world.time.at(200, this::lease);
+    cluster.time.schedule(200, this::checkLease);
   }
 
-  private void next(long ms) {
-    long mine = ++asked;
-    world.time.at(
-        ms,
+  private void scheduleHeartbeat(long delayMs) {
+    long schedule = ++heartbeatSchedule;
+    cluster.time.schedule(
+        delayMs,
         () -> {
-          if (mine == asked) {
-            report();
+          if (schedule == heartbeatSchedule) {
+            sendHeartbeat();
           }
         });
   }
 
-  private void report() {
-    if (gone) {
+  private void sendHeartbeat() {
+    if (terminated) {
       return;
     }
     if (hung) {
-      next(500);
+      scheduleHeartbeat(500);
       return;
     }
-    ObjectNode r =
+    ObjectNode heartbeat =
         FakeStateService.JSON
             .createObjectNode()
             .put("truck", name)
@@ -165,118 +167,123 @@
             .put("rig", "t4")
             .put("yard", zone)
             .put("standby", spot)
-            .put("shift", shift)
-            .put("tally", ++tally)
-            .put("baton", baton)
-            .put("recall_s", recallS);
-    ArrayNode drops = r.putArray("drops");
-    for (Task t : tasks.values()) {
-      drops
+            .put("shift", incarnation)
+            .put("tally", ++sequence)
+            .put("baton", fencingToken)
+            .put("recall_s", reclaimInSeconds);
+    ArrayNode taskStates = heartbeat.putArray("drops");
+    for (Task task : tasks.values()) {
+      taskStates
           .addObject()
-          .put("drop", t.drop)
-          .put("run", t.run)
-          .put("status", t.status)
-          .put("cause", t.cause);
+          .put("drop", task.name)
+          .put("run", task.attempt)
+          .put("status", task.status)
+          .put("cause", task.cause);
     }
-    long sent = world.time.nowMs();
-    sentMs = sent;
-    long inShift = shift;
-    long mine = ++asked;
-    boolean[] over = {false};
-    inFlight = true;
-    news = false;
-    world.call(
+    long sentMs = cluster.time.nowMs();
+    lastHeartbeatMs = sentMs;
+    long sentIncarnation = incarnation;
+    long schedule = ++heartbeatSchedule;
+    boolean[] completed = {false};
+    heartbeatInFlight = true;
+    changedInFlight = false;
+    cluster.sendRequest(
         name,
-        "n" + node + ":80",
+        "n" + controllerIndex + ":80",
         "POST",
         "/hello",
-        r.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8),
-        ANSWER_MS,
-        reply -> {
-          if (over[0] || gone || hung || mine != asked) {
+        heartbeat.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8),
+        RESPONSE_TIMEOUT_MS,
+        response -> {
+          if (completed[0] || terminated || hung || schedule != heartbeatSchedule) {
             return;
           }
-          over[0] = true;
-          inFlight = false;
-          if (reply.status() == 200) {
-            execute(world.json(reply.body()), sent, inShift);
-          } else if (reply.status() == 421 && world.json(reply.body()).hasNonNull("dispatcher")) {
-            node = world.json(reply.body()).get("dispatcher").asText().charAt(1) - '0';
-            next(300);
+          completed[0] = true;
+          heartbeatInFlight = false;
+          if (response.status() == 200) {
+            handleHeartbeatResponse(cluster.parseJson(response.body()), sentMs, sentIncarnation);
+          } else if (response.status() == 421
+              && cluster.parseJson(response.body()).hasNonNull("dispatcher")) {
+            controllerIndex =
+                cluster.parseJson(response.body()).get("dispatcher").asText().charAt(1) - '0';
+            scheduleHeartbeat(300);
           } else {
-            node = (node + 1) % world.size;
-            next(1_000);
+            controllerIndex = (controllerIndex + 1) % cluster.controllerCount;
+            scheduleHeartbeat(1_000);
           }
         });
-    world.time.at(
-        ANSWER_MS + 10,
+    cluster.time.schedule(
+        RESPONSE_TIMEOUT_MS + 10,
         () -> {
-          if (!over[0] && mine == asked) {
-            over[0] = true;
-            inFlight = false;
-            node = (node + 1) % world.size;
-            next(1_000);
+          if (!completed[0] && schedule == heartbeatSchedule) {
+            completed[0] = true;
+            heartbeatInFlight = false;
+            controllerIndex = (controllerIndex + 1) % cluster.controllerCount;
+            scheduleHeartbeat(1_000);
           }
         });
   }
 
   /** A direct command: what a hanging machine was sent it executes when it goes on. */
-  void command(JsonNode order, Consumer<ClientResponse> done) {
-    if (gone) {
+  void handleCommand(JsonNode command, Consumer<ClientResponse> onResponse) {
+    if (terminated) {
       return;
     }
     if (hung) {
-      world.time.at(300, () -> command(order, done));
+      cluster.time.schedule(300, () -> handleCommand(command, onResponse));
       return;
     }
-    tally++;
-    if (order.path("baton").asLong(-1) < baton || order.path("shift").asLong() != shift) {
-      done.accept(new ClientResponse(409, "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+    sequence++;
+    if (command.path("baton").asLong(-1) < fencingToken
+        || command.path("shift").asLong() != incarnation) {
+      onResponse.accept(
+          new ClientResponse(409, "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
       return;
     }
-    boolean changed = order.path("baton").asLong() > baton;
-    baton = order.path("baton").asLong();
-    changed |= executeOrders(order);
+    boolean changed = command.path("baton").asLong() > fencingToken;
+    fencingToken = command.path("baton").asLong();
+    changed |= executeCommands(command);
     if (changed) {
-      changed();
+      scheduleHeartbeatAfterChange();
     }
-    done.accept(new ClientResponse(200, "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+    onResponse.accept(
+        new ClientResponse(200, "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
   }
 
-  private void execute(JsonNode answer, long sent, long inShift) {
-    long token = answer.path("baton").asLong(-1);
-    next(
-        SimulatedCluster.REPORT_MS * 3 / 4
-            + world.random.nextInt((int) SimulatedCluster.REPORT_MS / 2));
-    if (token < baton || inShift != shift) {
+  private void handleHeartbeatResponse(JsonNode response, long sentMs, long sentIncarnation) {
+    long responseToken = response.path("baton").asLong(-1);
+    scheduleHeartbeat(
+        SimulatedCluster.HEARTBEAT_INTERVAL_MS * 3 / 4
+            + cluster.random.nextInt((int) SimulatedCluster.HEARTBEAT_INTERVAL_MS / 2));
+    if (responseToken < fencingToken || sentIncarnation != incarnation) {
       return;
     }
-    boolean changed = token > baton;
-    baton = token;
-    leaseFromMs = sent;
-    changed |= executeOrders(answer);
-    if (changed || news) {
-      changed();
+    boolean changed = responseToken > fencingToken;
+    fencingToken = responseToken;
+    leaseStartMs = sentMs;
+    changed |= executeCommands(response);
+    if (changed || changedInFlight) {
+      scheduleHeartbeatAfterChange();
     }
   }
 
-  private boolean executeOrders(JsonNode answer) {
+  private boolean executeCommands(JsonNode message) {
     boolean changed = false;
-    for (JsonNode o : answer.path("orders")) {
-      String drop = o.get("drop").asText();
-      long run = o.get("run").asLong();
-      Task t = tasks.get(drop);
-      switch (o.get("order").asText()) {
-        case "start" -> changed |= start(drop, run, t);
+    for (JsonNode command : message.path("orders")) {
+      String taskName = command.get("drop").asText();
+      long attempt = command.get("run").asLong();
+      Task task = tasks.get(taskName);
+      switch (command.get("order").asText()) {
+        case "start" -> changed |= startTask(taskName, attempt, task);
         case "kill" -> {
-          if (t != null && t.run == run && !t.status.equals("exited")) {
-            exit(t, "halted");
+          if (task != null && task.attempt == attempt && !task.status.equals("exited")) {
+            exitTask(task, "halted");
             changed = true;
           }
         }
         default -> {
-          if (t != null && t.run == run && t.status.equals("exited")) {
-            tasks.remove(drop);
+          if (task != null && task.attempt == attempt && task.status.equals("exited")) {
+            tasks.remove(taskName);
           }
         }
       }
@@ -285,84 +292,85 @@
   }
 
   /** One report in flight at a time: what changes meanwhile is told in the next. */
-  private void changed() {
-    if (inFlight) {
-      news = true;
+  private void scheduleHeartbeatAfterChange() {
+    if (heartbeatInFlight) {
+      changedInFlight = true;
     } else {
-      next(Math.max(0, sentMs + 500 - world.time.nowMs()));
+      scheduleHeartbeat(Math.max(0, lastHeartbeatMs + 500 - cluster.time.nowMs()));
     }
   }
 
-  private boolean start(String drop, long run, Task before) {
-    if (before != null && before.run == run) {
+  private boolean startTask(String taskName, long attempt, Task previous) {
+    if (previous != null && previous.attempt == attempt) {
       return false;
     }
-    if (before != null && !before.status.equals("exited")) {
-      world.judge.broken("in_use: " + drop + " is on " + name + " with another attempt");
+    if (previous != null && !previous.status.equals("exited")) {
+      cluster.invariantChecker.addViolation(
+          "in_use: " + taskName + " is on " + name + " with another attempt");
       return false;
     }
-    Task t = new Task();
-    t.drop = drop;
-    t.run = run;
-    t.status = "pulling";
-    tasks.put(drop, t);
-    world.time.at(FETCH_MS, () -> begin(t));
+    Task task = new Task();
+    task.name = taskName;
+    task.attempt = attempt;
+    task.status = "pulling";
+    tasks.put(taskName, task);
+    cluster.time.schedule(IMAGE_PULL_MS, () -> beginRunning(task));
     return true;
   }
 
-  private void begin(Task t) {
-    if (gone || tasks.get(t.drop) != t || !t.status.equals("pulling")) {
+  private void beginRunning(Task task) {
+    if (terminated || tasks.get(task.name) != task || !task.status.equals("pulling")) {
       return;
     }
     if (hung) {
-      t.hungMs += FETCH_MS;
-      world.time.at(FETCH_MS, () -> begin(t));
+      task.hungMs += IMAGE_PULL_MS;
+      cluster.time.schedule(IMAGE_PULL_MS, () -> beginRunning(task));
       return;
     }
-    t.status = "running";
-    t.counted = true;
-    world.judge.started(t.drop, this, t.hungMs);
-    changed();
-    boolean fails = sick || world.mistaken(t.drop);
-    world.time.at(fails ? 200 : world.runMs(t.drop), () -> end(t));
+    task.status = "running";
+    task.running = true;
+    cluster.invariantChecker.taskStarted(task.name, this, task.hungMs);
+    scheduleHeartbeatAfterChange();
+    boolean taskFails = failsAllTasks || cluster.alwaysFails(task.name);
+    cluster.time.schedule(taskFails ? 200 : cluster.taskRunMs(task.name), () -> endTask(task));
   }
 
-  private void end(Task t) {
-    if (gone || tasks.get(t.drop) != t || !t.status.equals("running")) {
+  private void endTask(Task task) {
+    if (terminated || tasks.get(task.name) != task || !task.status.equals("running")) {
       return;
     }
     if (hung) {
-      world.time.at(300, () -> end(t));
+      cluster.time.schedule(300, () -> endTask(task));
       return;
     }
-    boolean fails = sick || world.mistaken(t.drop);
-    if (!fails) {
-      world.completed(t.drop);
+    boolean taskFails = failsAllTasks || cluster.alwaysFails(task.name);
+    if (!taskFails) {
+      cluster.taskCompleted(task.name);
     }
-    exit(t, fails ? "error" : "done");
-    changed();
+    exitTask(task, taskFails ? "error" : "done");
+    scheduleHeartbeatAfterChange();
   }
 
-  private void exit(Task t, String cause) {
-    leave(t);
-    t.status = "exited";
-    t.cause = cause;
+  private void exitTask(Task task, String cause) {
+    stopTask(task);
+    task.status = "exited";
+    task.cause = cause;
   }
 
-  private void leave(Task t) {
-    if (t.counted) {
-      t.counted = false;
-      world.judge.left(t.drop, this);
+  private void stopTask(Task task) {
+    if (task.running) {
+      task.running = false;
+      cluster.invariantChecker.taskStopped(task.name, this);
     }
   }
 
-  List<String> running() {
-    List<String> all = new ArrayList<>();
-    for (Task t : tasks.values()) {
-      if (t.counted) {
-        all.add(t.drop);
+  List<String> runningTasks() {
+    List<String> names = new ArrayList<>();
+    for (Task task : tasks.values()) {
+      if (task.running) {
+        names.add(task.name);
       }
     }
-    return all;
+    return names;
   }
 }
--- a/src/test/java/dev/windbend/daemon/FaultInjection.java
+++ b/src/test/java/dev/windbend/daemon/FaultInjection.java
@@ -6,48 +6,50 @@
 final class FaultInjection {
   private FaultInjection() {}
 
-  static void each(SimulatedCluster w, long fromMs, long everyMs, int times, Runnable what) {
+  static void repeat(
+      SimulatedCluster cluster, long fromMs, long intervalMs, int times, Runnable fault) {
     for (int i = 0; i < times; i++) {
-      w.time.at(fromMs + i * everyMs, what);
+      cluster.time.schedule(fromMs + i * intervalMs, fault);
     }
   }
 
-  static FakeWorker any(SimulatedCluster w) {
-    List<FakeWorker> all = List.copyOf(w.machines.values());
-    return all.isEmpty() ? null : all.get(w.random.nextInt(all.size()));
+  static FakeWorker randomMachine(SimulatedCluster cluster) {
+    List<FakeWorker> machines = List.copyOf(cluster.machines.values());
+    return machines.isEmpty() ? null : machines.get(cluster.random.nextInt(machines.size()));
   }
 
-  static void hang(SimulatedCluster w, long forMs) {
-    FakeWorker m = any(w);
-    if (m != null) {
-      m.hung = true;
-      w.time.at(forMs, () -> m.hung = false);
+  static void hangRandomMachine(SimulatedCluster cluster, long durationMs) {
+    FakeWorker machine = randomMachine(cluster);
+    if (machine != null) {
+      machine.hung = true;
+      cluster.time.schedule(durationMs, () -> machine.hung = false);
     }
   }
 
-  static void outage(SimulatedCluster w, long forMs) {
-    w.store.outage = true;
-    w.time.at(forMs, w.store::recover);
+  static void stateServiceOutage(SimulatedCluster cluster, long durationMs) {
+    cluster.stateService.outage = true;
+    cluster.time.schedule(durationMs, cluster.stateService::endOutage);
   }
 
-  static void crash(SimulatedCluster w, long backMs, int... nodes) {
-    for (int i : nodes) {
-      w.kill(i, backMs);
+  static void crashControllers(
+      SimulatedCluster cluster, long restartDelayMs, int... controllerIndexes) {
+    for (int controllerIndex : controllerIndexes) {
+      cluster.killController(controllerIndex, restartDelayMs);
     }
   }
 
   /** Both ways, between one and all others of a list. */
-  static void cutOff(SimulatedCluster w, String one, Iterable<String> others) {
-    for (String o : others) {
-      w.cut.add(one + ">" + o);
-      w.cut.add(o + ">" + one);
+  static void blockLinks(SimulatedCluster cluster, String host, Iterable<String> otherHosts) {
+    for (String otherHost : otherHosts) {
+      cluster.blockedLinks.add(host + ">" + otherHost);
+      cluster.blockedLinks.add(otherHost + ">" + host);
     }
   }
 
   /** Its reports arrive, but no answer reaches it. */
-  static void deafen(SimulatedCluster w, FakeWorker m) {
-    for (int n = 0; m != null && n < 3; n++) {
-      w.cut.add("n" + n + ">" + m.name);
+  static void blockResponsesTo(SimulatedCluster cluster, FakeWorker machine) {
+    for (int controllerIndex = 0; machine != null && controllerIndex < 3; controllerIndex++) {
+      cluster.blockedLinks.add("n" + controllerIndex + ">" + machine.name);
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/InvariantChecker.java
+++ b/src/test/java/dev/windbend/daemon/InvariantChecker.java
@@ -13,123 +13,125 @@
  * the machines and the users, not the nodes.
  */
 final class InvariantChecker {
-  static final long FORGOTTEN_MS = 75_000;
-  static final long WAITING_MS = 90_000;
+  static final long MAX_UNANSWERED_MS = 75_000;
+  static final long MAX_WAITING_MS = 90_000;
 
   /** A start in an answer that is under way can't be called back: that is 4 s, and the fetch. */
-  static final long UNDER_WAY_MS = 4_300;
+  static final long MAX_START_IN_FLIGHT_MS = 4_300;
 
   private static final double MACHINE_CORES = SimulatedCluster.MACHINE_CORES;
 
   final List<String> violations = new ArrayList<>();
 
   /** Each start of a task, in order. */
-  final List<String> starts = new ArrayList<>();
+  final List<String> startedTasks = new ArrayList<>();
 
   /** From then on every question must be answered within 75 s. */
-  long calmFromMs = Long.MAX_VALUE;
+  long faultsEndMs = Long.MAX_VALUE;
 
   private final SimulatedCluster cluster;
-  private final Map<String, Set<FakeWorker>> on = new HashMap<>();
-  private final Set<String> finished = new HashSet<>();
+  private final Map<String, Set<FakeWorker>> machinesByTask = new HashMap<>();
+  private final Set<String> completedTasks = new HashSet<>();
 
   InvariantChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  void broken(String what) {
-    violations.add(cluster.time.nowMs() + " " + what);
+  void addViolation(String violation) {
+    violations.add(cluster.time.nowMs() + " " + violation);
   }
 
   /** A task that ran before the simulation began. */
-  void runsAlready(String drop, FakeWorker w) {
-    if (!on.computeIfAbsent(drop, k -> new HashSet<>()).add(w) || on.get(drop).size() > 1) {
-      broken("ran_twice: " + drop + " from the beginning");
+  void addRunningTask(String task, FakeWorker worker) {
+    if (!machinesByTask.computeIfAbsent(task, k -> new HashSet<>()).add(worker)
+        || machinesByTask.get(task).size() > 1) {
+      addViolation("ran_twice: " + task + " from the beginning");
     }
   }
 
   /** A task that had completed before the simulation began. */
-  void finishedAlready(String drop) {
-    finished.add(drop);
+  void addCompletedTask(String task) {
+    completedTasks.add(task);
   }
 
   /** Tasks that have completed, in order of their names. */
-  List<String> finished() {
-    return finished.stream().sorted().toList();
+  List<String> completedTasks() {
+    return completedTasks.stream().sorted().toList();
   }
 
-  static String uid(String drop) {
-    return drop.substring(0, drop.indexOf('/'));
+  static String jobId(String task) {
+    return task.substring(0, task.indexOf('/'));
   }
 
   /**
    * @param hungMs for how long the machine hung between taking the start and beginning the task: no
    *     controller can call that start back, as the machine hears nothing
    */
-  void started(String drop, FakeWorker w, long hungMs) {
-    SimulatedUser u = cluster.users.get(uid(drop));
-    Set<FakeWorker> places = on.computeIfAbsent(drop, k -> new HashSet<>());
-    if (!places.isEmpty()) {
-      broken("ran_twice: " + drop);
-    }
-    places.add(w);
-    starts.add(drop);
-    if (u == null || u.firstSentMs < 0) {
-      broken("unknown task " + drop);
+  void taskStarted(String task, FakeWorker worker, long hungMs) {
+    SimulatedUser user = cluster.users.get(jobId(task));
+    Set<FakeWorker> machines = machinesByTask.computeIfAbsent(task, k -> new HashSet<>());
+    if (!machines.isEmpty()) {
+      addViolation("ran_twice: " + task);
+    }
+    machines.add(worker);
+    startedTasks.add(task);
+    if (user == null || user.firstSubmittedMs < 0) {
+      addViolation("unknown task " + task);
       return;
     }
-    if (u.begunMs < 0) {
-      u.begunMs = cluster.time.nowMs();
+    if (user.firstTaskStartedMs < 0) {
+      user.firstTaskStartedMs = cluster.time.nowMs();
     }
-    if (u.toldCancelledMs >= 0) {
-      if (cluster.time.nowMs() > u.toldCancelledMs + UNDER_WAY_MS + hungMs) {
-        broken("started after its cancellation was confirmed: " + drop);
+    if (user.cancellationConfirmedMs >= 0) {
+      if (cluster.time.nowMs() > user.cancellationConfirmedMs + MAX_START_IN_FLIGHT_MS + hungMs) {
+        addViolation("started after its cancellation was confirmed: " + task);
       }
-      if (cluster.time.nowMs() > u.toldCancelledMs + SimulatedCluster.CANCEL_MS) {
-        broken("ran_cancelled: " + drop);
+      if (cluster.time.nowMs()
+          > user.cancellationConfirmedMs + SimulatedCluster.MAX_CANCELLATION_MS) {
+        addViolation("ran_cancelled: " + task);
       }
     }
-    if ((u.zone != null && !u.zone.equals(w.zone)) || (w.spot && !u.spot)) {
-      broken("wrong_place: " + drop + " on " + w.name);
+    if ((user.zone != null && !user.zone.equals(worker.zone)) || (worker.spot && !user.spot)) {
+      addViolation("wrong_place: " + task + " on " + worker.name);
     }
-    Map<String, Integer> zones = zonesOf(u);
-    if (u.together && zones.size() > 1) {
-      broken("wrong_place: " + drop + " apart from the others of its job");
+    Map<String, Integer> zones = taskCountByZone(user);
+    if (user.together && zones.size() > 1) {
+      addViolation("wrong_place: " + task + " apart from the others of its job");
     }
-    if (u.spread && zones.get(w.zone) > (u.tasks + 1) / 2) {
-      broken("wrong_place: " + drop + " makes too many in zone " + w.zone);
+    if (user.spread && zones.get(worker.zone) > (user.taskCount + 1) / 2) {
+      addViolation("wrong_place: " + task + " makes too many in zone " + worker.zone);
     }
-    if (used(u.team) > limit(u.team) + 1e-6) {
-      broken("quota: " + u.team + " uses " + used(u.team));
+    if (usedCoresOf(user.team) > maxCoresOf(user.team) + 1e-6) {
+      addViolation("quota: " + user.team + " uses " + usedCoresOf(user.team));
     }
   }
 
   /** How many tasks of a job are on machines of each zone. */
-  private Map<String, Integer> zonesOf(SimulatedUser u) {
+  private Map<String, Integer> taskCountByZone(SimulatedUser user) {
     Map<String, Integer> zones = new HashMap<>();
-    for (Map.Entry<String, Set<FakeWorker>> e : on.entrySet()) {
-      if (uid(e.getKey()).equals(u.uid)) {
-        e.getValue().forEach(w -> zones.merge(w.zone, 1, Integer::sum));
+    for (Map.Entry<String, Set<FakeWorker>> entry : machinesByTask.entrySet()) {
+      if (jobId(entry.getKey()).equals(user.jobId)) {
+        entry.getValue().forEach(machine -> zones.merge(machine.zone, 1, Integer::sum));
       }
     }
     return zones;
   }
 
-  private double cores(String drop) {
-    SimulatedUser u = cluster.users.get(uid(drop));
-    return u == null ? 0 : u.cores;
+  private double coresOf(String task) {
+    SimulatedUser user = cluster.users.get(jobId(task));
+    return user == null ? 0 : user.coresPerTask;
   }
 
-  private double limit(String team) {
-    return team.equals("guests") ? Double.POSITIVE_INFINITY : cluster.teamCores;
+  private double maxCoresOf(String team) {
+    return team.equals("guests") ? Double.POSITIVE_INFINITY : cluster.teamMaxCores;
   }
 
-  private double used(String team) {
+  private double usedCoresOf(String team) {
     double used = 0;
-    for (Map.Entry<String, Set<FakeWorker>> e : on.entrySet()) {
-      SimulatedUser o = cluster.users.get(uid(e.getKey()));
-      if (!e.getValue().isEmpty() && o != null && o.team.equals(team)) {
-        used += o.cores;
+    for (Map.Entry<String, Set<FakeWorker>> entry : machinesByTask.entrySet()) {
+      SimulatedUser user = cluster.users.get(jobId(entry.getKey()));
+      if (!entry.getValue().isEmpty() && user != null && user.team.equals(team)) {
+        used += user.coresPerTask;
       }
     }
     return used;
@@ -139,82 +141,93 @@
    * Once all troubles are over, no job is left waiting for 90 s while a machine that fits has room
    * and its team is under its limit.
    */
-  void judgeWaiting() {
+  void checkWaitingJobs() {
     Map<String, Double> free = new HashMap<>();
-    for (FakeWorker m : cluster.machines.values()) {
-      free.put(m.name, m.up && !m.hung && m.recallS == null ? MACHINE_CORES : 0);
-    }
-    for (Map.Entry<String, Set<FakeWorker>> e : on.entrySet()) {
-      e.getValue().forEach(m -> free.merge(m.name, -cores(e.getKey()), Double::sum));
-    }
-    for (SimulatedUser u : cluster.users.values()) {
-      boolean accepted = !u.told.isEmpty() && !u.cancels && !u.told.equals("done");
-      Map<String, Integer> zones = accepted ? zonesOf(u) : Map.of();
-      boolean left = false;
-      for (int i = 0; accepted && i < u.tasks; i++) {
-        String drop = u.uid + "/" + i;
-        left |= !finished.contains(drop) && on.getOrDefault(drop, Set.of()).isEmpty();
+    for (FakeWorker machine : cluster.machines.values()) {
+      free.put(
+          machine.name,
+          machine.started && !machine.hung && machine.reclaimInSeconds == null ? MACHINE_CORES : 0);
+    }
+    for (Map.Entry<String, Set<FakeWorker>> entry : machinesByTask.entrySet()) {
+      entry
+          .getValue()
+          .forEach(machine -> free.merge(machine.name, -coresOf(entry.getKey()), Double::sum));
+    }
+    for (SimulatedUser user : cluster.users.values()) {
+      boolean accepted =
+          !user.lastStatus.isEmpty() && !user.cancelsJob && !user.lastStatus.equals("done");
+      Map<String, Integer> zones = accepted ? taskCountByZone(user) : Map.of();
+      boolean hasWaitingTask = false;
+      for (int taskIndex = 0; accepted && taskIndex < user.taskCount; taskIndex++) {
+        String task = user.jobId + "/" + taskIndex;
+        hasWaitingTask |=
+            !completedTasks.contains(task) && machinesByTask.getOrDefault(task, Set.of()).isEmpty();
       }
-      FakeWorker room =
-          left && used(u.team) + u.cores <= limit(u.team)
+      FakeWorker suitableMachine =
+          hasWaitingTask && usedCoresOf(user.team) + user.coresPerTask <= maxCoresOf(user.team)
               ? cluster.machines.values().stream()
-                  .filter(m -> free.get(m.name) >= u.cores && mayRunOn(u, m, zones))
+                  .filter(
+                      machine ->
+                          free.get(machine.name) >= user.coresPerTask
+                              && mayRunOn(user, machine, zones))
                   .findFirst()
                   .orElse(null)
               : null;
-      if (room == null || cluster.time.nowMs() < calmFromMs) {
-        u.couldStartMs = cluster.time.nowMs();
-      } else if (cluster.time.nowMs() - u.couldStartMs > WAITING_MS) {
-        broken("waits: " + u.uid + " while " + room.name + " has room");
-        u.couldStartMs = cluster.time.nowMs();
+      if (suitableMachine == null || cluster.time.nowMs() < faultsEndMs) {
+        user.startableSinceMs = cluster.time.nowMs();
+      } else if (cluster.time.nowMs() - user.startableSinceMs > MAX_WAITING_MS) {
+        addViolation("waits: " + user.jobId + " while " + suitableMachine.name + " has room");
+        user.startableSinceMs = cluster.time.nowMs();
       }
     }
-    cluster.time.at(1_000, this::judgeWaiting);
+    cluster.time.schedule(1_000, this::checkWaitingJobs);
   }
 
-  void left(String drop, FakeWorker w) {
-    on.get(drop).remove(w);
-    SimulatedUser u = cluster.users.get(uid(drop));
-    if (u != null
-        && u.toldCancelledMs >= 0
-        && cluster.time.nowMs() > u.toldCancelledMs + SimulatedCluster.CANCEL_MS) {
-      broken("ran_cancelled: " + drop + " left late");
+  void taskStopped(String task, FakeWorker worker) {
+    machinesByTask.get(task).remove(worker);
+    SimulatedUser user = cluster.users.get(jobId(task));
+    if (user != null
+        && user.cancellationConfirmedMs >= 0
+        && cluster.time.nowMs()
+            > user.cancellationConfirmedMs + SimulatedCluster.MAX_CANCELLATION_MS) {
+      addViolation("ran_cancelled: " + task + " left late");
     }
   }
 
-  private static boolean mayRunOn(SimulatedUser u, FakeWorker m, Map<String, Integer> zones) {
-    return (u.zone == null || u.zone.equals(m.zone))
-        && (u.spot || !m.spot)
-        && (!u.together || zones.isEmpty() || zones.containsKey(m.zone))
-        && (!u.spread || zones.getOrDefault(m.zone, 0) < (u.tasks + 1) / 2);
+  private static boolean mayRunOn(
+      SimulatedUser user, FakeWorker machine, Map<String, Integer> zones) {
+    return (user.zone == null || user.zone.equals(machine.zone))
+        && (user.spot || !machine.spot)
+        && (!user.together || zones.isEmpty() || zones.containsKey(machine.zone))
+        && (!user.spread || zones.getOrDefault(machine.zone, 0) < (user.taskCount + 1) / 2);
   }
 
   /** A task has completed; whether it was the last of its job. */
-  boolean completed(String drop) {
-    finished.add(drop);
-    SimulatedUser u = cluster.users.get(uid(drop));
-    if (u == null) {
+  boolean taskCompleted(String task) {
+    completedTasks.add(task);
+    SimulatedUser user = cluster.users.get(jobId(task));
+    if (user == null) {
       return false;
     }
-    u.couldStartMs = cluster.time.nowMs();
-    boolean last = true;
-    for (int i = 0; i < u.tasks; i++) {
-      last &= finished.contains(uid(drop) + "/" + i);
+    user.startableSinceMs = cluster.time.nowMs();
+    boolean jobCompleted = true;
+    for (int taskIndex = 0; taskIndex < user.taskCount; taskIndex++) {
+      jobCompleted &= completedTasks.contains(jobId(task) + "/" + taskIndex);
     }
-    return last;
+    return jobCompleted;
   }
 
-  boolean isFinished(String drop) {
-    return finished.contains(drop);
+  boolean isCompleted(String task) {
+    return completedTasks.contains(task);
   }
 
   /** The machines that a user's tasks are on, by name. */
-  List<FakeWorker> machinesOf(SimulatedUser u) {
-    return on.entrySet().stream()
-        .filter(e -> uid(e.getKey()).equals(u.uid))
-        .flatMap(e -> e.getValue().stream())
+  List<FakeWorker> machinesOf(SimulatedUser user) {
+    return machinesByTask.entrySet().stream()
+        .filter(entry -> jobId(entry.getKey()).equals(user.jobId))
+        .flatMap(entry -> entry.getValue().stream())
         .distinct()
-        .sorted(Comparator.comparing(m -> m.name))
+        .sorted(Comparator.comparing(machine -> machine.name))
         .toList();
   }
 }
--- a/src/test/java/dev/windbend/daemon/InvariantsTest.java
+++ b/src/test/java/dev/windbend/daemon/InvariantsTest.java
@@ -1,12 +1,12 @@
 package dev.windbend.daemon;
 
-import static dev.windbend.daemon.FaultInjection.any;
-import static dev.windbend.daemon.FaultInjection.crash;
-import static dev.windbend.daemon.FaultInjection.cutOff;
-import static dev.windbend.daemon.FaultInjection.deafen;
-import static dev.windbend.daemon.FaultInjection.each;
-import static dev.windbend.daemon.FaultInjection.hang;
-import static dev.windbend.daemon.FaultInjection.outage;
+import static dev.windbend.daemon.FaultInjection.blockLinks;
+import static dev.windbend.daemon.FaultInjection.blockResponsesTo;
+import static dev.windbend.daemon.FaultInjection.crashControllers;
+import static dev.windbend.daemon.FaultInjection.hangRandomMachine;
+import static dev.windbend.daemon.FaultInjection.randomMachine;
+import static dev.windbend.daemon.FaultInjection.repeat;
+import static dev.windbend.daemon.FaultInjection.stateServiceOutage;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -22,294 +22,345 @@
 
 /** Whole days in virtual time under each kind of trouble: no rule breaks, and all work ends. */
 class InvariantsTest {
-  private static final long DAY_MS = 600_000;
+  private static final long SCENARIO_MS = 600_000;
 
-  private static Arguments day(String name, int seedBase, Consumer<SimulatedCluster> troubles) {
-    return Arguments.of(name, seedBase, troubles);
+  private static Arguments scenario(String name, int seedBase, Consumer<SimulatedCluster> faults) {
+    return Arguments.of(name, seedBase, faults);
   }
 
-  static Stream<Arguments> days() {
+  static Stream<Arguments> scenarios() {
     return Stream.of(
-        day("quiet", 107_947_572, w -> {}),
-        day("one node crashes", 1_507_492_337, w -> w.time.at(20_000, () -> crash(w, 4_000, 1))),
-        day(
+        scenario("quiet", 107_947_572, cluster -> {}),
+        scenario(
+            "one node crashes",
+            1_507_492_337,
+            cluster -> cluster.time.schedule(20_000, () -> crashControllers(cluster, 4_000, 1))),
+        scenario(
             "all crash at once",
             -1_162_489_194,
-            w -> w.time.at(30_000, () -> crash(w, 3_000, 0, 1, 2))),
-        day(
+            cluster ->
+                cluster.time.schedule(30_000, () -> crashControllers(cluster, 3_000, 0, 1, 2))),
+        scenario(
             "all are restarted in turn",
             -1_011_891_365,
-            w -> {
+            cluster -> {
               for (int i = 0; i < 3; i++) {
-                int n = i;
-                w.time.at(20_000 + 15_000 * i, () -> crash(w, 2_500, n));
+                int controller = i;
+                cluster.time.schedule(
+                    20_000 + 15_000 * i, () -> crashControllers(cluster, 2_500, controller));
               }
             }),
-        day(
+        scenario(
             "a node comes back within a fraction of a second, again and again",
             -1_277_928_646,
-            w -> each(w, 15_000, 9_000, 8, () -> crash(w, 300, w.random.nextInt(3)))),
-        day(
+            cluster ->
+                repeat(
+                    cluster,
+                    15_000,
+                    9_000,
+                    8,
+                    () -> crashControllers(cluster, 300, cluster.random.nextInt(3)))),
+        scenario(
             "a node is away for longer than its hold",
             -748_645_775,
-            w -> each(w, 15_000, 30_000, 3, () -> crash(w, 20_000, w.random.nextInt(3)))),
-        day(
+            cluster ->
+                repeat(
+                    cluster,
+                    15_000,
+                    30_000,
+                    3,
+                    () -> crashControllers(cluster, 20_000, cluster.random.nextInt(3)))),
+        scenario(
             "the state service is down",
             -1_173_977_233,
-            w -> w.time.at(25_000, () -> outage(w, 25_000))),
-        day(
+            cluster -> cluster.time.schedule(25_000, () -> stateServiceOutage(cluster, 25_000))),
+        scenario(
             "a takeover in the middle of an outage",
             1_890_661_602,
-            w -> {
-              w.time.at(25_000, () -> outage(w, 20_000));
-              w.time.at(30_000, () -> crash(w, 3_000, 0, 1));
+            cluster -> {
+              cluster.time.schedule(25_000, () -> stateServiceOutage(cluster, 20_000));
+              cluster.time.schedule(30_000, () -> crashControllers(cluster, 3_000, 0, 1));
             }),
-        day(
+        scenario(
             "one node alone is not served",
             1_227_051_567,
-            w -> {
-              w.time.at(20_000, () -> w.store.deaf.add("n1"));
-              w.time.at(60_000, () -> w.store.deaf.clear());
+            cluster -> {
+              cluster.time.schedule(
+                  20_000, () -> cluster.stateService.refusedControllers.add("n1"));
+              cluster.time.schedule(60_000, () -> cluster.stateService.refusedControllers.clear());
             }),
-        day(
+        scenario(
             "machines hang up to their lease and beyond",
             1_538_199_774,
-            w -> {
-              each(w, 15_000, 11_000, 8, () -> hang(w, 13_500));
-              each(w, 19_000, 13_000, 6, () -> hang(w, 40_000));
+            cluster -> {
+              repeat(cluster, 15_000, 11_000, 8, () -> hangRandomMachine(cluster, 13_500));
+              repeat(cluster, 19_000, 13_000, 6, () -> hangRandomMachine(cluster, 40_000));
             }),
-        day(
+        scenario(
             "machines are taken without notice",
             222_921_865,
-            w ->
-                each(
-                    w,
+            cluster ->
+                repeat(
+                    cluster,
                     15_000,
                     4_000,
                     20,
                     () -> {
-                      FakeWorker m = any(w);
-                      if (m != null) {
-                        w.take(m);
+                      FakeWorker worker = randomMachine(cluster);
+                      if (worker != null) {
+                        cluster.reclaimMachine(worker);
                       }
                     })),
-        day(
+        scenario(
             "machines are taken with notice",
             1_782_215_353,
-            w ->
-                each(
-                    w,
+            cluster ->
+                repeat(
+                    cluster,
                     15_000,
                     6_000,
                     12,
                     () -> {
-                      FakeWorker m = any(w);
-                      if (m != null) {
-                        m.recallS = 10.0;
-                        w.time.at(10_000, () -> w.take(m));
+                      FakeWorker worker = randomMachine(cluster);
+                      if (worker != null) {
+                        worker.reclaimInSeconds = 10.0;
+                        cluster.time.schedule(10_000, () -> cluster.reclaimMachine(worker));
                       }
                     })),
-        day(
+        scenario(
             "machines fail every task",
             252_728_984,
-            w ->
-                each(
-                    w,
+            cluster ->
+                repeat(
+                    cluster,
                     15_000,
                     20_000,
                     3,
                     () -> {
-                      FakeWorker m = any(w);
-                      if (m != null) {
-                        m.sick = true;
+                      FakeWorker worker = randomMachine(cluster);
+                      if (worker != null) {
+                        worker.failsAllTasks = true;
                       }
                     })),
-        day(
+        scenario(
             "machines come up that nobody asked for",
             -1_299_966_048,
-            w -> {
-              w.boot("a", false);
-              each(w, 20_000, 20_000, 3, () -> w.boot("b", true));
+            cluster -> {
+              cluster.bootMachine("a", false);
+              repeat(cluster, 20_000, 20_000, 3, () -> cluster.bootMachine("b", true));
             }),
-        day(
+        scenario(
             "two nodes can't talk, and machines can't reach one",
             305_137_649,
-            w -> {
-              w.time.at(
+            cluster -> {
+              cluster.time.schedule(
                   20_000,
                   () -> {
-                    w.cut.addAll(List.of("n0>n1", "n1>n0"));
-                    w.machines.keySet().forEach(m -> w.cut.add(m + ">n1"));
+                    cluster.blockedLinks.addAll(List.of("n0>n1", "n1>n0"));
+                    cluster
+                        .machines
+                        .keySet()
+                        .forEach(worker -> cluster.blockedLinks.add(worker + ">n1"));
                   });
-              w.time.at(50_000, w.cut::clear);
+              cluster.time.schedule(50_000, cluster.blockedLinks::clear);
             }),
-        day(
+        scenario(
             "messages are lost and come late",
             -773_913_123,
-            w -> {
-              w.loss = 0.03;
-              w.late = 0.03;
+            cluster -> {
+              cluster.lossProbability = 0.03;
+              cluster.delayProbability = 0.03;
             }),
-        day(
+        scenario(
             "messages are lost and late while nodes crash and machines hang",
             -1_713_428_559,
-            w -> {
-              w.loss = 0.02;
-              w.late = 0.02;
-              each(w, 15_000, 14_000, 6, () -> crash(w, 3_000, w.random.nextInt(3)));
-              each(w, 17_000, 11_000, 6, () -> hang(w, 20_000));
-              w.time.at(40_000, () -> outage(w, 15_000));
+            cluster -> {
+              cluster.lossProbability = 0.02;
+              cluster.delayProbability = 0.02;
+              repeat(
+                  cluster,
+                  15_000,
+                  14_000,
+                  6,
+                  () -> crashControllers(cluster, 3_000, cluster.random.nextInt(3)));
+              repeat(cluster, 17_000, 11_000, 6, () -> hangRandomMachine(cluster, 20_000));
+              cluster.time.schedule(40_000, () -> stateServiceOutage(cluster, 15_000));
             }),
-        day(
+        scenario(
             "machines report but no answer reaches them",
             -911_363_435,
-            w -> each(w, 20_000, 9_000, 6, () -> deafen(w, any(w)))),
-        day("copies of reports come late", 1_089_740_357, w -> w.copies = 0.3),
-        day(
+            cluster ->
+                repeat(
+                    cluster,
+                    20_000,
+                    9_000,
+                    6,
+                    () -> blockResponsesTo(cluster, randomMachine(cluster)))),
+        scenario(
+            "copies of reports come late",
+            1_089_740_357,
+            cluster -> cluster.duplicateHeartbeatProbability = 0.3),
+        scenario(
             "late copies while nodes crash, machines go and come back to other shards",
             871_582_134,
-            w -> {
-              w.copies = 0.3;
-              each(w, 15_000, 17_000, 5, () -> crash(w, 3_000, w.random.nextInt(3)));
-              each(w, 18_000, 8_000, 10, () -> w.take(any(w)));
-              each(w, 21_000, 15_000, 5, () -> hang(w, 20_000));
+            cluster -> {
+              cluster.duplicateHeartbeatProbability = 0.3;
+              repeat(
+                  cluster,
+                  15_000,
+                  17_000,
+                  5,
+                  () -> crashControllers(cluster, 3_000, cluster.random.nextInt(3)));
+              repeat(
+                  cluster, 18_000, 8_000, 10, () -> cluster.reclaimMachine(randomMachine(cluster)));
+              repeat(cluster, 21_000, 15_000, 5, () -> hangRandomMachine(cluster, 20_000));
             }),
-        day(
+        scenario(
             "a node has its workers but neither the state service nor the other nodes",
             -768_445_434,
-            w -> {
-              w.time.at(
+            cluster -> {
+              cluster.time.schedule(
                   25_000,
                   () -> {
-                    w.store.deaf.add("n1");
-                    cutOff(w, "n1", List.of("n0", "n2"));
+                    cluster.stateService.refusedControllers.add("n1");
+                    blockLinks(cluster, "n1", List.of("n0", "n2"));
                   });
-              w.time.at(
+              cluster.time.schedule(
                   85_000,
                   () -> {
-                    w.store.deaf.clear();
-                    w.cut.clear();
+                    cluster.stateService.refusedControllers.clear();
+                    cluster.blockedLinks.clear();
                   });
             }),
-        day(
+        scenario(
             "a node has lost its workers",
             1_684_369_254,
-            w -> {
-              w.time.at(25_000, () -> cutOff(w, "n1", w.machines.keySet()));
-              w.time.at(70_000, w.cut::clear);
+            cluster -> {
+              cluster.time.schedule(
+                  25_000, () -> blockLinks(cluster, "n1", cluster.machines.keySet()));
+              cluster.time.schedule(70_000, cluster.blockedLinks::clear);
             }),
-        day(
+        scenario(
             "a node has lost all but its users",
             955_864_283,
-            w -> {
-              w.time.at(
+            cluster -> {
+              cluster.time.schedule(
                   25_000,
                   () -> {
-                    w.store.deaf.add("n2");
-                    cutOff(w, "n2", List.of("n0", "n1", "cloud"));
-                    cutOff(w, "n2", w.machines.keySet());
+                    cluster.stateService.refusedControllers.add("n2");
+                    blockLinks(cluster, "n2", List.of("n0", "n1", "cloud"));
+                    blockLinks(cluster, "n2", cluster.machines.keySet());
                   });
-              w.time.at(
+              cluster.time.schedule(
                   70_000,
                   () -> {
-                    w.store.deaf.clear();
-                    w.cut.clear();
+                    cluster.stateService.refusedControllers.clear();
+                    cluster.blockedLinks.clear();
                   });
             }),
-        day(
+        scenario(
             "nodes refuse each other's connections, also in an outage",
             -1_558_155_905,
-            w -> {
-              w.time.at(
+            cluster -> {
+              cluster.time.schedule(
                   20_000,
                   () -> {
-                    for (int a = 0; a < 3; a++) {
-                      for (int b = 0; b < 3; b++) {
-                        w.refused.add("n" + a + ">n" + b);
+                    for (int from = 0; from < 3; from++) {
+                      for (int to = 0; to < 3; to++) {
+                        cluster.refusedLinks.add("n" + from + ">n" + to);
                       }
                     }
                   });
-              w.time.at(30_000, () -> outage(w, 12_000));
-              w.time.at(70_000, w.refused::clear);
+              cluster.time.schedule(30_000, () -> stateServiceOutage(cluster, 12_000));
+              cluster.time.schedule(70_000, cluster.refusedLinks::clear);
             }),
-        day(
+        scenario(
             "a node is slow",
             -1_553_804_168,
-            w -> {
-              w.time.at(20_000, () -> w.slowMs[0] = 250);
-              w.time.at(60_000, () -> w.slowMs[0] = 0);
+            cluster -> {
+              cluster.time.schedule(20_000, () -> cluster.eventDelayMs[0] = 250);
+              cluster.time.schedule(60_000, () -> cluster.eventDelayMs[0] = 0);
             }),
-        day(
+        scenario(
             "all nodes are slow",
             -27_709_125,
-            w -> {
-              w.time.at(20_000, () -> Arrays.fill(w.slowMs, 250));
-              w.time.at(80_000, () -> Arrays.fill(w.slowMs, 0));
+            cluster -> {
+              cluster.time.schedule(20_000, () -> Arrays.fill(cluster.eventDelayMs, 250));
+              cluster.time.schedule(80_000, () -> Arrays.fill(cluster.eventDelayMs, 0));
             }),
-        day(
+        scenario(
             "the nodes that take over are slow",
             -931_046_021,
-            w ->
-                each(
-                    w,
+            cluster ->
+                repeat(
+                    cluster,
                     20_000,
                     30_000,
                     3,
                     () -> {
-                      Arrays.fill(w.slowMs, 500);
-                      crash(w, 9_000, w.random.nextInt(3));
-                      w.time.at(20_000, () -> Arrays.fill(w.slowMs, 0));
+                      Arrays.fill(cluster.eventDelayMs, 500);
+                      crashControllers(cluster, 9_000, cluster.random.nextInt(3));
+                      cluster.time.schedule(20_000, () -> Arrays.fill(cluster.eventDelayMs, 0));
                     })),
-        day(
+        scenario(
             "nodes stand still for longer than a lease while their clocks run on",
             -994_921_915,
-            w -> {
-              each(w, 20_000, 25_000, 4, () -> w.standStill(w.random.nextInt(3), 36_000));
-              each(w, 18_000, 9_000, 10, () -> w.take(any(w)));
+            cluster -> {
+              repeat(
+                  cluster,
+                  20_000,
+                  25_000,
+                  4,
+                  () -> cluster.pauseController(cluster.random.nextInt(3), 36_000));
+              repeat(
+                  cluster, 18_000, 9_000, 10, () -> cluster.reclaimMachine(randomMachine(cluster)));
             }),
-        day(
+        scenario(
             "nodes are back at once, in the middle of an election",
             -606_780_024,
-            w ->
-                each(
-                    w,
+            cluster ->
+                repeat(
+                    cluster,
                     15_000,
                     11_000,
                     6,
                     () -> {
-                      crash(w, 20_000, 0);
+                      crashControllers(cluster, 20_000, 0);
                       for (int i = 0; i < 8; i++) {
-                        w.time.at(3_500 + 400 * i, () -> crash(w, 150, 1 + w.random.nextInt(2)));
+                        cluster.time.schedule(
+                            3_500 + 400 * i,
+                            () -> crashControllers(cluster, 150, 1 + cluster.random.nextInt(2)));
                       }
                     })),
-        day(
+        scenario(
             "a copy of each report comes late, and capacity is short all day",
             -1_603_199_573,
-            w -> {
-              w.copies = 0.2;
-              w.capacity = 4;
+            cluster -> {
+              cluster.duplicateHeartbeatProbability = 0.2;
+              cluster.cloudCapacity = 4;
             }),
-        day(
+        scenario(
             "old changes are forgotten by the state service",
             1_617_094_870,
-            w -> each(w, 10_000, 10_000, 10, w.store::forgetChanges)));
+            cluster -> repeat(cluster, 10_000, 10_000, 10, cluster.stateService::compactChanges)));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("days")
-  void keepsTheRulesAndEndsAllWork(String name, int seedBase, Consumer<SimulatedCluster> troubles) {
+  @MethodSource("scenarios")
+  void preservesInvariantsAndCompletesAllJobs(
+      String name, int seedBase, Consumer<SimulatedCluster> faults) {
     for (long seed = 1; seed <= 3; seed++) {
-      SimulatedCluster w = new SimulatedCluster(seed * 7_919 + seedBase);
-      w.begin(30, 90_000);
-      w.judge.calmFromMs = 130_000;
-      troubles.accept(w);
-      w.time.runUntil(DAY_MS);
-      assertThat(w.judge.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(w.unfinished()).as("unfinished, seed %d", seed).isEmpty();
-      assertThat(w.store.largestValue).as("bytes of a value").isLessThan(4096);
+      SimulatedCluster cluster = new SimulatedCluster(seed * 7_919 + seedBase);
+      cluster.start(30, 90_000);
+      cluster.invariantChecker.faultsEndMs = 130_000;
+      faults.accept(cluster);
+      cluster.time.runUntil(SCENARIO_MS);
+      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+      assertThat(cluster.stateService.largestValueBytes).as("bytes of a value").isLessThan(4096);
       // Nothing is left behind: no live records of ended jobs, no machine nobody looks after.
-      assertThat(w.store.liveKeys("w/j/")).as("live jobs").isZero();
-      assertThat(w.machines).as("machines").isEmpty();
+      assertThat(cluster.stateService.countKeys("w/j/")).as("live jobs").isZero();
+      assertThat(cluster.machines).as("machines").isEmpty();
     }
   }
 
@@ -319,156 +370,168 @@
    */
   @ParameterizedTest(name = "{0} of 5 nodes cut off for {1} ms")
   @CsvSource({"1,10000", "1,100000", "2,10000", "2,100000", "4,100000", "5,25000", "5,60000"})
-  void boundsWhatNodesCutOffTogetherKeep(int cutOff, long forMs) {
+  void stopsCancelledTasksInPartitionButKeepsTasksInGeneralOutage(
+      int isolatedControllers, long durationMs) {
     for (long seed = 1; seed <= 3; seed++) {
-      SimulatedCluster w = new SimulatedCluster(seed, 5);
-      w.leastRunMs = 150_000;
-      w.cancelsFromMs = 25_000;
+      SimulatedCluster cluster = new SimulatedCluster(seed, 5);
+      cluster.additionalRunMs = 150_000;
+      cluster.earliestCancellationMs = 25_000;
       // Enough for all teams at their limits: what is judged here is not shortage.
-      w.capacity = 60;
-      w.loss = 0;
-      w.late = 0;
-      w.begin(30, 15_000);
-      int[] lapsed = new int[1];
-      w.time.at(
+      cluster.cloudCapacity = 60;
+      cluster.lossProbability = 0;
+      cluster.delayProbability = 0;
+      cluster.start(30, 15_000);
+      int[] expiredLeases = new int[1];
+      cluster.time.schedule(
           24_000,
           () -> {
-            lapsed[0] = w.lapsed;
-            List<String> here = new ArrayList<>();
-            List<String> there = new ArrayList<>(List.of("users"));
-            w.machines.values().forEach(m -> (m.zone.equals("b") ? here : there).add(m.name));
-            for (int n = 0; n < 5; n++) {
-              (n < cutOff ? here : there).add("n" + n);
+            expiredLeases[0] = cluster.expiredLeasesWithTasks;
+            List<String> isolated = new ArrayList<>();
+            List<String> others = new ArrayList<>(List.of("users"));
+            cluster
+                .machines
+                .values()
+                .forEach(worker -> (worker.zone.equals("b") ? isolated : others).add(worker.name));
+            for (int controller = 0; controller < 5; controller++) {
+              (controller < isolatedControllers ? isolated : others).add("n" + controller);
             }
-            if (cutOff < 5) {
-              there.addAll(List.of("cloud", "state"));
-              here.forEach(h -> cutOff(w, h, there));
+            if (isolatedControllers < 5) {
+              others.addAll(List.of("cloud", "state"));
+              isolated.forEach(name -> blockLinks(cluster, name, others));
               // Else the others would give the machines back, and their tasks would end with them.
-              cutOff(w, "cloud", there);
+              blockLinks(cluster, "cloud", others);
             } else {
-              w.store.outage = true;
+              cluster.stateService.outage = true;
             }
           });
-      w.time.at(
-          24_000 + forMs,
+      cluster.time.schedule(
+          24_000 + durationMs,
           () -> {
-            assertThat(cutOff == 5 ? w.lapsed : 0)
+            assertThat(isolatedControllers == 5 ? cluster.expiredLeasesWithTasks : 0)
                 .as("leases")
-                .isEqualTo(cutOff == 5 ? lapsed[0] : 0);
-            w.store.recover();
-            w.cut.clear();
+                .isEqualTo(isolatedControllers == 5 ? expiredLeases[0] : 0);
+            cluster.stateService.endOutage();
+            cluster.blockedLinks.clear();
           });
-      w.judge.calmFromMs = 24_000 + forMs;
-      w.time.runUntil(2 * DAY_MS);
-      assertThat(w.judge.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(w.unfinished()).as("unfinished, seed %d", seed).isEmpty();
+      cluster.invariantChecker.faultsEndMs = 24_000 + durationMs;
+      cluster.time.runUntil(2 * SCENARIO_MS);
+      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
     }
   }
 
   /** A node that its workers can't reach leaves its shard to one they can, before leases end. */
   @Test
-  void leavesItsPartToANodeThatTheWorkersReach() {
+  void transfersShardToControllerThatWorkersReach() {
     for (long seed = 1; seed <= 3; seed++) {
-      SimulatedCluster w = new SimulatedCluster(seed, 5);
-      w.loss = 0;
-      w.late = 0;
-      w.leastRunMs = 60_000;
-      w.begin(30, 15_000);
-      w.time.runUntil(30_000);
-      int lapsed = w.lapsed;
-      for (int n = 0; n < 300; n++) {
-        w.cut.add("host-%06d>n1".formatted(n));
-        w.cut.add("n1>host-%06d".formatted(n));
+      SimulatedCluster cluster = new SimulatedCluster(seed, 5);
+      cluster.lossProbability = 0;
+      cluster.delayProbability = 0;
+      cluster.additionalRunMs = 60_000;
+      cluster.start(30, 15_000);
+      cluster.time.runUntil(30_000);
+      int expiredLeases = cluster.expiredLeasesWithTasks;
+      for (int machine = 0; machine < 300; machine++) {
+        cluster.blockedLinks.add("host-%06d>n1".formatted(machine));
+        cluster.blockedLinks.add("n1>host-%06d".formatted(machine));
       }
-      w.time.runUntil(75_000);
-      assertThat(w.lapsed).as("leases, seed %d", seed).isEqualTo(lapsed);
-      w.cut.clear();
-      w.time.runUntil(DAY_MS);
-      assertThat(w.judge.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(w.unfinished()).as("unfinished, seed %d", seed).isEmpty();
+      cluster.time.runUntil(75_000);
+      assertThat(cluster.expiredLeasesWithTasks)
+          .as("leases, seed %d", seed)
+          .isEqualTo(expiredLeases);
+      cluster.blockedLinks.clear();
+      cluster.time.runUntil(SCENARIO_MS);
+      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
     }
   }
 
   /** Jobs that fail everywhere until they are cancelled: no machine is blamed for them. */
   @Test
-  void mistakenJobsHaveNoMachineQuarantined() {
+  void quarantinesNoMachineForFailingJobs() {
     for (long seed = 1; seed <= 6; seed++) {
-      SimulatedCluster w = new SimulatedCluster(seed);
+      SimulatedCluster cluster = new SimulatedCluster(seed);
       // A machine two of whose answers in a row are lost is rightly given back as silent.
-      w.loss = 0;
-      w.late = 0;
-      w.capacity = 12;
-      w.runs = drop -> 200_000;
-      w.begin(0, 1);
-      for (int n = 0; n < 6; n++) {
-        SimulatedUser u = new SimulatedUser(w, n, 4, null, false, false);
-        w.time.at(3_000, u::submit);
+      cluster.lossProbability = 0;
+      cluster.delayProbability = 0;
+      cluster.cloudCapacity = 12;
+      cluster.taskRunTimeMs = task -> 200_000;
+      cluster.start(0, 1);
+      for (int job = 0; job < 6; job++) {
+        SimulatedUser user = new SimulatedUser(cluster, job, 4, null, false, false);
+        cluster.time.schedule(3_000, user::submit);
       }
-      List<SimulatedUser> mistaken = new ArrayList<>();
-      for (int n = 6; n < 18; n++) {
-        SimulatedUser u = new SimulatedUser(w, n, 5, null, false, false);
-        u.mistaken = true;
-        mistaken.add(u);
-        w.time.at(30_000 + 1_500 * n, u::submit);
+      List<SimulatedUser> usersOfFailingJobs = new ArrayList<>();
+      for (int job = 6; job < 18; job++) {
+        SimulatedUser user = new SimulatedUser(cluster, job, 5, null, false, false);
+        user.tasksAlwaysFail = true;
+        usersOfFailingJobs.add(user);
+        cluster.time.schedule(30_000 + 1_500 * job, user::submit);
       }
-      w.time.at(80_000, () -> crash(w, 8_000, 0, 1, 2));
-      w.time.runUntil(25_000);
-      int before = w.returned;
-      w.time.runUntil(150_000);
-      assertThat(w.returned).as("given back, seed %d", seed).isEqualTo(before);
-      mistaken.forEach(u -> u.cancels = true);
-      mistaken.forEach(SimulatedUser::cancel);
-      w.time.runUntil(DAY_MS);
-      assertThat(w.judge.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(w.unfinished()).as("unfinished, seed %d", seed).isEmpty();
+      cluster.time.schedule(80_000, () -> crashControllers(cluster, 8_000, 0, 1, 2));
+      cluster.time.runUntil(25_000);
+      int returnedBefore = cluster.scaledInMachines;
+      cluster.time.runUntil(150_000);
+      assertThat(cluster.scaledInMachines)
+          .as("given back, seed %d", seed)
+          .isEqualTo(returnedBefore);
+      usersOfFailingJobs.forEach(user -> user.cancelsJob = true);
+      usersOfFailingJobs.forEach(SimulatedUser::cancel);
+      cluster.time.runUntil(SCENARIO_MS);
+      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
     }
   }
 
   /** Guests have neither a guarantee nor a limit: they are served, and starve nobody. */
   @Test
-  void servesGuestsAndTheTeamsBesideThem() {
+  void completesGuestJobsWithoutStarvingTeams() {
     for (long seed = 1; seed <= 3; seed++) {
-      SimulatedCluster w = new SimulatedCluster(seed);
-      w.capacity = 12;
-      w.begin(0, 1);
-      SimulatedUser array = new SimulatedUser(w, 1_000, "guests", 300, null, true, false);
-      w.time.at(3_000, array::submit);
-      for (int n = 0; n < 60; n++) {
-        SimulatedUser guest = new SimulatedUser(w, 2_000 + n, "guests", 1, null, true, false);
-        w.time.at(5_000 + 200 * n, guest::submit);
+      SimulatedCluster cluster = new SimulatedCluster(seed);
+      cluster.cloudCapacity = 12;
+      cluster.start(0, 1);
+      SimulatedUser arrayUser = new SimulatedUser(cluster, 1_000, "guests", 300, null, true, false);
+      cluster.time.schedule(3_000, arrayUser::submit);
+      for (int job = 0; job < 60; job++) {
+        SimulatedUser guestUser =
+            new SimulatedUser(cluster, 2_000 + job, "guests", 1, null, true, false);
+        cluster.time.schedule(5_000 + 200 * job, guestUser::submit);
       }
-      List<SimulatedUser> others = new ArrayList<>();
-      for (int n = 0; n < 30; n++) {
-        SimulatedUser u = new SimulatedUser(w, n, 1 + n % 4, null, true, false);
-        others.add(u);
-        w.time.at(20_000 + 3_000 * n, u::submit);
+      List<SimulatedUser> teamUsers = new ArrayList<>();
+      for (int job = 0; job < 30; job++) {
+        SimulatedUser user = new SimulatedUser(cluster, job, 1 + job % 4, null, true, false);
+        teamUsers.add(user);
+        cluster.time.schedule(20_000 + 3_000 * job, user::submit);
       }
-      w.time.runUntil(1_200_000);
-      assertThat(w.judge.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(w.unfinished()).as("unfinished, seed %d", seed).isEmpty();
-      for (SimulatedUser u : others) {
-        assertThat(u.begunMs - u.firstSentMs).as("%s of %s", u.uid, u.team).isLessThan(60_000);
+      cluster.time.runUntil(1_200_000);
+      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+      for (SimulatedUser user : teamUsers) {
+        assertThat(user.firstTaskStartedMs - user.firstSubmittedMs)
+            .as("%s of %s", user.jobId, user.team)
+            .isLessThan(60_000);
       }
     }
   }
 
   /** Three times more work than machines for it, for minutes: no team, size or class starves. */
   @Test
-  void everyJobBeginsWithinFourMinutesWhileCapacityIsShort() {
+  void startsEveryJobWithinFourMinutesWhenCapacityIsShort() {
     for (long seed = 1; seed <= 3; seed++) {
-      SimulatedCluster w = new SimulatedCluster(seed);
-      w.capacity = 4;
-      w.begin(0, 1);
-      for (int n = 0; n < 60; n++) {
-        SimulatedUser u = new SimulatedUser(w, n, n % 10 == 0 ? 40 : 1 + n % 7, null, true, false);
-        w.time.at(3_000 + 2_500 * n, u::submit);
+      SimulatedCluster cluster = new SimulatedCluster(seed);
+      cluster.cloudCapacity = 4;
+      cluster.start(0, 1);
+      for (int job = 0; job < 60; job++) {
+        SimulatedUser user =
+            new SimulatedUser(cluster, job, job % 10 == 0 ? 40 : 1 + job % 7, null, true, false);
+        cluster.time.schedule(3_000 + 2_500 * job, user::submit);
       }
-      w.time.runUntil(1_200_000);
-      assertThat(w.judge.violations).isEmpty();
-      assertThat(w.unfinished()).isEmpty();
-      for (SimulatedUser u : w.users.values()) {
-        assertThat(u.begunMs - u.firstSentMs)
-            .as("%s of %s with %d tasks, seed %d", u.uid, u.team, u.tasks, seed)
+      cluster.time.runUntil(1_200_000);
+      assertThat(cluster.invariantChecker.violations).isEmpty();
+      assertThat(cluster.unfinishedJobs()).isEmpty();
+      for (SimulatedUser user : cluster.users.values()) {
+        assertThat(user.firstTaskStartedMs - user.firstSubmittedMs)
+            .as("%s of %s with %d tasks, seed %d", user.jobId, user.team, user.taskCount, seed)
             .isLessThan(240_000);
       }
     }
@@ -479,34 +542,36 @@
    * it, while a job of another shard, under its team's limit, waits.
    */
   @Test
-  void noJobWaitsWhileABusyMachineOfAnotherPartHasRoom() {
-    SimulatedCluster w = new SimulatedCluster(1);
-    w.capacity = 4;
-    w.loss = 0;
-    w.late = 0;
-    w.runs =
-        drop ->
-            drop.startsWith("wk-000000") && SimulatedCluster.task(drop) % 4 == 0 ? 300_000 : 5_000;
-    w.judge.calmFromMs = 0;
-    w.begin(0, 1);
-    SimulatedUser first = new SimulatedUser(w, 0, 16, null, true, false);
-    SimulatedUser second = new SimulatedUser(w, 1, 1, null, true, false);
-    w.time.at(5_000, first::submit);
-    w.time.at(60_000, second::submit);
-    w.time.runUntil(DAY_MS);
-    assertThat(w.unfinished()).isEmpty();
-    assertThat(w.judge.violations).isEmpty();
+  void placesWaitingJobOnFreeCapacityOfAnotherShard() {
+    SimulatedCluster cluster = new SimulatedCluster(1);
+    cluster.cloudCapacity = 4;
+    cluster.lossProbability = 0;
+    cluster.delayProbability = 0;
+    cluster.taskRunTimeMs =
+        task ->
+            task.startsWith("wk-000000") && SimulatedCluster.taskIndex(task) % 4 == 0
+                ? 300_000
+                : 5_000;
+    cluster.invariantChecker.faultsEndMs = 0;
+    cluster.start(0, 1);
+    SimulatedUser busyUser = new SimulatedUser(cluster, 0, 16, null, true, false);
+    SimulatedUser waitingUser = new SimulatedUser(cluster, 1, 1, null, true, false);
+    cluster.time.schedule(5_000, busyUser::submit);
+    cluster.time.schedule(60_000, waitingUser::submit);
+    cluster.time.runUntil(SCENARIO_MS);
+    assertThat(cluster.unfinishedJobs()).isEmpty();
+    assertThat(cluster.invariantChecker.violations).isEmpty();
   }
 
   @Test
-  void givesTheSameVerdictEveryTime() {
-    long[] ends = new long[2];
+  void repeatsResultForSameSeed() {
+    long[] results = new long[2];
     for (int i = 0; i < 2; i++) {
-      SimulatedCluster w = new SimulatedCluster(4);
-      w.begin(10, 20_000);
-      w.time.runUntil(60_000);
-      ends[i] = w.store.liveKeys("") * 1_000L + w.random.nextInt(1_000);
+      SimulatedCluster cluster = new SimulatedCluster(4);
+      cluster.start(10, 20_000);
+      cluster.time.runUntil(60_000);
+      results[i] = cluster.stateService.countKeys("") * 1_000L + cluster.random.nextInt(1_000);
     }
-    assertThat(ends[0]).isEqualTo(ends[1]);
+    assertThat(results[0]).isEqualTo(results[1]);
   }
 }
--- a/src/test/java/dev/windbend/daemon/LoopbackCluster.java
+++ b/src/test/java/dev/windbend/daemon/LoopbackCluster.java
@@ -30,28 +30,29 @@
  * alone are handed over without a socket.
  */
 final class LoopbackCluster implements AutoCloseable {
-  private static final long PUMP_MS = 5;
-  private static final int BUFFER = 8_192;
-  private static final String HOST = "127.0.0.1:";
+  private static final long TIME_STEP_MS = 5;
+  private static final int BUFFER_BYTES = 8_192;
+  private static final String LOOPBACK_HOST = "127.0.0.1:";
 
-  final SimulatedCluster stand;
+  final SimulatedCluster simulatedCluster;
   private final XnioWorker worker;
-  private final DefaultByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER, 10_000, 4);
-  private final XnioEventLoop loop;
-  private final UndertowHttpClient web;
-  private final Map<String, UndertowHttpClient> clients = new HashMap<>();
+  private final DefaultByteBufferPool buffers =
+      new DefaultByteBufferPool(true, BUFFER_BYTES, 10_000, 4);
+  private final XnioEventLoop eventLoop;
+  private final UndertowHttpClient controllerClient;
+  private final Map<String, UndertowHttpClient> workerClients = new HashMap<>();
   private final List<ControllerProcess> controllers = new ArrayList<>();
-  private final String state;
-  private final String cloud;
+  private final String stateServiceAddress;
+  private final String cloudAddress;
 
   private static final class ControllerProcess {
-    String userAddress;
+    String clientAddress;
     String peerAddress;
-    Controller node;
+    Controller controller;
   }
 
-  LoopbackCluster(SimulatedCluster stand) throws java.io.IOException {
-    this.stand = stand;
+  LoopbackCluster(SimulatedCluster simulatedCluster) throws java.io.IOException {
+    this.simulatedCluster = simulatedCluster;
     OptionMap options =
         OptionMap.builder()
             .set(Options.WORKER_IO_THREADS, 1)
@@ -59,38 +60,50 @@
             .set(Options.WORKER_TASK_MAX_THREADS, 1)
             .getMap();
     this.worker = Xnio.getInstance().createWorker(options);
-    this.loop = new XnioEventLoop(worker.getIoThread());
-    this.web = new UndertowHttpClient(loop, buffers);
-    this.state =
+    this.eventLoop = new XnioEventLoop(worker.getIoThread());
+    this.controllerClient = new UndertowHttpClient(eventLoop, buffers);
+    this.stateServiceAddress =
         listen(
-            (request, done) ->
-                stand.store.handle(
-                    "state", request.method(), path(request), request.body(), reply(done)));
-    this.cloud =
+            (request, onResponse) ->
+                simulatedCluster.stateService.handle(
+                    "state",
+                    request.method(),
+                    pathWithQuery(request),
+                    request.body(),
+                    asServerResponse(onResponse)));
+    this.cloudAddress =
         listen(
-            (request, done) ->
-                stand.deliver(
+            (request, onResponse) ->
+                simulatedCluster.deliver(
                     "node",
                     "cloud:1",
                     request.method(),
-                    path(request),
+                    pathWithQuery(request),
                     request.body(),
-                    reply(done)));
-    for (int i = 0; i < stand.size; i++) {
-      ControllerProcess c = new ControllerProcess();
-      c.userAddress = listen((request, done) -> c.node.clientEndpoints().handle(request, done));
-      c.peerAddress = listen((request, done) -> c.node.peerEndpoints().handle(request, done));
-      controllers.add(c);
+                    asServerResponse(onResponse)));
+    for (int controllerIndex = 0;
+        controllerIndex < simulatedCluster.controllerCount;
+        controllerIndex++) {
+      ControllerProcess controller = new ControllerProcess();
+      controller.clientAddress =
+          listen(
+              (request, onResponse) ->
+                  controller.controller.clientEndpoints().handle(request, onResponse));
+      controller.peerAddress =
+          listen(
+              (request, onResponse) ->
+                  controller.controller.peerEndpoints().handle(request, onResponse));
+      controllers.add(controller);
     }
-    stand.delivery = this::deliver;
+    simulatedCluster.delivery = this::deliver;
   }
 
-  private String listen(RequestHandler door) {
-    InetSocketAddress address = HttpServer.listen(worker, buffers, HOST + 0, door);
-    return HOST + address.getPort();
+  private String listen(RequestHandler handler) {
+    InetSocketAddress address = HttpServer.listen(worker, buffers, LOOPBACK_HOST + 0, handler);
+    return LOOPBACK_HOST + address.getPort();
   }
 
-  private static String path(ServerRequest request) {
+  private static String pathWithQuery(ServerRequest request) {
     String query =
         request.query().entrySet().stream()
             .map(e -> e.getKey() + "=" + e.getValue())
@@ -98,59 +111,66 @@
     return query.isEmpty() ? request.path() : request.path() + "?" + query;
   }
 
-  private static Consumer<ClientResponse> reply(Consumer<ServerResponse> done) {
-    return r -> done.accept(new ServerResponse(r.status(), r.body(), 0));
+  private static Consumer<ClientResponse> asServerResponse(Consumer<ServerResponse> onResponse) {
+    return response -> onResponse.accept(new ServerResponse(response.status(), response.body(), 0));
   }
 
   /** Starts the controllers and the stand-ins' clock. */
-  void start(int jobs, long spanMs) {
-    loop.after(
+  void start(int jobCount, long spanMs) {
+    eventLoop.after(
         0,
         () -> {
-          for (int i = 0; i < controllers.size(); i++) {
-            startController(i);
+          for (int controllerIndex = 0; controllerIndex < controllers.size(); controllerIndex++) {
+            startController(controllerIndex);
           }
-          stand.beginUsers(jobs, spanMs);
-          long startMs = loop.nowMs();
-          loop.every(PUMP_MS, () -> stand.time.runUntil(loop.nowMs() - startMs));
+          simulatedCluster.startUsers(jobCount, spanMs);
+          long startMs = eventLoop.nowMs();
+          eventLoop.every(
+              TIME_STEP_MS, () -> simulatedCluster.time.runUntil(eventLoop.nowMs() - startMs));
         });
   }
 
-  private void startController(int i) {
-    ControllerProcess c = controllers.get(i);
-    String name = "n" + i;
-    String settings = stand.settings(i).replace("state:1", state).replace("cloud:1", cloud);
-    for (int other = 0; other < controllers.size(); other++) {
-      settings = settings.replace("n" + other + ":81", controllers.get(other).peerAddress);
-      settings = settings.replace("n" + other + ":80", controllers.get(other).userAddress);
+  private void startController(int controllerIndex) {
+    ControllerProcess controller = controllers.get(controllerIndex);
+    String name = "n" + controllerIndex;
+    String settings =
+        simulatedCluster
+            .controllerSettings(controllerIndex)
+            .replace("state:1", stateServiceAddress)
+            .replace("cloud:1", cloudAddress);
+    for (int otherIndex = 0; otherIndex < controllers.size(); otherIndex++) {
+      settings =
+          settings.replace("n" + otherIndex + ":81", controllers.get(otherIndex).peerAddress);
+      settings =
+          settings.replace("n" + otherIndex + ":80", controllers.get(otherIndex).clientAddress);
     }
     try {
-      c.node =
+      controller.controller =
           new Controller(
               SettingsReader.parse(settings),
-              stand.policy,
-              loop,
-              (address, method, path, body, limitMs, done) ->
-                  call(name, address, method, path, body, limitMs, done));
+              simulatedCluster.policy,
+              eventLoop,
+              (address, method, path, body, timeoutMs, onResponse) ->
+                  sendRequest(name, address, method, path, body, timeoutMs, onResponse));
     } catch (InvalidSettingsException e) {
       throw new AssertionError(e);
     }
-    c.node.start();
+    controller.controller.start();
   }
 
   /** A call of a controller's. */
-  private void call(
+  private void sendRequest(
       String from,
       String address,
       String method,
       String path,
       byte[] body,
-      long limitMs,
-      Consumer<ClientResponse> done) {
+      long timeoutMs,
+      Consumer<ClientResponse> onResponse) {
     if (address.startsWith("host-")) {
-      stand.call(from, address, method, path, body, limitMs, done);
+      simulatedCluster.sendRequest(from, address, method, path, body, timeoutMs, onResponse);
     } else {
-      web.call(address, method, path, body, limitMs, done);
+      controllerClient.call(address, method, path, body, timeoutMs, onResponse);
     }
   }
 
@@ -161,23 +181,29 @@
       String method,
       String path,
       byte[] body,
-      Consumer<ClientResponse> done) {
-    String to = SimulatedCluster.to(address);
+      Consumer<ClientResponse> onResponse) {
+    String to = SimulatedCluster.hostOf(address);
     if (to.startsWith("n")) {
-      ControllerProcess c = controllers.get(to.charAt(1) - '0');
+      ControllerProcess controller = controllers.get(to.charAt(1) - '0');
       // Each worker has connections of its own.
-      clients
-          .computeIfAbsent(from, f -> new UndertowHttpClient(loop, buffers))
-          .call(c.userAddress, method, path, body, FakeWorker.ANSWER_MS, done);
+      workerClients
+          .computeIfAbsent(from, sender -> new UndertowHttpClient(eventLoop, buffers))
+          .call(
+              controller.clientAddress,
+              method,
+              path,
+              body,
+              FakeWorker.RESPONSE_TIMEOUT_MS,
+              onResponse);
     } else {
-      stand.deliver(from, address, method, path, body, done);
+      simulatedCluster.deliver(from, address, method, path, body, onResponse);
     }
   }
 
   /** Looks each second on the cluster's thread; false if it does not hold in this time. */
-  boolean await(long mostS, BooleanSupplier holds) throws Exception {
-    for (long s = 0; s < mostS; s++) {
-      if (on(holds::getAsBoolean)) {
+  boolean awaitCondition(long timeoutS, BooleanSupplier condition) throws Exception {
+    for (long elapsedS = 0; elapsedS < timeoutS; elapsedS++) {
+      if (callOnEventLoop(condition::getAsBoolean)) {
         return true;
       }
       TimeUnit.SECONDS.sleep(1);
@@ -186,19 +212,19 @@
   }
 
   /** Asks on the cluster's thread. */
-  <T> T on(java.util.concurrent.Callable<T> question) throws Exception {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    loop.after(
+  <T> T callOnEventLoop(java.util.concurrent.Callable<T> callable) throws Exception {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    eventLoop.after(
         0,
         () -> {
           try {
-            answer.complete(question.call());
+            result.complete(callable.call());
           } catch (Exception e) {
-            answer.completeExceptionally(e);
+            result.completeExceptionally(e);
           }
         });
     try {
-      return answer.get(30, TimeUnit.SECONDS);
+      return result.get(30, TimeUnit.SECONDS);
     } catch (TimeoutException e) {
       throw new AssertionError("the cluster's thread does not answer", e);
     }
--- a/src/test/java/dev/windbend/daemon/MessageRecorder.java
+++ b/src/test/java/dev/windbend/daemon/MessageRecorder.java
@@ -9,11 +9,11 @@
   MessageRecorder NONE =
       new MessageRecorder() {
         @Override
-        public void requested(
+        public void requestSent(
             String node, String address, String method, String path, byte[] body, long limitMs) {}
 
         @Override
-        public void answered(
+        public void responseSent(
             String node, String asker, ServerRequest request, ServerResponse answer) {}
       };
 
@@ -21,11 +21,12 @@
    * A controller sends a request, whether it arrives or not.
    *
    * @param body null: none
-   * @param limitMs how long the controller waits for the answer
+   * @param timeoutMs how long the controller waits for the answer
    */
-  void requested(
-      String node, String address, String method, String path, byte[] body, long limitMs);
+  void requestSent(
+      String controller, String address, String method, String path, byte[] body, long timeoutMs);
 
   /** A controller answers a request, whether the answer arrives or not. */
-  void answered(String node, String asker, ServerRequest request, ServerResponse answer);
+  void responseSent(
+      String controller, String requester, ServerRequest request, ServerResponse response);
 }
--- a/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
+++ b/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
@@ -55,8 +55,8 @@
 
   private SimulatedCluster cluster(String settings) throws InvalidSettingsException {
     SimulatedCluster w = new SimulatedCluster(5);
-    w.loss = 0;
-    w.late = 0;
+    w.lossProbability = 0;
+    w.delayProbability = 0;
     w.policy = OperatorSettings.parse(settings, ZONES);
     return w;
   }
@@ -65,7 +65,7 @@
       SimulatedCluster w, String address, String method, String path, String body) {
     ClientResponse[] got = {ClientResponse.NO_RESPONSE};
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-    w.call("users", address, method, path, bytes, 5_000, r -> got[0] = r);
+    w.sendRequest("users", address, method, path, bytes, 5_000, r -> got[0] = r);
     w.time.runUntil(w.time.nowMs() + 1_000);
     return got[0];
   }
@@ -91,10 +91,10 @@
       requests.add(receiver + " " + method + " " + path.replaceAll("(from=|/holds/)[0-9]+", "$10"));
     }
     if (path.equals("/hosts")) {
-      rentals.add(shape(w.json(body).path("hire").asText()));
+      rentals.add(shape(w.parseJson(body).path("hire").asText()));
     }
     if (path.equals("/txn")) {
-      for (JsonNode change : w.json(body).path("then")) {
+      for (JsonNode change : w.parseJson(body).path("then")) {
         String key = change.has("set") ? change.get("set").asText() : change.get("remove").asText();
         keys.add(shape(key));
         if (key.startsWith("w/p/")) {
@@ -112,12 +112,12 @@
           note(w, address, method, path, body);
           w.deliver(from, address, method, path, body, done);
         };
-    w.leastRunMs = 12_000;
-    w.begin(40, 60_000);
-    w.time.at(30_000, () -> w.cancelNow(5, ""));
-    ZoneLossTest.lose(w, 40_000, 60_000);
-    w.time.at(130_000, () -> w.store.outage = true);
-    w.time.at(140_000, w.store::recover);
+    w.additionalRunMs = 12_000;
+    w.start(40, 60_000);
+    w.time.schedule(30_000, () -> w.cancelRunningJobs(5, ""));
+    ZoneLossTest.loseZone(w, 40_000, 60_000);
+    w.time.schedule(130_000, () -> w.stateService.outage = true);
+    w.time.schedule(140_000, w.stateService::endOutage);
     w.time.runUntil(300_000);
   }
 
@@ -185,7 +185,7 @@
   void servesPaths(int port, String method, String path, String body, int status)
       throws InvalidSettingsException {
     SimulatedCluster w = cluster("");
-    w.begin(0, 1);
+    w.start(0, 1);
     w.time.runUntil(4_000);
     String text = body == null ? "" : body;
     assertThat(ask(w, "n0:" + port, method, path, text).status()).isEqualTo(status);
@@ -195,7 +195,7 @@
   @Test
   void answersWithoutAMessageWithAnEmptyObject() throws InvalidSettingsException {
     SimulatedCluster w = cluster("");
-    w.begin(0, 1);
+    w.start(0, 1);
     w.time.runUntil(4_000);
     assertThat(ask(w, "n0:80", "GET", "/nothing", "").body()).asString().isEqualTo("{}");
     assertThat(ask(w, "n0:80", "GET", "/up", "").body()).asString().isEqualTo("{}");
@@ -204,7 +204,7 @@
   @Test
   void showsTheseMetrics() throws InvalidSettingsException {
     SimulatedCluster w = cluster("");
-    w.begin(0, 1);
+    w.start(0, 1);
     w.time.runUntil(4_000);
     ask(w, "n0:80", "GET", "/up", "");
     ask(w, "n0:80", "GET", "/nothing", "");
@@ -222,7 +222,7 @@
   @Test
   void showsTheseMetricsWhereZonesAreLookedAfter() throws InvalidSettingsException {
     SimulatedCluster w = cluster(ZONES_LOOKED_AFTER);
-    w.begin(0, 1);
+    w.start(0, 1);
     w.time.runUntil(4_000);
     assertThat(metricNames(w))
         .containsExactly(
@@ -238,7 +238,7 @@
   }
 
   private static List<String> metricNames(SimulatedCluster w) {
-    JsonNode all = w.json(ask(w, "n0:81", "GET", "/metrics", "").body());
+    JsonNode all = w.parseJson(ask(w, "n0:81", "GET", "/metrics", "").body());
     TreeSet<String> names = new TreeSet<>();
     all.fieldNames().forEachRemaining(names::add);
     return List.copyOf(names);
@@ -267,7 +267,7 @@
   void answersSubmissions(String from, String to, int status, String answer)
       throws InvalidSettingsException {
     SimulatedCluster w = cluster("");
-    w.begin(0, 1);
+    w.start(0, 1);
     w.time.runUntil(4_000);
     assertThat(JOB).contains(from);
     ClientResponse reply =
@@ -288,11 +288,11 @@
     SimulatedCluster w = cluster("");
     Controller node =
         new Controller(
-            SettingsReader.parse(w.settings(0)),
+            SettingsReader.parse(w.controllerSettings(0)),
             w.policy,
             w.time.new ProcessLoop(0, 0, () -> 0L),
             (address, callMethod, callPath, body, limitMs, done) ->
-                w.time.at(limitMs, () -> done.accept(ClientResponse.NO_RESPONSE)));
+                w.time.schedule(limitMs, () -> done.accept(ClientResponse.NO_RESPONSE)));
     List<ServerResponse> answers = new ArrayList<>();
     byte[] body = JOB.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     node.clientEndpoints().handle(new ServerRequest(method, path, Map.of(), body), answers::add);
--- a/src/test/java/dev/windbend/daemon/SimulatedCluster.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedCluster.java
@@ -24,25 +24,25 @@
 /** Some nodes, stand-ins for all they talk to, users, and the rules, all in virtual time. */
 final class SimulatedCluster {
   static final long LEASE_MS = 14_000;
-  static final long REPORT_MS = 1_500;
-  static final long CANCEL_MS = 30_000;
+  static final long HEARTBEAT_INTERVAL_MS = 1_500;
+  static final long MAX_CANCELLATION_MS = 30_000;
 
-  static final double TEAM_CORES = 40;
+  static final double DEFAULT_TEAM_MAX_CORES = 40;
   static final double MACHINE_CORES = 4;
 
   final VirtualTime time = new VirtualTime();
   final Random random;
-  final FakeStateService store = new FakeStateService(time);
+  final FakeStateService stateService = new FakeStateService(time);
   final Map<String, FakeWorker> machines = new LinkedHashMap<>();
-  final InvariantChecker judge = new InvariantChecker(this);
+  final InvariantChecker invariantChecker = new InvariantChecker(this);
   final Map<String, SimulatedUser> users = new LinkedHashMap<>();
-  final int size;
-  private final Controller[] nodes;
-  private final VirtualTime.ProcessLoop[] loops;
-  private final Map<String, List<String>> hires = new HashMap<>();
-  private final Set<String> listed = new HashSet<>();
-  private int nextMachine;
-  int capacity = 30;
+  final int controllerCount;
+  private final Controller[] controllers;
+  private final VirtualTime.ProcessLoop[] eventLoops;
+  private final Map<String, List<String>> machinesByScaleOutRequest = new HashMap<>();
+  private final Set<String> listedMachines = new HashSet<>();
+  private int nextMachineNumber;
+  int cloudCapacity = 30;
 
   /** Takes a message that is not lost to its receiver. */
   interface Delivery {
@@ -52,7 +52,7 @@
         String method,
         String path,
         byte[] body,
-        Consumer<ClientResponse> done);
+        Consumer<ClientResponse> onResponse);
   }
 
   /** How messages of workers and users reach the nodes. */
@@ -62,167 +62,180 @@
   MessageRecorder recorder = MessageRecorder.NONE;
 
   /** What each team but the guests may use at most. */
-  double teamCores = TEAM_CORES;
+  double teamMaxCores = DEFAULT_TEAM_MAX_CORES;
 
   /** The operators' settings of all nodes. */
   Policy policy = OperatorSettings.defaults();
 
   /** Machines that nodes have given back. */
-  int returned;
+  int scaledInMachines;
 
   /** Chances that a message is lost, answered but unheard, or comes late. */
-  double loss = 0.002;
+  double lossProbability = 0.002;
 
-  double late = 0.002;
+  double delayProbability = 0.002;
 
   /**
    * Chance that a change of the state service gets no answer and is carried out 2 to 12 s later.
    */
-  double lateWrites;
+  double delayedWriteProbability;
 
   /** Chance that a change of the state service is carried out at once and its answer is lost. */
-  double lostWriteAnswers;
+  double lostWriteResponseProbability;
 
   /** Chance that a direct command is held up, unanswered, and carried out 2 to 16 s later. */
-  double lateCommands;
+  double delayedCommandProbability;
 
   /** Users look at all nodes within milliseconds after a job was accepted, ended or cancelled. */
-  boolean closeLooks;
+  boolean usersQueryAllControllers;
 
   /** A new machine is up after this time at least, and up to as much more. */
-  long bootMs = 3_000;
+  long minBootMs = 3_000;
 
-  long bootSpreadMs = 4_000;
+  long bootJitterMs = 4_000;
 
   /** The newest report of each machine; kept of those that are gone, too. */
-  private final Map<String, byte[]> newestReports = new LinkedHashMap<>();
+  private final Map<String, byte[]> latestHeartbeats = new LinkedHashMap<>();
 
   /** The state service takes up to so much longer for each request. */
-  long slowStoreMs;
+  long maxStateServiceDelayMs;
 
   /** A message between a worker and a node takes up to so much longer. */
-  long slowLinkMs;
+  long maxHeartbeatDelayMs;
 
   /** An end of a job's last task is met by its user's cancellation, question and repetition. */
-  boolean meetEnds;
+  boolean usersActAtJobEnd;
 
   /** Direct commands get lost. */
-  boolean loseCommands;
+  boolean dropCommands;
 
   /** Machines that can open no connection to any node. */
-  final Set<String> mute = new HashSet<>();
+  final Set<String> machinesWithBlockedRequests = new HashSet<>();
 
   /** Chance that a copy of a report comes once more to any node, up to so much later. */
-  double copies;
+  double duplicateHeartbeatProbability;
 
-  long copyMs = 45_000;
+  long maxDuplicateDelayMs = 45_000;
 
   /** Every task runs for so much longer than the least. */
-  long leastRunMs;
+  long additionalRunMs;
 
   /** Each task of a job runs for so much longer than the one before. */
-  long farApartMs;
+  long runTimeStepMs;
 
   /** How long a task runs. */
-  ToLongFunction<String> runs = this::usualRunMs;
+  ToLongFunction<String> taskRunTimeMs = this::defaultTaskRunMs;
 
   /** Jobs have so many tasks at most. */
-  int tasksMost = 12;
+  int maxTasksPerJob = 12;
 
   /** Nobody cancels a job before this time. */
-  long cancelsFromMs;
+  long earliestCancellationMs;
 
   /** Machines whose lease ended with tasks on them. */
-  int lapsed;
+  int expiredLeasesWithTasks;
 
   /** Pairs "a>b" that can't talk: sends hang. */
-  final Set<String> cut = new HashSet<>();
+  final Set<String> blockedLinks = new HashSet<>();
 
   /** Whether messages from one to another are lost, beside the pairs that can't talk. */
-  BiPredicate<String, String> linkCut = (from, to) -> false;
+  BiPredicate<String, String> linkBlocked = (from, to) -> false;
 
   /** Pairs "a>b" where connections are refused at once. */
-  final Set<String> refused = new HashSet<>();
+  final Set<String> refusedLinks = new HashSet<>();
 
   /** How much later each of a node's events happens. */
-  final long[] slowMs;
+  final long[] eventDelayMs;
 
   SimulatedCluster(long seed) {
     this(seed, 3);
   }
 
-  SimulatedCluster(long seed, int size) {
+  SimulatedCluster(long seed, int controllerCount) {
     this.random = new Random(seed);
-    this.size = size;
-    this.nodes = new Controller[size];
-    this.loops = new VirtualTime.ProcessLoop[size];
-    this.slowMs = new long[size];
+    this.controllerCount = controllerCount;
+    this.controllers = new Controller[controllerCount];
+    this.eventLoops = new VirtualTime.ProcessLoop[controllerCount];
+    this.eventDelayMs = new long[controllerCount];
   }
 
   // ---- nodes
 
-  void startNode(int i) {
-    VirtualTime.ProcessLoop loop =
-        time.new ProcessLoop(random.nextInt(1_000_000), random.nextInt(200) - 100, () -> slowMs[i]);
-    loops[i] = loop;
+  void startController(int controllerIndex) {
+    VirtualTime.ProcessLoop eventLoop =
+        time
+        .new ProcessLoop(
+            random.nextInt(1_000_000),
+            random.nextInt(200) - 100,
+            () -> eventDelayMs[controllerIndex]);
+    eventLoops[controllerIndex] = eventLoop;
     try {
-      nodes[i] =
+      controllers[controllerIndex] =
           new Controller(
-              SettingsReader.parse(settings(i)),
+              SettingsReader.parse(controllerSettings(controllerIndex)),
               policy,
-              loop,
-              (address, method, path, body, limit, done) -> {
-                recorder.requested("n" + i, address, method, path, body, limit);
-                callFrom(loop, "n" + i, address, method, path, body, limit, done);
+              eventLoop,
+              (address, method, path, body, timeoutMs, onResponse) -> {
+                recorder.requestSent("n" + controllerIndex, address, method, path, body, timeoutMs);
+                sendRequestFrom(
+                    eventLoop,
+                    "n" + controllerIndex,
+                    address,
+                    method,
+                    path,
+                    body,
+                    timeoutMs,
+                    onResponse);
               });
     } catch (InvalidSettingsException e) {
       throw new AssertionError(e);
     }
-    loop.after(1_000, nodes[i]::start);
+    eventLoop.after(1_000, controllers[controllerIndex]::start);
   }
 
-  void kill(int i, long backMs) {
-    if (nodes[i] == null) {
+  void killController(int controllerIndex, long restartDelayMs) {
+    if (controllers[controllerIndex] == null) {
       return;
     }
-    loops[i].kill();
-    nodes[i] = null;
-    time.at(backMs, () -> startNode(i));
+    eventLoops[controllerIndex].kill();
+    controllers[controllerIndex] = null;
+    time.schedule(restartDelayMs, () -> startController(controllerIndex));
   }
 
-  void standStill(int i, long forMs) {
-    if (loops[i] != null) {
-      loops[i].standStill(forMs);
+  void pauseController(int controllerIndex, long durationMs) {
+    if (eventLoops[controllerIndex] != null) {
+      eventLoops[controllerIndex].pause(durationMs);
     }
   }
 
-  String settings(int i) {
-    StringBuilder s = new StringBuilder();
-    s.append("host_name = \"n%d\"\ndomain = \"a\"\n".formatted(i));
-    s.append("client_listen = \"n%1$d:80\"\npeer_bind = \"n%1$d:81\"\n".formatted(i));
-    for (int p = 0; p < size; p++) {
-      if (p != i) {
-        s.append("[[seeds]]\nhost_name = \"n%1$d\"\naddr = \"n%1$d:81\"\n".formatted(p));
+  String controllerSettings(int controllerIndex) {
+    StringBuilder toml = new StringBuilder();
+    toml.append("host_name = \"n%d\"\ndomain = \"a\"\n".formatted(controllerIndex));
+    toml.append(
+        "client_listen = \"n%1$d:80\"\npeer_bind = \"n%1$d:81\"\n".formatted(controllerIndex));
+    for (int peerIndex = 0; peerIndex < controllerCount; peerIndex++) {
+      if (peerIndex != controllerIndex) {
+        toml.append("[[seeds]]\nhost_name = \"n%1$d\"\naddr = \"n%1$d:81\"\n".formatted(peerIndex));
       }
     }
-    s.append("[services]\ncloud = \"cloud:1\"\nstate = \"state:1\"\n[facts]\n");
-    s.append("size = %d\n".formatted(size));
-    s.append("zones = [\"a\", \"b\"]\n");
+    toml.append("[services]\ncloud = \"cloud:1\"\nstate = \"state:1\"\n[facts]\n");
+    toml.append("size = %d\n".formatted(controllerCount));
+    toml.append("zones = [\"a\", \"b\"]\n");
     for (String team : List.of("red", "blue", "green")) {
-      s.append(
+      toml.append(
           "[[facts.teams]]\nname = \"%s\"\ncpus = 16.0\ncpus_max = %s\ngpus = 0.0\ngpus_max = 0.0\n"
-              .formatted(team, teamCores));
+              .formatted(team, teamMaxCores));
     }
-    s.append("[[facts.teams]]\nname = \"guests\"\ncpus = 0.0\ncpus_max = 0.0\n");
-    s.append("[facts.workers]\nreport_s = 1.5\nlease_s = 14.0\ncancel_s = 30.0\n");
-    s.append("[facts.state]\nrps = 150.0\nwrite_rps = 40.0\nvalue_kb = 4.0\ntxn_ops = 8\n");
-    s.append("[facts.cloud]\nrps = 6.0\nlist_lag_s = 4.0\n");
-    return s.toString();
+    toml.append("[[facts.teams]]\nname = \"guests\"\ncpus = 0.0\ncpus_max = 0.0\n");
+    toml.append("[facts.workers]\nreport_s = 1.5\nlease_s = 14.0\ncancel_s = 30.0\n");
+    toml.append("[facts.state]\nrps = 150.0\nwrite_rps = 40.0\nvalue_kb = 4.0\ntxn_ops = 8\n");
+    toml.append("[facts.cloud]\nrps = 6.0\nlist_lag_s = 4.0\n");
+    return toml.toString();
   }
 
   // ---- network
 
-  JsonNode json(byte[] body) {
+  JsonNode parseJson(byte[] body) {
     try {
       return FakeStateService.JSON.readTree(body);
     } catch (java.io.IOException e) {
@@ -230,90 +243,98 @@
     }
   }
 
-  void call(
+  void sendRequest(
       String from,
       String address,
       String method,
       String path,
       byte[] body,
-      long limitMs,
-      Consumer<ClientResponse> done) {
-    callFrom(null, from, address, method, path, body, limitMs, done);
+      long timeoutMs,
+      Consumer<ClientResponse> onResponse) {
+    sendRequestFrom(null, from, address, method, path, body, timeoutMs, onResponse);
   }
 
-  private void callFrom(
-      VirtualTime.ProcessLoop caller,
+  private void sendRequestFrom(
+      VirtualTime.ProcessLoop senderLoop,
       String from,
       String address,
       String method,
       String path,
       byte[] body,
-      long limitMs,
-      Consumer<ClientResponse> done) {
-    boolean[] over = {false};
-    Consumer<ClientResponse> once =
-        r -> {
-          if (over[0]) {
+      long timeoutMs,
+      Consumer<ClientResponse> onResponse) {
+    boolean[] completed = {false};
+    Consumer<ClientResponse> completeOnce =
+        response -> {
+          if (completed[0]) {
             return;
           }
-          over[0] = true;
-          if (caller == null) {
-            done.accept(r);
+          completed[0] = true;
+          if (senderLoop == null) {
+            onResponse.accept(response);
           } else {
-            caller.run(() -> done.accept(r));
+            senderLoop.run(() -> onResponse.accept(response));
           }
         };
-    time.at(limitMs, () -> once.accept(ClientResponse.NO_RESPONSE));
-    String to = to(address);
-    if (refused.contains(from + ">" + to)) {
-      time.at(1, () -> once.accept(ClientResponse.NO_RESPONSE));
+    time.schedule(timeoutMs, () -> completeOnce.accept(ClientResponse.NO_RESPONSE));
+    String receiver = hostOf(address);
+    if (refusedLinks.contains(from + ">" + receiver)) {
+      time.schedule(1, () -> completeOnce.accept(ClientResponse.NO_RESPONSE));
       return;
     }
     if (path.equals("/hello")) {
-      newestReports.put(from, body);
+      latestHeartbeats.put(from, body);
     }
-    if (path.equals("/hello") && copies > 0 && random.nextDouble() < copies) {
+    if (path.equals("/hello")
+        && duplicateHeartbeatProbability > 0
+        && random.nextDouble() < duplicateHeartbeatProbability) {
       // A late copy: nobody waits for its answer.
-      String anywhere = "n" + random.nextInt(size) + ":80";
-      time.at(
-          1_000L + random.nextInt((int) copyMs),
-          () -> delivery.deliver(from, anywhere, method, path, body, r -> {}));
+      String anyController = "n" + random.nextInt(controllerCount) + ":80";
+      time.schedule(
+          1_000L + random.nextInt((int) maxDuplicateDelayMs),
+          () -> delivery.deliver(from, anyController, method, path, body, response -> {}));
     }
-    if (cut.contains(from + ">" + to)
-        || linkCut.test(from, to)
-        || mute.contains(from)
-        || random.nextDouble() < loss) {
+    if (blockedLinks.contains(from + ">" + receiver)
+        || linkBlocked.test(from, receiver)
+        || machinesWithBlockedRequests.contains(from)
+        || random.nextDouble() < lossProbability) {
       return;
     }
-    if (loseCommands && path.equals("/commands")) {
+    if (dropCommands && path.equals("/commands")) {
       return;
     }
-    if (lateCommands > 0 && path.equals("/commands") && random.nextDouble() < lateCommands) {
-      time.at(
+    if (delayedCommandProbability > 0
+        && path.equals("/commands")
+        && random.nextDouble() < delayedCommandProbability) {
+      time.schedule(
           2_000L + random.nextInt(14_000),
-          () -> delivery.deliver(from, address, method, path, body, r -> {}));
+          () -> delivery.deliver(from, address, method, path, body, response -> {}));
       return;
     }
-    boolean answerLost =
-        lostWriteAnswers > 0 && path.equals("/txn") && random.nextDouble() < lostWriteAnswers;
-    if (lateWrites > 0 && path.equals("/txn") && random.nextDouble() < lateWrites) {
-      time.at(
+    boolean responseLost =
+        lostWriteResponseProbability > 0
+            && path.equals("/txn")
+            && random.nextDouble() < lostWriteResponseProbability;
+    if (delayedWriteProbability > 0
+        && path.equals("/txn")
+        && random.nextDouble() < delayedWriteProbability) {
+      time.schedule(
           2_000L + random.nextInt(10_000),
-          () -> delivery.deliver(from, address, method, path, body, r -> {}));
+          () -> delivery.deliver(from, address, method, path, body, response -> {}));
       return;
     }
-    long wait = 1L + random.nextInt(10);
-    if (slowStoreMs > 0 && to.equals("state")) {
-      wait += random.nextInt((int) slowStoreMs);
+    long delayMs = 1L + random.nextInt(10);
+    if (maxStateServiceDelayMs > 0 && receiver.equals("state")) {
+      delayMs += random.nextInt((int) maxStateServiceDelayMs);
     }
-    if (slowLinkMs > 0 && path.equals("/hello")) {
-      wait += random.nextInt((int) slowLinkMs);
+    if (maxHeartbeatDelayMs > 0 && path.equals("/hello")) {
+      delayMs += random.nextInt((int) maxHeartbeatDelayMs);
     }
-    if (random.nextDouble() < late) {
-      wait += random.nextInt(30_000);
+    if (random.nextDouble() < delayProbability) {
+      delayMs += random.nextInt(30_000);
     }
-    time.at(
-        wait,
+    time.schedule(
+        delayMs,
         () ->
             delivery.deliver(
                 from,
@@ -321,32 +342,38 @@
                 method,
                 path,
                 body,
-                r -> {
-                  if (!cut.contains(to + ">" + from)
-                      && !linkCut.test(to, from)
-                      && !answerLost
-                      && random.nextDouble() >= loss) {
-                    time.at(1 + random.nextInt(10), () -> once.accept(r));
+                response -> {
+                  if (!blockedLinks.contains(receiver + ">" + from)
+                      && !linkBlocked.test(receiver, from)
+                      && !responseLost
+                      && random.nextDouble() >= lossProbability) {
+                    time.schedule(1 + random.nextInt(10), () -> completeOnce.accept(response));
                   }
                 }));
   }
 
   /** What the machines reported last, to be delivered later. */
-  Map<String, byte[]> reports() {
-    return new LinkedHashMap<>(newestReports);
+  Map<String, byte[]> copyLatestHeartbeats() {
+    return new LinkedHashMap<>(latestHeartbeats);
   }
 
   /** Old reports reach every node; nobody waits for the answers. */
-  void deliverAgain(Map<String, byte[]> reports) {
-    reports.forEach(
-        (machine, report) -> {
-          for (int n = 0; n < size; n++) {
-            deliver(machine, "n" + n + ":80", "POST", "/hello", report, r -> {});
+  void redeliverHeartbeats(Map<String, byte[]> heartbeats) {
+    heartbeats.forEach(
+        (machine, heartbeat) -> {
+          for (int controllerIndex = 0; controllerIndex < controllerCount; controllerIndex++) {
+            deliver(
+                machine,
+                "n" + controllerIndex + ":80",
+                "POST",
+                "/hello",
+                heartbeat,
+                response -> {});
           }
         });
   }
 
-  static String to(String address) {
+  static String hostOf(String address) {
     return address.substring(0, address.indexOf(':'));
   }
 
@@ -356,42 +383,42 @@
       String method,
       String path,
       byte[] body,
-      Consumer<ClientResponse> done) {
+      Consumer<ClientResponse> onResponse) {
     if (address.equals("state:1")) {
-      store.handle(from, method, path, body, done);
+      stateService.handle(from, method, path, body, onResponse);
     } else if (address.equals("cloud:1")) {
-      cloud(path, body, done);
+      handleCloudRequest(path, body, onResponse);
     } else if (path.equals("/commands")) {
-      FakeWorker w = machines.get(to(address));
-      if (w == null) {
-        done.accept(ClientResponse.NO_RESPONSE);
+      FakeWorker worker = machines.get(hostOf(address));
+      if (worker == null) {
+        onResponse.accept(ClientResponse.NO_RESPONSE);
       } else {
-        w.command(json(body), done);
+        worker.handleCommand(parseJson(body), onResponse);
       }
     } else {
-      int i = address.charAt(1) - '0';
-      if (nodes[i] == null || loops[i].dead()) {
-        done.accept(ClientResponse.NO_RESPONSE);
+      int controllerIndex = address.charAt(1) - '0';
+      if (controllers[controllerIndex] == null || eventLoops[controllerIndex].killed()) {
+        onResponse.accept(ClientResponse.NO_RESPONSE);
         return;
       }
-      VirtualTime.ProcessLoop loop = loops[i];
+      VirtualTime.ProcessLoop eventLoop = eventLoops[controllerIndex];
       ServerRequest request =
           new ServerRequest(method, path, Map.of(), body == null ? new byte[0] : body);
-      Consumer<ServerResponse> answer =
-          a -> {
-            if (!loop.dead()) {
-              recorder.answered("n" + i, from, request, a);
-              done.accept(new ClientResponse(a.status(), a.body()));
+      Consumer<ServerResponse> onServerResponse =
+          response -> {
+            if (!eventLoop.killed()) {
+              recorder.responseSent("n" + controllerIndex, from, request, response);
+              onResponse.accept(new ClientResponse(response.status(), response.body()));
             }
           };
-      Controller node = nodes[i];
-      loop.after(
+      Controller controller = controllers[controllerIndex];
+      eventLoop.after(
           0,
           () -> {
             if (address.endsWith(":81")) {
-              node.peerEndpoints().handle(request, answer);
+              controller.peerEndpoints().handle(request, onServerResponse);
             } else {
-              node.clientEndpoints().handle(request, answer);
+              controller.clientEndpoints().handle(request, onServerResponse);
             }
           });
     }
@@ -399,244 +426,275 @@
 
   // ---- cloud
 
-  private void cloud(String path, byte[] body, Consumer<ClientResponse> done) {
+  private void handleCloudRequest(String path, byte[] body, Consumer<ClientResponse> onResponse) {
     ObjectNode out = FakeStateService.JSON.createObjectNode();
     if (path.equals("/machine_types")) {
-      ObjectNode t = out.putArray("rigs").addObject();
-      t.put("label", "t4").put("cores", 4.0).put("cards", 0.0).put("ram_gb", 16.0);
-      t.put("cache_gb", 50.0).put("pull_gb_per_s", 1.0).put("rate", 2.0).put("low_price", 1.0);
-      t.put("ready_s", 5.0).putArray("yards").add("a").add("b");
+      ObjectNode machineType = out.putArray("rigs").addObject();
+      machineType.put("label", "t4").put("cores", 4.0).put("cards", 0.0).put("ram_gb", 16.0);
+      machineType
+          .put("cache_gb", 50.0)
+          .put("pull_gb_per_s", 1.0)
+          .put("rate", 2.0)
+          .put("low_price", 1.0);
+      machineType.put("ready_s", 5.0).putArray("yards").add("a").add("b");
     } else if (path.startsWith("/hosts/return")) {
-      for (JsonNode n : json(body).path("trucks")) {
-        FakeWorker w = machines.remove(n.asText());
-        if (w != null) {
-          returned++;
-          w.vanish();
-          capacity++;
+      for (JsonNode machineName : parseJson(body).path("trucks")) {
+        FakeWorker worker = machines.remove(machineName.asText());
+        if (worker != null) {
+          scaledInMachines++;
+          worker.terminate();
+          cloudCapacity++;
         }
       }
     } else if (path.startsWith("/hosts?")) {
-      ArrayNode all = out.putArray("trucks");
-      for (FakeWorker w : machines.values()) {
-        if (listed.contains(w.name)) {
-          all.addObject()
-              .put("uid", w.name)
+      ArrayNode machineList = out.putArray("trucks");
+      for (FakeWorker worker : machines.values()) {
+        if (listedMachines.contains(worker.name)) {
+          machineList
+              .addObject()
+              .put("uid", worker.name)
               .put("rig", "t4")
-              .put("yard", w.zone)
-              .put("standby", w.spot)
+              .put("yard", worker.zone)
+              .put("standby", worker.spot)
               .put("status", "running")
               .put("age_s", 10.0);
         }
       }
       out.put("has_next", false);
     } else {
-      JsonNode r = json(body);
-      String hire = r.get("hire").asText();
-      if (!hires.containsKey(hire)) {
-        int n = Math.min(capacity, r.get("how_many").asInt());
-        if (n == 0) {
-          done.accept(
+      JsonNode scaleOut = parseJson(body);
+      String requestName = scaleOut.get("hire").asText();
+      if (!machinesByScaleOutRequest.containsKey(requestName)) {
+        int machineName = Math.min(cloudCapacity, scaleOut.get("how_many").asInt());
+        if (machineName == 0) {
+          onResponse.accept(
               new ClientResponse(
                   503, "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8)));
           return;
         }
-        List<String> names = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-          names.add(boot(r.get("yard").asText(), r.get("standby").asBoolean()));
+        List<String> machineNames = new ArrayList<>();
+        for (int i = 0; i < machineName; i++) {
+          machineNames.add(
+              bootMachine(scaleOut.get("yard").asText(), scaleOut.get("standby").asBoolean()));
         }
-        hires.put(hire, names);
+        machinesByScaleOutRequest.put(requestName, machineNames);
       }
-      ArrayNode all = out.putArray("trucks");
-      hires.get(hire).forEach(all::add);
+      ArrayNode machineList = out.putArray("trucks");
+      machinesByScaleOutRequest.get(requestName).forEach(machineList::add);
     }
-    done.accept(FakeStateService.reply(200, out));
+    onResponse.accept(FakeStateService.jsonResponse(200, out));
   }
 
   /** A new machine; also one that nobody asked for. */
-  String boot(String zone, boolean spot) {
-    String name = "host-%06d".formatted(nextMachine++);
-    FakeWorker w = new FakeWorker(this, name, zone, spot);
-    machines.put(name, w);
-    capacity--;
-    time.at(bootMs + random.nextInt((int) bootSpreadMs), w::start);
-    time.at(4_000, () -> listed.add(name));
+  String bootMachine(String zone, boolean spot) {
+    String name = "host-%06d".formatted(nextMachineNumber++);
+    FakeWorker worker = new FakeWorker(this, name, zone, spot);
+    machines.put(name, worker);
+    cloudCapacity--;
+    time.schedule(minBootMs + random.nextInt((int) bootJitterMs), worker::start);
+    time.schedule(4_000, () -> listedMachines.add(name));
     return name;
   }
 
   /** The cloud takes a machine without notice. */
-  void take(FakeWorker w) {
-    if (w != null && machines.remove(w.name) != null) {
-      w.vanish();
-      capacity++;
+  void reclaimMachine(FakeWorker worker) {
+    if (worker != null && machines.remove(worker.name) != null) {
+      worker.terminate();
+      cloudCapacity++;
     }
   }
 
   /** A task has completed; the end of a job may be met by its user. */
-  void completed(String drop) {
-    if (judge.completed(drop) && meetEnds) {
-      SimulatedUser u = users.get(InvariantChecker.uid(drop));
-      u.cancels |= random.nextInt(3) == 0;
+  void taskCompleted(String task) {
+    if (invariantChecker.taskCompleted(task) && usersActAtJobEnd) {
+      SimulatedUser user = users.get(InvariantChecker.jobId(task));
+      user.cancelsJob |= random.nextInt(3) == 0;
       for (int i = 0; i < 6; i++) {
-        Runnable what = i % 3 == 0 ? u::submit : i % 3 == 1 || !u.cancels ? u::poll : u::cancel;
-        time.at(random.nextInt(1_500), what);
+        Runnable userAction =
+            i % 3 == 0 ? user::submit : i % 3 == 1 || !user.cancelsJob ? user::poll : user::cancel;
+        time.schedule(random.nextInt(1_500), userAction);
       }
     }
   }
 
-  long runMs(String drop) {
-    return runs.applyAsLong(drop);
+  long taskRunMs(String task) {
+    return taskRunTimeMs.applyAsLong(task);
   }
 
-  static int task(String drop) {
-    return Integer.parseInt(drop.substring(drop.indexOf('/') + 1));
+  static int taskIndex(String task) {
+    return Integer.parseInt(task.substring(task.indexOf('/') + 1));
   }
 
-  private long usualRunMs(String drop) {
-    return leastRunMs + task(drop) * farApartMs + 2_000 + Math.floorMod(drop.hashCode(), 9_000);
+  private long defaultTaskRunMs(String task) {
+    return additionalRunMs
+        + taskIndex(task) * runTimeStepMs
+        + 2_000
+        + Math.floorMod(task.hashCode(), 9_000);
   }
 
   /** Users call off so many jobs that run, through any node but one; their tasks' machines. */
-  List<FakeWorker> cancelNow(int count, String notThrough) {
-    List<FakeWorker> all = new ArrayList<>();
-    int left = count;
-    for (SimulatedUser u : users.values()) {
-      List<FakeWorker> on = judge.machinesOf(u);
-      if (left > 0 && !on.isEmpty() && !u.cancels && !u.told.equals("done")) {
-        left--;
-        u.cancels = true;
-        u.notThrough = notThrough;
-        u.cancel();
-        all.addAll(on);
+  List<FakeWorker> cancelRunningJobs(int count, String avoidedController) {
+    List<FakeWorker> affectedMachines = new ArrayList<>();
+    int remaining = count;
+    for (SimulatedUser user : users.values()) {
+      List<FakeWorker> machinesOfJob = invariantChecker.machinesOf(user);
+      if (remaining > 0
+          && !machinesOfJob.isEmpty()
+          && !user.cancelsJob
+          && !user.lastStatus.equals("done")) {
+        remaining--;
+        user.cancelsJob = true;
+        user.avoidedController = avoidedController;
+        user.cancel();
+        affectedMachines.addAll(machinesOfJob);
       }
     }
-    return all;
+    return affectedMachines;
   }
 
   /** Jobs told to be cancelled that still have tasks on machines. */
-  List<String> cancelledStillOn() {
+  List<String> cancelledJobsWithTasks() {
     return users.values().stream()
-        .filter(u -> u.toldCancelledMs >= 0 && runs(u))
-        .map(u -> u.uid)
+        .filter(user -> user.cancellationConfirmedMs >= 0 && hasTasksOnMachines(user))
+        .map(user -> user.jobId)
         .toList();
   }
 
-  boolean mistaken(String drop) {
-    SimulatedUser u = users.get(InvariantChecker.uid(drop));
-    return u != null && u.mistaken;
+  boolean alwaysFails(String task) {
+    SimulatedUser user = users.get(InvariantChecker.jobId(task));
+    return user != null && user.tasksAlwaysFail;
   }
 
-  boolean inZone(String name, String zone) {
+  boolean isInZone(String name, String zone) {
     FakeWorker machine = machines.get(name);
     return machine != null && machine.zone.equals(zone);
   }
 
   /** The node that holds a shard's claim; null: none does. */
-  String owner(int shard) {
-    JsonNode claim = store.value("w/c/" + shard);
+  String leaderOf(int shard) {
+    JsonNode claim = stateService.value("w/c/" + shard);
     return claim == null ? null : claim.path("owner").asText();
   }
 
   /** Asks about a job that nobody has submitted. */
-  void askForNothing() {
-    call(
+  void queryUnknownJob() {
+    sendRequest(
         "users",
-        "n" + random.nextInt(size) + ":80",
+        "n" + random.nextInt(controllerCount) + ":80",
         "GET",
         "/v1/jobs/wk-999999",
         null,
         2_000,
-        r -> {
-          if (r.status() == 200) {
-            judge.broken("invented");
+        response -> {
+          if (response.status() == 200) {
+            invariantChecker.addViolation("invented");
           }
-          time.at(7_000, this::askForNothing);
+          time.schedule(7_000, this::queryUnknownJob);
         });
   }
 
   /** All but the nodes: what the state service, the machines, the cloud and the users hold. */
   ObjectNode save() {
-    ObjectNode out =
+    ObjectNode savedState =
         FakeStateService.JSON
             .createObjectNode()
             .put("now_ms", time.nowMs())
-            .put("capacity", capacity)
-            .put("next_machine", nextMachine);
-    out.set("store", store.save());
-    ArrayNode workers = out.putArray("machines");
-    machines.values().forEach(w -> workers.add(w.save().put("listed", listed.contains(w.name))));
-    ObjectNode requests = out.putObject("rented");
-    new TreeMap<>(hires).forEach((hire, names) -> names.forEach(requests.putArray(hire)::add));
-    ArrayNode all = out.putArray("users");
-    users.values().stream().filter(u -> u.firstSentMs >= 0).forEach(u -> all.add(u.save()));
-    judge.finished().forEach(out.putArray("finished")::add);
-    return out;
+            .put("capacity", cloudCapacity)
+            .put("next_machine", nextMachineNumber);
+    savedState.set("store", stateService.save());
+    ArrayNode savedMachines = savedState.putArray("machines");
+    machines
+        .values()
+        .forEach(
+            worker ->
+                savedMachines.add(
+                    worker.save().put("listed", listedMachines.contains(worker.name))));
+    ObjectNode scaleOutRequests = savedState.putObject("rented");
+    new TreeMap<>(machinesByScaleOutRequest)
+        .forEach(
+            (requestName, machineNames) ->
+                machineNames.forEach(scaleOutRequests.putArray(requestName)::add));
+    ArrayNode savedUsers = savedState.putArray("users");
+    users.values().stream()
+        .filter(user -> user.firstSubmittedMs >= 0)
+        .forEach(user -> savedUsers.add(user.save()));
+    invariantChecker.completedTasks().forEach(savedState.putArray("finished")::add);
+    return savedState;
   }
 
   /** Goes on from what was saved, at the same time of day; the nodes are to be started. */
   void load(JsonNode saved) {
     time.runUntil(saved.get("now_ms").asLong());
-    capacity = saved.get("capacity").asInt();
-    nextMachine = saved.get("next_machine").asInt();
-    saved.get("users").forEach(u -> SimulatedUser.load(this, u));
-    saved.get("finished").forEach(drop -> judge.finishedAlready(drop.asText()));
+    cloudCapacity = saved.get("capacity").asInt();
+    nextMachineNumber = saved.get("next_machine").asInt();
+    saved.get("users").forEach(savedUser -> SimulatedUser.load(this, savedUser));
+    saved.get("finished").forEach(task -> invariantChecker.addCompletedTask(task.asText()));
     saved
         .get("rented")
         .properties()
         .forEach(
-            e -> {
-              List<String> names = new ArrayList<>();
-              e.getValue().forEach(name -> names.add(name.asText()));
-              hires.put(e.getKey(), names);
+            request -> {
+              List<String> machineNames = new ArrayList<>();
+              request.getValue().forEach(name -> machineNames.add(name.asText()));
+              machinesByScaleOutRequest.put(request.getKey(), machineNames);
             });
-    for (JsonNode m : saved.get("machines")) {
-      String name = m.get("machine").asText();
-      FakeWorker w = new FakeWorker(this, name, m.get("zone").asText(), m.get("spot").asBoolean());
-      machines.put(name, w);
-      if (m.get("listed").asBoolean()) {
-        listed.add(name);
+    for (JsonNode savedMachine : saved.get("machines")) {
+      String name = savedMachine.get("machine").asText();
+      FakeWorker worker =
+          new FakeWorker(
+              this, name, savedMachine.get("zone").asText(), savedMachine.get("spot").asBoolean());
+      machines.put(name, worker);
+      if (savedMachine.get("listed").asBoolean()) {
+        listedMachines.add(name);
       } else {
-        time.at(4_000, () -> listed.add(name));
+        time.schedule(4_000, () -> listedMachines.add(name));
       }
-      w.load(m);
+      worker.load(savedMachine);
     }
-    store.load(saved.get("store"));
-    time.at(5_000, this::askForNothing);
-    time.at(5_000, judge::judgeWaiting);
+    stateService.load(saved.get("store"));
+    time.schedule(5_000, this::queryUnknownJob);
+    time.schedule(5_000, invariantChecker::checkWaitingJobs);
   }
 
-  void begin(int jobs, long spanMs) {
-    for (int i = 0; i < size; i++) {
-      startNode(i);
+  void start(int jobCount, long spanMs) {
+    for (int controllerIndex = 0; controllerIndex < controllerCount; controllerIndex++) {
+      startController(controllerIndex);
     }
-    beginUsers(jobs, spanMs);
+    startUsers(jobCount, spanMs);
   }
 
   /** Jobs come within a span of time, and are asked about. */
-  void beginUsers(int jobs, long spanMs) {
-    for (int n = 0; n < jobs; n++) {
-      String zone = n % 5 == 0 ? "b" : null;
-      SimulatedUser u =
-          new SimulatedUser(this, n, 1 + random.nextInt(tasksMost), zone, n % 7 != 0, n % 6 == 5);
-      u.together = n % 8 == 3;
-      u.spread = n % 8 == 6 && zone == null;
-      time.at(3_000 + random.nextInt((int) spanMs), u::submit);
+  void startUsers(int jobCount, long spanMs) {
+    for (int jobNumber = 0; jobNumber < jobCount; jobNumber++) {
+      String zone = jobNumber % 5 == 0 ? "b" : null;
+      SimulatedUser user =
+          new SimulatedUser(
+              this,
+              jobNumber,
+              1 + random.nextInt(maxTasksPerJob),
+              zone,
+              jobNumber % 7 != 0,
+              jobNumber % 6 == 5);
+      user.together = jobNumber % 8 == 3;
+      user.spread = jobNumber % 8 == 6 && zone == null;
+      time.schedule(3_000 + random.nextInt((int) spanMs), user::submit);
     }
-    time.at(5_000, this::askForNothing);
-    time.at(5_000, judge::judgeWaiting);
+    time.schedule(5_000, this::queryUnknownJob);
+    time.schedule(5_000, invariantChecker::checkWaitingJobs);
   }
 
-  List<String> unfinished() {
-    List<String> all = new ArrayList<>();
-    for (SimulatedUser u : users.values()) {
-      boolean over = u.told.equals("done") || u.told.equals("aborted");
-      if (!over || (u.told.equals("aborted") && runs(u))) {
-        all.add(u.uid + " " + u.told);
+  List<String> unfinishedJobs() {
+    List<String> jobs = new ArrayList<>();
+    for (SimulatedUser user : users.values()) {
+      boolean finished = user.lastStatus.equals("done") || user.lastStatus.equals("aborted");
+      if (!finished || (user.lastStatus.equals("aborted") && hasTasksOnMachines(user))) {
+        jobs.add(user.jobId + " " + user.lastStatus);
       }
     }
-    return all;
+    return jobs;
   }
 
-  private boolean runs(SimulatedUser u) {
-    return !judge.machinesOf(u).isEmpty();
+  private boolean hasTasksOnMachines(SimulatedUser user) {
+    return !invariantChecker.machinesOf(user).isEmpty();
   }
 }
--- a/src/test/java/dev/windbend/daemon/SimulatedUser.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedUser.java
@@ -10,75 +10,87 @@
 /** A user who submits one job, asks about it until it is over, and may cancel it. */
 final class SimulatedUser {
   private final SimulatedCluster cluster;
-  final String uid;
+  final String jobId;
   final String team;
-  final int tasks;
-  final double cores;
+  final int taskCount;
+  final double coresPerTask;
   final String zone;
   final boolean spot;
   boolean together;
   boolean spread;
 
   /** The one machine type that the job names; null: it names none. */
-  String type;
+  String machineType;
 
   /** Submitted with a mistake: its tasks fail on every machine. */
-  boolean mistaken;
+  boolean tasksAlwaysFail;
 
-  long couldStartMs;
-  boolean cancels;
-  long firstSentMs = -1;
-  long toldCancelledMs = -1;
-  long answeredMs;
-  long overSinceMs;
-  long begunMs = -1;
-  String told = "";
+  long startableSinceMs;
+  boolean cancelsJob;
+  long firstSubmittedMs = -1;
+  long cancellationConfirmedMs = -1;
+  long lastResponseMs;
+  long endedMs;
+  long firstTaskStartedMs = -1;
+  String lastStatus = "";
 
   /** Its requests do not go to this node; null: to any. */
-  String notThrough;
+  String avoidedController;
 
   SimulatedUser(
-      SimulatedCluster cluster, int n, int tasks, String zone, boolean spot, boolean cancels) {
-    this(cluster, n, List.of("red", "blue", "green").get(n % 3), tasks, zone, spot, cancels);
+      SimulatedCluster cluster,
+      int jobNumber,
+      int taskCount,
+      String zone,
+      boolean spot,
+      boolean cancelsJob) {
+    this(
+        cluster,
+        jobNumber,
+        List.of("red", "blue", "green").get(jobNumber % 3),
+        taskCount,
+        zone,
+        spot,
+        cancelsJob);
   }
 
   /** Also of the guests, a team with neither a guarantee nor a limit. */
   SimulatedUser(
       SimulatedCluster cluster,
-      int n,
+      int jobNumber,
       String team,
-      int tasks,
+      int taskCount,
       String zone,
       boolean spot,
-      boolean cancels) {
+      boolean cancelsJob) {
     this.cluster = cluster;
-    this.uid = "wk-%06d".formatted(n);
+    this.jobId = "wk-%06d".formatted(jobNumber);
     this.team = team;
-    this.tasks = tasks;
-    this.cores = 1 + n % 2;
+    this.taskCount = taskCount;
+    this.coresPerTask = 1 + jobNumber % 2;
     this.zone = zone;
     this.spot = spot;
-    this.cancels = cancels;
-    cluster.users.put(uid, this);
+    this.cancelsJob = cancelsJob;
+    cluster.users.put(jobId, this);
   }
 
   /** What the user wants and has been answered. */
   ObjectNode save() {
     return FakeStateService.JSON
         .createObjectNode()
-        .put("job", uid)
+        .put("job", jobId)
         .put("team", team)
-        .put("tasks", tasks)
+        .put("tasks", taskCount)
         .put("zone", zone)
         .put("spot", spot)
         .put("together", together)
         .put("spread", spread)
-        .put("type", type)
-        .put("cancels", cancels)
-        .put("status", told)
-        .put("sent_ms", firstSentMs)
-        .put("begun_ms", begunMs)
-        .put("cancelled_ms", toldCancelledMs);
+        .put("type", machineType)
+        .put("cancels", cancelsJob)
+        .put("status", lastStatus)
+        .put("sent_ms", firstSubmittedMs)
+        .put("begun_ms", firstTaskStartedMs)
+        .put("cancelled_ms", cancellationConfirmedMs);
   }
 
   static SimulatedUser load(SimulatedCluster cluster, JsonNode saved) {
@@ -93,172 +105,197 @@
             saved.get("cancels").asBoolean());
     user.together = saved.get("together").asBoolean();
     user.spread = saved.get("spread").asBoolean();
-    user.type = saved.get("type").isNull() ? null : saved.get("type").asText();
-    user.told = saved.get("status").asText();
-    user.firstSentMs = saved.get("sent_ms").asLong();
-    user.begunMs = saved.get("begun_ms").asLong();
-    user.toldCancelledMs = saved.get("cancelled_ms").asLong();
-    user.answeredMs = cluster.time.nowMs();
-    user.overSinceMs = cluster.time.nowMs();
-    user.couldStartMs = cluster.time.nowMs();
-    boolean over = user.told.equals("done") || user.told.equals("aborted");
-    cluster.time.at(1_000, user.told.isEmpty() ? user::submit : user::poll);
-    if (user.cancels && !over && !user.told.isEmpty()) {
-      cluster.time.at(8_000, user::cancel);
+    user.machineType = saved.get("type").isNull() ? null : saved.get("type").asText();
+    user.lastStatus = saved.get("status").asText();
+    user.firstSubmittedMs = saved.get("sent_ms").asLong();
+    user.firstTaskStartedMs = saved.get("begun_ms").asLong();
+    user.cancellationConfirmedMs = saved.get("cancelled_ms").asLong();
+    user.lastResponseMs = cluster.time.nowMs();
+    user.endedMs = cluster.time.nowMs();
+    user.startableSinceMs = cluster.time.nowMs();
+    boolean ended = user.lastStatus.equals("done") || user.lastStatus.equals("aborted");
+    cluster.time.schedule(1_000, user.lastStatus.isEmpty() ? user::submit : user::poll);
+    if (user.cancelsJob && !ended && !user.lastStatus.isEmpty()) {
+      cluster.time.schedule(8_000, user::cancel);
     }
     return user;
   }
 
   void submit() {
     long sentMs = cluster.time.nowMs();
-    if (firstSentMs < 0) {
-      firstSentMs = cluster.time.nowMs();
+    if (firstSubmittedMs < 0) {
+      firstSubmittedMs = cluster.time.nowMs();
     }
-    ask(
+    sendToRandomController(
         "POST",
         "/v1/jobs",
-        submission(),
+        submissionBody(),
         5_000,
-        r -> {
-          if (r.status() == 201 || r.status() == 200) {
-            hear(r, sentMs);
-            cluster.time.at(5_000, this::poll);
-            if (cancels) {
-              cluster.time.at(
-                  Math.max(0, cluster.cancelsFromMs - cluster.time.nowMs())
+        response -> {
+          if (response.status() == 201 || response.status() == 200) {
+            handleResponse(response, sentMs);
+            cluster.time.schedule(5_000, this::poll);
+            if (cancelsJob) {
+              cluster.time.schedule(
+                  Math.max(0, cluster.earliestCancellationMs - cluster.time.nowMs())
                       + cluster.random.nextInt(20_000),
                   this::cancel);
             }
-          } else if (r.status() == 400 || r.status() == 422) {
-            cluster.judge.broken("forgotten: " + uid + " was refused with " + r.status());
+          } else if (response.status() == 400 || response.status() == 422) {
+            cluster.invariantChecker.addViolation(
+                "forgotten: " + jobId + " was refused with " + response.status());
           } else {
-            cluster.time.at(1_000, this::submit);
+            cluster.time.schedule(1_000, this::submit);
           }
         });
   }
 
-  private byte[] submission() {
-    ObjectNode j = FakeStateService.JSON.createObjectNode();
-    j.put("uid", uid).put("fleet", "f" + tasks % 3).put("crew", team).put("shape", "batch");
-    j.put("urgency", tasks % 4 == 0 ? "urgent" : "standard").put("drops", tasks);
-    j.put("cores", cores).put("cards", 0.0).put("ram_gb", 1.0).put("load", "img");
-    j.put("pull_gb", 0.1).put("yard", zone).put("together", together).put("spread", spread);
-    j.put("standby", spot).put("haul_s", 6.0).put("waypoint_s", 0.0).put("stow_s", 0.0);
-    j.put("due_s", tasks % 2 == 0 ? 60.0 : null);
-    if (type != null) {
-      j.putArray("rigs").add(type);
+  private byte[] submissionBody() {
+    ObjectNode submission = FakeStateService.JSON.createObjectNode();
+    submission
+        .put("uid", jobId)
+        .put("fleet", "f" + taskCount % 3)
+        .put("crew", team)
+        .put("shape", "batch");
+    submission.put("urgency", taskCount % 4 == 0 ? "urgent" : "standard").put("drops", taskCount);
+    submission.put("cores", coresPerTask).put("cards", 0.0).put("ram_gb", 1.0).put("load", "img");
+    submission
+        .put("pull_gb", 0.1)
+        .put("yard", zone)
+        .put("together", together)
+        .put("spread", spread);
+    submission.put("standby", spot).put("haul_s", 6.0).put("waypoint_s", 0.0).put("stow_s", 0.0);
+    submission.put("due_s", taskCount % 2 == 0 ? 60.0 : null);
+    if (machineType != null) {
+      submission.putArray("rigs").add(machineType);
     }
-    return j.toString().getBytes(StandardCharsets.UTF_8);
+    return submission.toString().getBytes(StandardCharsets.UTF_8);
   }
 
   /** Asks about the job at every node, and submits it again, within milliseconds. */
-  private void lookClosely() {
-    for (int n = 0; n < cluster.size; n++) {
-      int node = n;
-      cluster.time.at(
-          1 + cluster.random.nextInt(20), () -> lookAt(node, "GET", "/v1/jobs/" + uid, null));
-      cluster.time.at(
-          1 + cluster.random.nextInt(20), () -> lookAt(node, "POST", "/v1/jobs", submission()));
+  private void queryAllControllers() {
+    for (int index = 0; index < cluster.controllerCount; index++) {
+      int controllerIndex = index;
+      cluster.time.schedule(
+          1 + cluster.random.nextInt(20),
+          () -> queryController(controllerIndex, "GET", "/v1/jobs/" + jobId, null));
+      cluster.time.schedule(
+          1 + cluster.random.nextInt(20),
+          () -> queryController(controllerIndex, "POST", "/v1/jobs", submissionBody()));
     }
   }
 
-  private void lookAt(int node, String method, String path, byte[] body) {
+  private void queryController(int controllerIndex, String method, String path, byte[] body) {
     long sentMs = cluster.time.nowMs();
-    cluster.call(
+    cluster.sendRequest(
         "users",
-        "n" + node + ":80",
+        "n" + controllerIndex + ":80",
         method,
         path,
         body,
         2_000,
-        r -> {
-          if (r.status() == 200) {
-            hear(r, sentMs);
-          } else if (r.status() == 201) {
-            cluster.judge.broken("forgotten: " + uid + " was accepted once more");
-          } else if (r.status() >= 400 && r.status() < 500 && r.status() != 429) {
-            cluster.judge.broken("forgotten: " + uid + " got " + r.status() + " for " + method);
+        response -> {
+          if (response.status() == 200) {
+            handleResponse(response, sentMs);
+          } else if (response.status() == 201) {
+            cluster.invariantChecker.addViolation(
+                "forgotten: " + jobId + " was accepted once more");
+          } else if (response.status() >= 400
+              && response.status() < 500
+              && response.status() != 429) {
+            cluster.invariantChecker.addViolation(
+                "forgotten: " + jobId + " got " + response.status() + " for " + method);
           }
         });
   }
 
   void poll() {
     long sentMs = cluster.time.nowMs();
-    ask(
+    sendToRandomController(
         "GET",
-        "/v1/jobs/" + uid,
+        "/v1/jobs/" + jobId,
         null,
         2_000,
-        r -> {
-          if (r.status() == 404) {
-            cluster.judge.broken("forgotten: " + uid + " got 404");
-          } else if (r.status() == 200) {
-            hear(r, sentMs);
-          } else if (cluster.time.nowMs() - Math.max(answeredMs, cluster.judge.calmFromMs)
-              > InvariantChecker.FORGOTTEN_MS) {
-            cluster.judge.broken("forgotten: no question about " + uid + " is answered");
+        response -> {
+          if (response.status() == 404) {
+            cluster.invariantChecker.addViolation("forgotten: " + jobId + " got 404");
+          } else if (response.status() == 200) {
+            handleResponse(response, sentMs);
+          } else if (cluster.time.nowMs()
+                  - Math.max(lastResponseMs, cluster.invariantChecker.faultsEndMs)
+              > InvariantChecker.MAX_UNANSWERED_MS) {
+            cluster.invariantChecker.addViolation(
+                "forgotten: no question about " + jobId + " is answered");
           }
-          cluster.time.at(5_000, this::poll);
+          cluster.time.schedule(5_000, this::poll);
         });
   }
 
   void cancel() {
     long sentMs = cluster.time.nowMs();
-    ask(
+    sendToRandomController(
         "POST",
-        "/v1/jobs/" + uid + "/cancel",
+        "/v1/jobs/" + jobId + "/cancel",
         new byte[0],
         5_000,
-        r -> {
-          if (r.status() == 200) {
-            hear(r, sentMs);
+        response -> {
+          if (response.status() == 200) {
+            handleResponse(response, sentMs);
           } else {
-            cluster.time.at(1_000, this::cancel);
+            cluster.time.schedule(1_000, this::cancel);
           }
         });
   }
 
-  private void hear(ClientResponse r, long sentMs) {
-    answeredMs = cluster.time.nowMs();
-    String status = cluster.json(r.body()).path("status").asText();
-    boolean over = told.equals("done") || told.equals("aborted");
-    if (over && !status.equals(told)) {
-      if (sentMs > overSinceMs) {
-        cluster.judge.broken("went_back: " + uid + " from " + told + " to " + status);
+  private void handleResponse(ClientResponse response, long sentMs) {
+    lastResponseMs = cluster.time.nowMs();
+    String status = cluster.parseJson(response.body()).path("status").asText();
+    boolean ended = lastStatus.equals("done") || lastStatus.equals("aborted");
+    if (ended && !status.equals(lastStatus)) {
+      if (sentMs > endedMs) {
+        cluster.invariantChecker.addViolation(
+            "went_back: " + jobId + " from " + lastStatus + " to " + status);
       }
       return; // asked before it was over, and overtaken by the answer that said so
     }
-    if (!over) {
-      overSinceMs = cluster.time.nowMs();
+    if (!ended) {
+      endedMs = cluster.time.nowMs();
     }
     if (status.equals("aborted")) {
-      if (!cancels) {
-        cluster.judge.broken("went_back: " + uid + " was not cancelled by its user");
+      if (!cancelsJob) {
+        cluster.invariantChecker.addViolation(
+            "went_back: " + jobId + " was not cancelled by its user");
       }
-      if (toldCancelledMs < 0) {
-        toldCancelledMs = cluster.time.nowMs();
+      if (cancellationConfirmedMs < 0) {
+        cancellationConfirmedMs = cluster.time.nowMs();
       }
     }
     if (status.equals("done")) {
-      for (int i = 0; i < tasks; i++) {
-        if (!cluster.judge.isFinished(uid + "/" + i)) {
-          cluster.judge.broken("not_done: " + uid + "/" + i);
+      for (int taskIndex = 0; taskIndex < taskCount; taskIndex++) {
+        if (!cluster.invariantChecker.isCompleted(jobId + "/" + taskIndex)) {
+          cluster.invariantChecker.addViolation("not_done: " + jobId + "/" + taskIndex);
         }
       }
     }
-    boolean news = !told.equals(status) && (told.isEmpty() || !status.equals("running"));
-    told = status;
-    if (cluster.closeLooks && news) {
-      lookClosely();
+    boolean statusChanged =
+        !lastStatus.equals(status) && (lastStatus.isEmpty() || !status.equals("running"));
+    lastStatus = status;
+    if (cluster.usersQueryAllControllers && statusChanged) {
+      queryAllControllers();
     }
   }
 
-  private void ask(
-      String method, String path, byte[] body, long limitMs, Consumer<ClientResponse> done) {
-    int n = cluster.random.nextInt(cluster.size);
-    if (("n" + n).equals(notThrough)) {
-      n = (n + 1) % cluster.size;
+  private void sendToRandomController(
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMs,
+      Consumer<ClientResponse> onResponse) {
+    int controllerIndex = cluster.random.nextInt(cluster.controllerCount);
+    if (("n" + controllerIndex).equals(avoidedController)) {
+      controllerIndex = (controllerIndex + 1) % cluster.controllerCount;
     }
-    cluster.call("users", "n" + n + ":80", method, path, body, limitMs, done);
+    cluster.sendRequest(
+        "users", "n" + controllerIndex + ":80", method, path, body, timeoutMs, onResponse);
   }
 }
--- a/src/test/java/dev/windbend/daemon/StarvedJobsTest.java
+++ b/src/test/java/dev/windbend/daemon/StarvedJobsTest.java
@@ -1,6 +1,6 @@
 package dev.windbend.daemon;
 
-import static dev.windbend.daemon.FaultInjection.crash;
+import static dev.windbend.daemon.FaultInjection.crashControllers;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.function.Consumer;
@@ -15,90 +15,97 @@
  * SimulatedCluster} says whether any of them waits for 90 s beside such room.
  */
 class StarvedJobsTest {
-  private static final long DAY_MS = 900_000;
-  private static final long WAITING_FROM_MS = 60_000;
+  private static final long SCENARIO_MS = 900_000;
+  private static final long WAITING_JOBS_FROM_MS = 60_000;
   private static final int FIRST_JOB = 0;
 
   /** Every fourth task of the first job is long, so that one is left on each machine. */
-  private static long oneLongTaskOnEachMachine(String task) {
-    return task.startsWith("wk-000000") && SimulatedCluster.task(task) % 4 == 0 ? 400_000 : 5_000;
+  private static long runMsWithOneLongTaskPerMachine(String task) {
+    return task.startsWith("wk-000000") && SimulatedCluster.taskIndex(task) % 4 == 0
+        ? 400_000
+        : 5_000;
   }
 
-  private static Arguments waiting(String name, int machines, Consumer<SimulatedCluster> jobs) {
-    return Arguments.of(name, machines, jobs);
+  private static Arguments scenario(
+      String name, int machines, Consumer<SimulatedCluster> submitWaitingJobs) {
+    return Arguments.of(name, machines, submitWaitingJobs);
   }
 
-  private static void submit(SimulatedCluster w, int number, String team, int tasks, String zone) {
-    SimulatedUser user = new SimulatedUser(w, number, team, tasks, zone, true, false);
-    w.time.at(WAITING_FROM_MS + 200L * (number % 50), user::submit);
+  private static void submit(
+      SimulatedCluster cluster, int job, String team, int tasks, String zone) {
+    SimulatedUser user = new SimulatedUser(cluster, job, team, tasks, zone, true, false);
+    cluster.time.schedule(WAITING_JOBS_FROM_MS + 200L * (job % 50), user::submit);
   }
 
-  static Stream<Arguments> jobsThatWait() {
+  static Stream<Arguments> scenarios() {
     return Stream.of(
-        waiting("one small job", 4, w -> submit(w, 1, "blue", 1, null)),
-        waiting("one array", 6, w -> submit(w, 1, "blue", 12, null)),
-        waiting(
+        scenario("one small job", 4, cluster -> submit(cluster, 1, "blue", 1, null)),
+        scenario("one array", 6, cluster -> submit(cluster, 1, "blue", 12, null)),
+        scenario(
             "many small jobs",
             6,
-            w -> {
-              for (int n = 1; n <= 30; n++) {
-                submit(w, n, "blue", 1, null);
+            cluster -> {
+              for (int number = 1; number <= 30; number++) {
+                submit(cluster, number, "blue", 1, null);
               }
             }),
-        waiting(
+        scenario(
             "jobs of two other shards",
             6,
-            w -> {
-              submit(w, 1, "blue", 3, null);
-              submit(w, 2, "green", 3, null);
+            cluster -> {
+              submit(cluster, 1, "blue", 3, null);
+              submit(cluster, 2, "green", 3, null);
             }),
-        waiting(
+        scenario(
             "jobs that are bound to a zone",
             8,
-            w -> {
-              submit(w, 1, "blue", 2, "a");
-              submit(w, 2, "green", 2, "b");
+            cluster -> {
+              submit(cluster, 1, "blue", 2, "a");
+              submit(cluster, 2, "green", 2, "b");
             }),
-        waiting("a guest without a guarantee", 6, w -> submit(w, 1, "guests", 4, null)),
-        waiting(
+        scenario(
+            "a guest without a guarantee", 6, cluster -> submit(cluster, 1, "guests", 4, null)),
+        scenario(
             "guests with many single tasks",
             6,
-            w -> {
-              for (int n = 1; n <= 30; n++) {
-                submit(w, n, "guests", 1, null);
+            cluster -> {
+              for (int number = 1; number <= 30; number++) {
+                submit(cluster, number, "guests", 1, null);
               }
             }),
-        waiting(
+        scenario(
             "a small job while owners restart",
             4,
-            w -> {
-              submit(w, 1, "blue", 1, null);
-              for (int n = 0; n < 3; n++) {
-                int node = n;
-                w.time.at(95_000 + 3_000 * n, () -> crash(w, 1_000, node));
+            cluster -> {
+              submit(cluster, 1, "blue", 1, null);
+              for (int number = 0; number < 3; number++) {
+                int controller = number;
+                cluster.time.schedule(
+                    95_000 + 3_000 * number, () -> crashControllers(cluster, 1_000, controller));
               }
-              w.judge.calmFromMs = 105_000;
+              cluster.invariantChecker.faultsEndMs = 105_000;
             }));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("jobsThatWait")
-  void noJobWaitsBesideRoomOfAnotherShard(
-      String name, int machines, Consumer<SimulatedCluster> jobs) {
+  @MethodSource("scenarios")
+  void placesWaitingJobsOnFreeCapacityOfAnotherShard(
+      String name, int machines, Consumer<SimulatedCluster> submitWaitingJobs) {
     for (long seed = 1; seed <= 3; seed++) {
-      SimulatedCluster w = new SimulatedCluster(seed);
-      w.capacity = machines;
-      w.loss = 0;
-      w.late = 0;
-      w.judge.calmFromMs = 0;
-      w.runs = StarvedJobsTest::oneLongTaskOnEachMachine;
-      w.begin(0, 1);
-      SimulatedUser first = new SimulatedUser(w, FIRST_JOB, "red", 4 * machines, null, true, false);
-      w.time.at(5_000, first::submit);
-      jobs.accept(w);
-      w.time.runUntil(DAY_MS);
-      assertThat(w.judge.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(w.unfinished()).as("unfinished, seed %d", seed).isEmpty();
+      SimulatedCluster cluster = new SimulatedCluster(seed);
+      cluster.cloudCapacity = machines;
+      cluster.lossProbability = 0;
+      cluster.delayProbability = 0;
+      cluster.invariantChecker.faultsEndMs = 0;
+      cluster.taskRunTimeMs = StarvedJobsTest::runMsWithOneLongTaskPerMachine;
+      cluster.start(0, 1);
+      SimulatedUser longTaskUser =
+          new SimulatedUser(cluster, FIRST_JOB, "red", 4 * machines, null, true, false);
+      cluster.time.schedule(5_000, longTaskUser::submit);
+      submitWaitingJobs.accept(cluster);
+      cluster.time.runUntil(SCENARIO_MS);
+      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/StoredDataTest.java
+++ b/src/test/java/dev/windbend/daemon/StoredDataTest.java
@@ -53,26 +53,26 @@
 
   private static void goOn(long seed) {
     SimulatedCluster w = StoredDataWriter.cluster(seed);
-    w.loss = 0;
-    w.late = 0;
+    w.lossProbability = 0;
+    w.delayProbability = 0;
     w.load(saved);
-    w.judge.calmFromMs = w.time.nowMs() + 2 * KNOWN_MS;
+    w.invariantChecker.faultsEndMs = w.time.nowMs() + 2 * KNOWN_MS;
     long fromMs = w.time.nowMs();
     Map<String, Long> tokens = new TreeMap<>();
-    w.machines.values().forEach(m -> tokens.put(m.name, m.token()));
+    w.machines.values().forEach(m -> tokens.put(m.name, m.fencingToken()));
     List<FakeWorker> machines = List.copyOf(w.machines.values());
     Set<String> live = keysBelow("w/j/");
     assertThat(w.users)
         .as("a user for each job on record")
         .containsKeys(live.toArray(String[]::new));
     assertThat(w.users).containsKeys(keysBelow("a/").toArray(String[]::new));
-    assertThat(w.unfinished()).as("unfinished at first, seed %d", seed).isNotEmpty();
-    for (int node = 0; node < w.size; node++) {
-      w.startNode(node);
+    assertThat(w.unfinishedJobs()).as("unfinished at first, seed %d", seed).isNotEmpty();
+    for (int node = 0; node < w.controllerCount; node++) {
+      w.startController(node);
     }
     w.time.runUntil(fromMs + TAKEN_OVER_MS);
-    for (int shard = 0; shard < w.size; shard++) {
-      assertThat(w.owner(shard)).as("owner of shard %d, seed %d", shard, seed).matches("n[0-2]");
+    for (int shard = 0; shard < w.controllerCount; shard++) {
+      assertThat(w.leaderOf(shard)).as("owner of shard %d, seed %d", shard, seed).matches("n[0-2]");
     }
     Map<String, String> statuses = ask(w, live);
     assertThat(statuses.keySet()).as("live jobs known, seed %d", seed).isEqualTo(live);
@@ -80,17 +80,17 @@
     w.time.runUntil(fromMs + KNOWN_MS);
     List<String> unknown = new ArrayList<>();
     for (FakeWorker m : machines) {
-      if (!m.gone && m.token() <= tokens.get(m.name)) {
+      if (!m.terminated && m.fencingToken() <= tokens.get(m.name)) {
         unknown.add(m.name);
       }
     }
     assertThat(unknown).as("machines no controller commands, seed %d", seed).isEmpty();
     w.time.runUntil(fromMs + DAY_MS);
-    assertThat(w.judge.violations).as("rules, seed %d", seed).isEmpty();
-    assertThat(w.unfinished()).as("unfinished, seed %d", seed).isEmpty();
-    assertThat(w.lapsed).as("leases ended with tasks, seed %d", seed).isZero();
-    assertThat(w.store.liveKeys("w/j/")).as("live jobs left, seed %d", seed).isZero();
-    assertThat(w.store.liveKeys("w/z/")).as("zones on record, seed %d", seed).isZero();
+    assertThat(w.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+    assertThat(w.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+    assertThat(w.expiredLeasesWithTasks).as("leases ended with tasks, seed %d", seed).isZero();
+    assertThat(w.stateService.countKeys("w/j/")).as("live jobs left, seed %d", seed).isZero();
+    assertThat(w.stateService.countKeys("w/z/")).as("zones on record, seed %d", seed).isZero();
     assertThat(w.machines).as("machines left, seed %d", seed).isEmpty();
     assertStarts(w, seed);
     Set<String> ended = keysBelow("a/");
@@ -106,9 +106,9 @@
         over.add(name(k));
       }
     }
-    assertThat(w.judge.starts)
+    assertThat(w.invariantChecker.startedTasks)
         .as("starts of cancelled or ended jobs, seed %d", seed)
-        .noneMatch(task -> over.contains(InvariantChecker.uid(task)));
+        .noneMatch(task -> over.contains(InvariantChecker.jobId(task)));
     Set<String> running = new TreeSet<>();
     for (JsonNode machine : saved.get("machines")) {
       for (JsonNode task : machine.get("tasks")) {
@@ -117,7 +117,10 @@
         }
       }
     }
-    assertThat(w.judge.starts.stream().filter(running::contains).collect(Collectors.toSet()))
+    assertThat(
+            w.invariantChecker.startedTasks.stream()
+                .filter(running::contains)
+                .collect(Collectors.toSet()))
         .as("tasks that ran and were started again, seed %d", seed)
         .isEmpty();
   }
@@ -151,8 +154,8 @@
   private static Map<String, String> ask(SimulatedCluster w, Set<String> jobs) {
     Map<String, Set<String>> heard = new TreeMap<>();
     for (String job : jobs) {
-      for (int node = 0; node < w.size; node++) {
-        w.call(
+      for (int node = 0; node < w.controllerCount; node++) {
+        w.sendRequest(
             "users",
             "n" + node + ":80",
             "GET",
@@ -160,7 +163,7 @@
             null,
             4_000,
             r -> {
-              String status = w.json(r.body()).path("status").asText();
+              String status = w.parseJson(r.body()).path("status").asText();
               heard
                   .computeIfAbsent(job, j -> new TreeSet<>())
                   .add(r.status() == 200 ? status : "answer " + r.status());
--- a/src/test/java/dev/windbend/daemon/StoredDataWriter.java
+++ b/src/test/java/dev/windbend/daemon/StoredDataWriter.java
@@ -50,22 +50,23 @@
     } catch (InvalidSettingsException e) {
       throw new AssertionError(e);
     }
-    w.leastRunMs = LEAST_RUN_MS;
+    w.additionalRunMs = LEAST_RUN_MS;
     return w;
   }
 
   /** Null: it never holds records of every kind at once. */
   private static ObjectNode day(long seed) {
     SimulatedCluster w = cluster(seed);
-    w.capacity = 24;
-    w.begin(40, 70_000);
-    w.users.values().stream().filter(u -> u.tasks % 3 == 0).forEach(u -> u.type = "t4");
-    ZoneLossTest.lose(w, LOST_MS, LOST_FOR_MS);
+    w.cloudCapacity = 24;
+    w.start(40, 70_000);
+    w.users.values().stream().filter(u -> u.taskCount % 3 == 0).forEach(u -> u.machineType = "t4");
+    ZoneLossTest.loseZone(w, LOST_MS, LOST_FOR_MS);
     w.time.runUntil(LOST_MS);
-    FaultInjection.each(w, 0, 1_000, (int) (LOST_FOR_MS / 1_000), () -> w.cancelNow(1, null));
+    FaultInjection.repeat(
+        w, 0, 1_000, (int) (LOST_FOR_MS / 1_000), () -> w.cancelRunningJobs(1, null));
     for (long now = LOST_MS; now < LOST_MS + LOST_FOR_MS; now += STEP_MS) {
       w.time.runUntil(now);
-      if (w.store.liveKeys("w/z/") == 0) {
+      if (w.stateService.countKeys("w/z/") == 0) {
         continue;
       }
       ObjectNode saved = w.save();
--- a/src/test/java/dev/windbend/daemon/TraceDigest.java
+++ b/src/test/java/dev/windbend/daemon/TraceDigest.java
@@ -40,14 +40,15 @@
   }
 
   @Override
-  public void requested(
+  public void requestSent(
       String node, String address, String method, String path, byte[] body, long limitMs) {
     add(node + " -> " + address + " " + method + " " + path + " limit_ms=" + limitMs, body);
     count(receiver(address) + " " + method + " " + shape(path));
   }
 
   @Override
-  public void answered(String node, String asker, ServerRequest request, ServerResponse answer) {
+  public void responseSent(
+      String node, String asker, ServerRequest request, ServerResponse answer) {
     String asked = request.method() + " " + request.path();
     String status = " status=" + answer.status() + " retry_after_s=" + answer.retryAfterS();
     add(node + " => " + asker + " " + asked + status, answer.body());
@@ -74,7 +75,7 @@
 
   private static String receiver(String address) {
     if (address.startsWith("state:") || address.startsWith("cloud:")) {
-      return SimulatedCluster.to(address);
+      return SimulatedCluster.hostOf(address);
     }
     return address.startsWith("host-") ? "worker" : "peer";
   }
--- a/src/test/java/dev/windbend/daemon/VirtualTime.java
+++ b/src/test/java/dev/windbend/daemon/VirtualTime.java
@@ -6,68 +6,70 @@
 
 /** Simulated time: everything happens in one thread, in the same order every time. */
 final class VirtualTime {
-  private record Event(long atMs, long order, Runnable task) {}
+  private record ScheduledTask(long atMs, long sequence, Runnable task) {}
 
-  private final PriorityQueue<Event> events =
+  private final PriorityQueue<ScheduledTask> events =
       new PriorityQueue<>(
           (a, b) ->
-              a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
+              a.atMs != b.atMs
+                  ? Long.compare(a.atMs, b.atMs)
+                  : Long.compare(a.sequence, b.sequence));
   private long nowMs;
-  private long order;
+  private long nextSequence;
 
   long nowMs() {
     return nowMs;
   }
 
-  void at(long delayMs, Runnable task) {
-    events.add(new Event(nowMs + Math.max(0, delayMs), order++, task));
+  void schedule(long delayMs, Runnable task) {
+    events.add(new ScheduledTask(nowMs + Math.max(0, delayMs), nextSequence++, task));
   }
 
   void runUntil(long endMs) {
     while (!events.isEmpty() && events.peek().atMs <= endMs) {
-      Event e = events.poll();
-      nowMs = e.atMs;
-      e.task.run();
+      ScheduledTask next = events.poll();
+      nowMs = next.atMs;
+      next.task.run();
     }
     nowMs = endMs;
   }
 
   /** A process's own loop: its clocks start anywhere, and nothing of it runs once it is dead. */
   final class ProcessLoop implements EventLoop {
-    private final long offsetMs;
-    private final long wallOffMs;
-    private boolean dead;
-    private long stillUntilMs;
+    private final long monotonicOffsetMs;
+    private final long wallClockOffsetMs;
+    private boolean killed;
+    private long pausedUntilMs;
 
-    private final LongSupplier slowMs;
+    private final LongSupplier eventDelayMs;
 
-    ProcessLoop(long offsetMs, long wallOffMs, LongSupplier slowMs) {
-      this.slowMs = slowMs;
-      this.offsetMs = offsetMs;
-      this.wallOffMs = wallOffMs;
+    ProcessLoop(long monotonicOffsetMs, long wallClockOffsetMs, LongSupplier eventDelayMs) {
+      this.eventDelayMs = eventDelayMs;
+      this.monotonicOffsetMs = monotonicOffsetMs;
+      this.wallClockOffsetMs = wallClockOffsetMs;
     }
 
     void kill() {
-      dead = true;
+      killed = true;
     }
 
-    boolean dead() {
-      return dead;
+    boolean killed() {
+      return killed;
     }
 
     /** It runs nothing for so long, while its clocks go on. */
-    void standStill(long forMs) {
-      stillUntilMs = VirtualTime.this.nowMs + forMs;
+    void pause(long durationMs) {
+      pausedUntilMs = VirtualTime.this.nowMs + durationMs;
     }
 
     /** Now, or when it goes on. */
     void run(Runnable task) {
-      if (dead) {
+      if (killed) {
         return;
       }
-      long wait = stillUntilMs - VirtualTime.this.nowMs;
-      if (wait > 0) {
-        at(wait, () -> run(task));
+      long remainingPauseMs = pausedUntilMs - VirtualTime.this.nowMs;
+      if (remainingPauseMs > 0) {
+        schedule(remainingPauseMs, () -> run(task));
       } else {
         task.run();
       }
@@ -75,28 +77,28 @@
 
     @Override
     public long nowMs() {
-      return nowMs + offsetMs;
+      return nowMs + monotonicOffsetMs;
     }
 
     @Override
     public long wallMs() {
-      return 1_700_000_000_000L + nowMs + wallOffMs;
+      return 1_700_000_000_000L + nowMs + wallClockOffsetMs;
     }
 
     @Override
     public Timer after(long delayMs, Runnable task) {
-      boolean[] off = {false};
-      at(
-          delayMs + slowMs.getAsLong(),
+      boolean[] cancelled = {false};
+      schedule(
+          delayMs + eventDelayMs.getAsLong(),
           () -> {
             run(
                 () -> {
-                  if (!off[0]) {
+                  if (!cancelled[0]) {
                     task.run();
                   }
                 });
           });
-      return () -> off[0] = true;
+      return () -> cancelled[0] = true;
     }
   }
 }
