--- a/src/test/java/dev/windbend/daemon/ZoneLossLoopbackTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossLoopbackTest.java
@@ -9,28 +9,35 @@
 class ZoneLossLoopbackTest {
   private static final int CAPACITY = 600;
   private static final int JOBS = 180;
-  private static final int TASKS = 16;
-  private static final int MOST_S = 120;
+  private static final int MAX_TASKS_PER_JOB = 16;
+  private static final int MAX_WAIT_S = 120;
 
   @Test
-  void noTaskRunsTwiceAndAllWorkEnds() throws Exception {
-    SimulatedCluster stand = new SimulatedCluster(11);
-    stand.policy = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
-    stand.capacity = CAPACITY;
-    stand.loss = 0;
-    stand.late = 0;
-    stand.leastRunMs = 15_000;
-    stand.tasksMost = TASKS;
-    stand.teamCores = 480;
-    ZoneLossTest.lose(stand, 25_000, 25_000);
-    try (LoopbackCluster cluster = new LoopbackCluster(stand)) {
+  void runsNoTaskTwiceAndCompletesAllJobs() throws Exception {
+    SimulatedCluster simulation = new SimulatedCluster(11);
+    simulation.policy = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
+    simulation.cloudCapacity = CAPACITY;
+    simulation.lossProbability = 0;
+    simulation.delayProbability = 0;
+    simulation.additionalRunMs = 15_000;
+    simulation.maxTasksPerJob = MAX_TASKS_PER_JOB;
+    simulation.teamMaxCores = 480;
+    ZoneLossTest.loseZone(simulation, 25_000, 25_000);
+    try (LoopbackCluster cluster = new LoopbackCluster(simulation)) {
       cluster.start(JOBS, 20_000);
-      assertThat(cluster.await(30, () -> stand.time.nowMs() >= 24_500)).isTrue();
-      assertThat(cluster.on(() -> stand.machines.size())).as("workers").isGreaterThan(200);
-      assertThat(cluster.await(20, () -> stand.store.liveKeys("w/z/") > 0)).as("noticed").isTrue();
-      cluster.await(MOST_S, () -> stand.unfinished().isEmpty());
-      assertThat(cluster.on(stand::unfinished)).as("jobs not told to be over").isEmpty();
-      assertThat(cluster.on(() -> List.copyOf(stand.judge.violations))).isEmpty();
+      assertThat(cluster.awaitCondition(30, () -> simulation.time.nowMs() >= 24_500)).isTrue();
+      assertThat(cluster.callOnEventLoop(() -> simulation.machines.size()))
+          .as("workers")
+          .isGreaterThan(200);
+      assertThat(cluster.awaitCondition(20, () -> simulation.stateService.countKeys("w/z/") > 0))
+          .as("noticed")
+          .isTrue();
+      cluster.awaitCondition(MAX_WAIT_S, () -> simulation.unfinishedJobs().isEmpty());
+      assertThat(cluster.callOnEventLoop(simulation::unfinishedJobs))
+          .as("jobs not told to be over")
+          .isEmpty();
+      assertThat(cluster.callOnEventLoop(() -> List.copyOf(simulation.invariantChecker.violations)))
+          .isEmpty();
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/ZoneLossMeasurement.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossMeasurement.java
@@ -12,103 +12,110 @@
  * priority, with zones looked after and without. Not a test: run by hand, as docs/zones.md says.
  */
 final class ZoneLossMeasurement {
-  private static final long LOST_MS = 40_000;
-  private static final long STEP_MS = 500;
+  private static final long LOSS_MS = 40_000;
+  private static final long POLL_INTERVAL_MS = 500;
   private static final long END_MS = 600_000;
-  private static final int DIGITS = 2;
+  private static final int HISTOGRAM_DIGITS = 2;
   private static final int SEEDS = 20;
 
-  private record Day(String name, long lostForMs, int times, long everyMs) {}
+  private record Scenario(String name, long lossDurationMs, int losses, long intervalMs) {}
 
-  private static final List<Day> DAYS =
+  private static final List<Scenario> SCENARIOS =
       List.of(
-          new Day("lost for five minutes", 300_000, 1, 0),
-          new Day("lost for ten seconds", 10_000, 1, 0),
-          new Day("three flaps in ten minutes", 40_000, 3, 150_000));
+          new Scenario("lost for five minutes", 300_000, 1, 0),
+          new Scenario("lost for ten seconds", 10_000, 1, 0),
+          new Scenario("three flaps in ten minutes", 40_000, 3, 150_000));
 
-  private final Map<String, Histogram> afterMs = new TreeMap<>();
+  private final Map<String, Histogram> recoveryMsByCategory = new TreeMap<>();
   private int violations;
-  private int lapsed;
-  private long changes;
+  private int expiredLeases;
+  private long storeChanges;
 
   private ZoneLossMeasurement() {}
 
   public static void main(String[] arguments) throws InvalidSettingsException {
-    Policy on = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
-    for (Day day : DAYS) {
-      print(day, "off", OperatorSettings.defaults());
-      print(day, "on", on);
+    Policy enabled = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
+    for (Scenario scenario : SCENARIOS) {
+      print(scenario, "off", OperatorSettings.defaults());
+      print(scenario, "on", enabled);
     }
   }
 
-  private static void print(Day day, String part, Policy policy) {
-    ZoneLossMeasurement all = new ZoneLossMeasurement();
+  private static void print(Scenario scenario, String zoneHandling, Policy policy) {
+    ZoneLossMeasurement measurement = new ZoneLossMeasurement();
     for (long seed = 1; seed <= SEEDS; seed++) {
-      all.play(day, seed, policy);
+      measurement.run(scenario, seed, policy);
     }
     System.out.printf(
         "%s, part %s: rules broken %d, leases ended with tasks %d, changes %d%n",
-        day.name(), part, all.violations, all.lapsed, all.changes);
-    all.afterMs.forEach(
-        (urgency, h) ->
+        scenario.name(),
+        zoneHandling,
+        measurement.violations,
+        measurement.expiredLeases,
+        measurement.storeChanges);
+    measurement.recoveryMsByCategory.forEach(
+        (category, histogram) ->
             System.out.printf(
                 "  %s: %d tasks, run again or done after p50 %.1f s, p90 %.1f s, last %.1f s%n",
-                urgency,
-                h.getTotalCount(),
-                h.getValueAtPercentile(50) / 1_000.0,
-                h.getValueAtPercentile(90) / 1_000.0,
-                h.getMaxValue() / 1_000.0));
+                category,
+                histogram.getTotalCount(),
+                histogram.getValueAtPercentile(50) / 1_000.0,
+                histogram.getValueAtPercentile(90) / 1_000.0,
+                histogram.getMaxValue() / 1_000.0));
   }
 
-  private void play(Day day, long seed, Policy policy) {
-    SimulatedCluster w = new SimulatedCluster(seed);
-    w.policy = policy;
-    w.leastRunMs = 12_000;
-    w.begin(30, 60_000);
-    for (int i = 0; i < day.times(); i++) {
-      long fromMs = LOST_MS + i * day.everyMs();
-      ZoneLossTest.lose(w, fromMs, day.lostForMs());
-      w.time.at(fromMs, () -> follow(w, fromMs, lostTasks(w)));
+  private void run(Scenario scenario, long seed, Policy policy) {
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.policy = policy;
+    cluster.additionalRunMs = 12_000;
+    cluster.start(30, 60_000);
+    for (int loss = 0; loss < scenario.losses(); loss++) {
+      long fromMs = LOSS_MS + loss * scenario.intervalMs();
+      ZoneLossTest.loseZone(cluster, fromMs, scenario.lossDurationMs());
+      cluster.time.schedule(
+          fromMs, () -> recordRecoveries(cluster, fromMs, tasksInLostZone(cluster)));
     }
-    w.time.runUntil(END_MS);
-    violations += w.judge.violations.size();
-    lapsed += w.lapsed;
-    changes += w.store.changes();
+    cluster.time.runUntil(END_MS);
+    violations += cluster.invariantChecker.violations.size();
+    expiredLeases += cluster.expiredLeasesWithTasks;
+    storeChanges += cluster.stateService.revision();
   }
 
-  private static List<String> lostTasks(SimulatedCluster w) {
-    List<String> all = new ArrayList<>();
-    w.machines.values().stream()
-        .filter(m -> m.zone.equals(ZoneLossTest.ZONE))
-        .forEach(m -> all.addAll(m.running()));
-    return all;
+  private static List<String> tasksInLostZone(SimulatedCluster cluster) {
+    List<String> tasks = new ArrayList<>();
+    cluster.machines.values().stream()
+        .filter(worker -> worker.zone.equals(ZoneLossTest.ZONE))
+        .forEach(worker -> tasks.addAll(worker.runningTasks()));
+    return tasks;
   }
 
   /** Looks again and again which of the tasks run elsewhere, or are done. */
-  private void follow(SimulatedCluster w, long lostMs, List<String> left) {
-    List<String> still = new ArrayList<>();
-    for (String task : left) {
-      SimulatedUser user = w.users.get(InvariantChecker.uid(task));
-      if (w.judge.isFinished(task) || runsElsewhere(w, task)) {
-        afterMs
-            .computeIfAbsent(kind(user), u -> new Histogram(END_MS, DIGITS))
-            .recordValue(w.time.nowMs() - lostMs);
-      } else if (user.toldCancelledMs < 0) {
-        still.add(task);
+  private void recordRecoveries(SimulatedCluster cluster, long lossMs, List<String> tasks) {
+    List<String> remaining = new ArrayList<>();
+    for (String task : tasks) {
+      SimulatedUser user = cluster.users.get(InvariantChecker.jobId(task));
+      if (cluster.invariantChecker.isCompleted(task) || runsInOtherZone(cluster, task)) {
+        recoveryMsByCategory
+            .computeIfAbsent(category(user), unused -> new Histogram(END_MS, HISTOGRAM_DIGITS))
+            .recordValue(cluster.time.nowMs() - lossMs);
+      } else if (user.cancellationConfirmedMs < 0) {
+        remaining.add(task);
       }
     }
-    if (!still.isEmpty()) {
-      w.time.at(STEP_MS, () -> follow(w, lostMs, still));
+    if (!remaining.isEmpty()) {
+      cluster.time.schedule(POLL_INTERVAL_MS, () -> recordRecoveries(cluster, lossMs, remaining));
     }
   }
 
-  private static String kind(SimulatedUser user) {
-    return (user.tasks % 4 == 0 ? "urgent" : "standard")
+  private static String category(SimulatedUser user) {
+    return (user.taskCount % 4 == 0 ? "urgent" : "standard")
         + (user.zone == null ? "" : ", bound to the zone");
   }
 
-  private static boolean runsElsewhere(SimulatedCluster w, String task) {
-    return w.machines.values().stream()
-        .anyMatch(m -> !m.zone.equals(ZoneLossTest.ZONE) && m.running().contains(task));
+  private static boolean runsInOtherZone(SimulatedCluster cluster, String task) {
+    return cluster.machines.values().stream()
+        .anyMatch(
+            worker ->
+                !worker.zone.equals(ZoneLossTest.ZONE) && worker.runningTasks().contains(task));
   }
 }
--- a/src/test/java/dev/windbend/daemon/ZoneLossTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossTest.java
@@ -1,7 +1,7 @@
 package dev.windbend.daemon;
 
-import static dev.windbend.daemon.FaultInjection.crash;
-import static dev.windbend.daemon.FaultInjection.outage;
+import static dev.windbend.daemon.FaultInjection.crashControllers;
+import static dev.windbend.daemon.FaultInjection.stateServiceOutage;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.windbend.shard.Policy;
@@ -16,11 +16,11 @@
 
 /** Days in virtual time on which a zone is lost and returns: no rule breaks, and all work ends. */
 class ZoneLossTest {
-  private static final long DAY_MS = 900_000;
-  private static final long LOST_MS = 40_000;
+  private static final long SCENARIO_MS = 900_000;
+  private static final long LOSS_MS = 40_000;
 
   /** Well after the loss, and before the shortest return. */
-  private static final long SEEN_MS = LOST_MS + 14_000;
+  private static final long DETECTED_MS = LOSS_MS + 14_000;
 
   static final String ZONE = "b";
 
@@ -37,161 +37,174 @@
       widen_s = 5
       """;
 
-  private static boolean uncut(String from, String to) {
+  private static boolean noLinkCut(String from, String to) {
     return false;
   }
 
-  private static Arguments day(String name, int seedBase, Consumer<SimulatedCluster> troubles) {
-    return Arguments.of(name, seedBase, troubles);
+  private static Arguments scenario(String name, int seedBase, Consumer<SimulatedCluster> faults) {
+    return Arguments.of(name, seedBase, faults);
   }
 
-  private static boolean node(String name) {
+  private static boolean isController(String name) {
     return name.matches("n[0-9]");
   }
 
   /** Machines of the zone and controllers hear nothing of each other. */
-  private static BiPredicate<String, String> cutOff(SimulatedCluster w, String zone) {
-    return (from, to) -> (w.inZone(from, zone) && node(to)) || (node(from) && w.inZone(to, zone));
+  private static BiPredicate<String, String> cutZone(SimulatedCluster cluster, String zone) {
+    return (from, to) ->
+        (cluster.isInZone(from, zone) && isController(to))
+            || (isController(from) && cluster.isInZone(to, zone));
   }
 
-  static void lose(SimulatedCluster w, long fromMs, long forMs) {
-    w.time.at(fromMs, () -> w.linkCut = cutOff(w, ZONE));
-    w.time.at(fromMs + forMs, () -> w.linkCut = ZoneLossTest::uncut);
+  static void loseZone(SimulatedCluster cluster, long fromMs, long durationMs) {
+    cluster.time.schedule(fromMs, () -> cluster.linkBlocked = cutZone(cluster, ZONE));
+    cluster.time.schedule(fromMs + durationMs, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
   }
 
-  static Stream<Arguments> days() {
+  static Stream<Arguments> scenarios() {
     return Stream.of(
-        day("lost for a minute", 111_310_758, w -> lose(w, LOST_MS, 60_000)),
-        day(
+        scenario("lost for a minute", 111_310_758, cluster -> loseZone(cluster, LOSS_MS, 60_000)),
+        scenario(
             "three flaps in ten minutes",
             -230_688_923,
-            w -> {
+            cluster -> {
               for (int flap = 0; flap < 3; flap++) {
-                lose(w, LOST_MS + flap * 150_000L, 40_000);
+                loseZone(cluster, LOSS_MS + flap * 150_000L, 40_000);
               }
             }),
-        day(
+        scenario(
             "back while half of its jobs are on the move",
             -1_822_974_905,
-            w -> lose(w, LOST_MS, 17_000)),
-        day(
+            cluster -> loseZone(cluster, LOSS_MS, 17_000)),
+        scenario(
             "flaps every few seconds",
             -85_299_088,
-            w -> {
+            cluster -> {
               for (int flap = 0; flap < 12; flap++) {
-                lose(w, LOST_MS + flap * 18_000L, 12_000 + flap * 500L);
+                loseZone(cluster, LOSS_MS + flap * 18_000L, 12_000 + flap * 500L);
               }
             }),
-        day(
+        scenario(
             "lost together with a controller",
             1_588_861_931,
-            w -> {
-              lose(w, LOST_MS, 60_000);
-              w.time.at(LOST_MS, () -> crash(w, 60_000, 1));
+            cluster -> {
+              loseZone(cluster, LOSS_MS, 60_000);
+              cluster.time.schedule(LOSS_MS, () -> crashControllers(cluster, 60_000, 1));
             }),
-        day(
+        scenario(
             "an outage of the state service during evacuation",
             -2_011_724_388,
-            w -> {
-              lose(w, LOST_MS, 60_000);
-              w.time.at(LOST_MS + 8_000, () -> outage(w, 20_000));
+            cluster -> {
+              loseZone(cluster, LOSS_MS, 60_000);
+              cluster.time.schedule(LOSS_MS + 8_000, () -> stateServiceOutage(cluster, 20_000));
             }),
-        day(
+        scenario(
             "all controllers crash during evacuation",
             1_646_300_465,
-            w -> {
-              lose(w, LOST_MS, 60_000);
-              w.time.at(SEEN_MS, () -> crash(w, 3_000, 0, 1, 2));
+            cluster -> {
+              loseZone(cluster, LOSS_MS, 60_000);
+              cluster.time.schedule(DETECTED_MS, () -> crashControllers(cluster, 3_000, 0, 1, 2));
             }),
-        day(
+        scenario(
             "controllers crash in turn during the return",
             970_459_252,
-            w -> {
-              lose(w, LOST_MS, 30_000);
+            cluster -> {
+              loseZone(cluster, LOSS_MS, 30_000);
               for (int i = 0; i < 3; i++) {
-                int n = i;
-                w.time.at(LOST_MS + 36_000 + 6_000L * i, () -> crash(w, 2_500, n));
+                int controller = i;
+                cluster.time.schedule(
+                    LOSS_MS + 36_000 + 6_000L * i,
+                    () -> crashControllers(cluster, 2_500, controller));
               }
             }),
-        day(
+        scenario(
             "an outage of the state service during the return",
             2_130_986_856,
-            w -> {
-              lose(w, LOST_MS, 30_000);
-              w.time.at(LOST_MS + 37_000, () -> outage(w, 20_000));
+            cluster -> {
+              loseZone(cluster, LOSS_MS, 30_000);
+              cluster.time.schedule(LOSS_MS + 37_000, () -> stateServiceOutage(cluster, 20_000));
             }),
-        day(
+        scenario(
             "its reports arrive, answers and commands don't",
             -1_215_851_440,
-            w -> {
-              w.time.at(LOST_MS, () -> w.linkCut = (from, to) -> node(from) && w.inZone(to, ZONE));
-              w.time.at(LOST_MS + 60_000, () -> w.linkCut = ZoneLossTest::uncut);
+            cluster -> {
+              cluster.time.schedule(
+                  LOSS_MS,
+                  () ->
+                      cluster.linkBlocked =
+                          (from, to) -> isController(from) && cluster.isInZone(to, ZONE));
+              cluster.time.schedule(
+                  LOSS_MS + 60_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
             }),
-        day(
+        scenario(
             "commands arrive, its reports don't",
             350_871_508,
-            w -> {
-              Runnable mute =
+            cluster -> {
+              Runnable muteZone =
                   () ->
-                      w.machines.values().stream()
-                          .filter(m -> m.zone.equals(ZONE))
-                          .forEach(m -> w.mute.add(m.name));
-              FaultInjection.each(w, LOST_MS, 1_000, 60, mute);
-              w.time.at(LOST_MS + 60_000, w.mute::clear);
+                      cluster.machines.values().stream()
+                          .filter(worker -> worker.zone.equals(ZONE))
+                          .forEach(worker -> cluster.machinesWithBlockedRequests.add(worker.name));
+              FaultInjection.repeat(cluster, LOSS_MS, 1_000, 60, muteZone);
+              cluster.time.schedule(LOSS_MS + 60_000, cluster.machinesWithBlockedRequests::clear);
             }),
-        day(
+        scenario(
             "lost for one controller only",
             -1_364_984_541,
-            w -> {
-              BiPredicate<String, String> whole = cutOff(w, ZONE);
-              w.time.at(
-                  LOST_MS,
+            cluster -> {
+              BiPredicate<String, String> zoneCut = cutZone(cluster, ZONE);
+              cluster.time.schedule(
+                  LOSS_MS,
                   () ->
-                      w.linkCut =
+                      cluster.linkBlocked =
                           (from, to) ->
-                              (from.equals("n1") || to.equals("n1")) && whole.test(from, to));
-              w.time.at(LOST_MS + 60_000, () -> w.linkCut = ZoneLossTest::uncut);
+                              (from.equals("n1") || to.equals("n1")) && zoneCut.test(from, to));
+              cluster.time.schedule(
+                  LOSS_MS + 60_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
             }),
-        day(
+        scenario(
             "the cloud has nothing elsewhere",
             -2_032_921_637,
-            w -> {
-              lose(w, LOST_MS, 60_000);
-              w.time.at(LOST_MS, () -> w.capacity = 0);
+            cluster -> {
+              loseZone(cluster, LOSS_MS, 60_000);
+              cluster.time.schedule(LOSS_MS, () -> cluster.cloudCapacity = 0);
             }),
-        day(
+        scenario(
             "all zones lost one after the other",
             -1_212_698_945,
-            w -> {
-              w.time.at(LOST_MS, () -> w.linkCut = cutOff(w, ZONE));
-              w.time.at(LOST_MS + 50_000, () -> w.linkCut = cutOff(w, "a"));
-              w.time.at(LOST_MS + 100_000, () -> w.linkCut = ZoneLossTest::uncut);
+            cluster -> {
+              cluster.time.schedule(LOSS_MS, () -> cluster.linkBlocked = cutZone(cluster, ZONE));
+              cluster.time.schedule(
+                  LOSS_MS + 50_000, () -> cluster.linkBlocked = cutZone(cluster, "a"));
+              cluster.time.schedule(
+                  LOSS_MS + 100_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
             }),
-        day(
+        scenario(
             "late copies of reports after the return",
             1_272_297_178,
-            w -> {
-              w.copies = 0.3;
-              w.copyMs = 90_000;
-              lose(w, LOST_MS, 40_000);
+            cluster -> {
+              cluster.duplicateHeartbeatProbability = 0.3;
+              cluster.maxDuplicateDelayMs = 90_000;
+              loseZone(cluster, LOSS_MS, 40_000);
             }),
-        day(
+        scenario(
             "jobs are cancelled during the move",
             776_680_250,
-            w -> {
-              lose(w, LOST_MS, 60_000);
-              FaultInjection.each(w, LOST_MS + 4_000, 4_000, 4, () -> w.cancelNow(2, null));
+            cluster -> {
+              loseZone(cluster, LOSS_MS, 60_000);
+              FaultInjection.repeat(
+                  cluster, LOSS_MS + 4_000, 4_000, 4, () -> cluster.cancelRunningJobs(2, null));
             }));
   }
 
-  static SimulatedCluster cluster(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed);
-    w.policy = policy(SETTINGS);
-    w.leastRunMs = 12_000;
-    return w;
+  static SimulatedCluster newCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.policy = parsePolicy(SETTINGS);
+    cluster.additionalRunMs = 12_000;
+    return cluster;
   }
 
-  private static Policy policy(String settings) {
+  private static Policy parsePolicy(String settings) {
     try {
       return OperatorSettings.parse(settings, List.of("a", "b"));
     } catch (InvalidSettingsException e) {
@@ -199,80 +212,89 @@
     }
   }
 
-  private static void keepsTheRules(SimulatedCluster w, long seed) {
-    assertThat(w.judge.violations).as("rules, seed %d", seed).isEmpty();
-    assertThat(w.unfinished()).as("unfinished, seed %d", seed).isEmpty();
-    assertThat(w.store.largestValue).as("bytes of a value").isLessThan(4096);
-    assertThat(w.store.liveKeys("w/j/")).as("live jobs").isZero();
-    assertThat(w.machines).as("machines").isEmpty();
+  private static void assertInvariantsHoldAndAllJobsComplete(SimulatedCluster cluster, long seed) {
+    assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+    assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+    assertThat(cluster.stateService.largestValueBytes).as("bytes of a value").isLessThan(4096);
+    assertThat(cluster.stateService.countKeys("w/j/")).as("live jobs").isZero();
+    assertThat(cluster.machines).as("machines").isEmpty();
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("days")
-  void keepsTheRulesAndEndsAllWork(String name, int seedBase, Consumer<SimulatedCluster> troubles) {
-    int noticed = 0;
+  @MethodSource("scenarios")
+  void preservesInvariantsAndCompletesAllJobs(
+      String name, int seedBase, Consumer<SimulatedCluster> faults) {
+    int lossRecords = 0;
     for (long seed = 1; seed <= 4; seed++) {
-      SimulatedCluster w = cluster(seed * 7_919 + seedBase);
-      w.begin(30, 90_000);
-      w.judge.calmFromMs = 460_000;
-      troubles.accept(w);
-      w.time.runUntil(LOST_MS - 1);
-      assertThat(w.store.liveKeys("w/z/")).as("records while all is well").isZero();
-      w.time.runUntil(SEEN_MS);
-      noticed += w.store.liveKeys("w/z/");
-      w.time.runUntil(DAY_MS);
-      keepsTheRules(w, seed);
-      assertThat(w.store.liveKeys("w/z/")).as("records once the backoff has decayed").isZero();
+      SimulatedCluster cluster = newCluster(seed * 7_919 + seedBase);
+      cluster.start(30, 90_000);
+      cluster.invariantChecker.faultsEndMs = 460_000;
+      faults.accept(cluster);
+      cluster.time.runUntil(LOSS_MS - 1);
+      assertThat(cluster.stateService.countKeys("w/z/")).as("records while all is well").isZero();
+      cluster.time.runUntil(DETECTED_MS);
+      lossRecords += cluster.stateService.countKeys("w/z/");
+      cluster.time.runUntil(SCENARIO_MS);
+      assertInvariantsHoldAndAllJobsComplete(cluster, seed);
+      assertThat(cluster.stateService.countKeys("w/z/"))
+          .as("records once the backoff has decayed")
+          .isZero();
     }
-    assertThat(noticed).as("losses on record").isPositive();
+    assertThat(lossRecords).as("losses on record").isPositive();
   }
 
   /** Half of a zone: its machines are judged one by one, and the zone is not given up. */
   @org.junit.jupiter.api.Test
-  void halfAZoneLostIsNoLostZone() {
+  void completesAllJobsWhenHalfAZoneIsUnreachable() {
     for (long seed = 1; seed <= 4; seed++) {
-      SimulatedCluster w = cluster(seed);
-      w.begin(30, 90_000);
-      BiPredicate<String, String> whole = cutOff(w, ZONE);
-      BiPredicate<String, String> half =
-          (from, to) -> even(from) && even(to) && whole.test(from, to);
-      w.time.at(LOST_MS, () -> w.linkCut = half);
-      w.time.at(LOST_MS + 60_000, () -> w.linkCut = ZoneLossTest::uncut);
-      w.judge.calmFromMs = 150_000;
-      w.time.runUntil(DAY_MS);
-      keepsTheRules(w, seed);
+      SimulatedCluster cluster = newCluster(seed);
+      cluster.start(30, 90_000);
+      BiPredicate<String, String> zoneCut = cutZone(cluster, ZONE);
+      BiPredicate<String, String> halfZoneCut =
+          (from, to) ->
+              isControllerOrEvenMachine(from)
+                  && isControllerOrEvenMachine(to)
+                  && zoneCut.test(from, to);
+      cluster.time.schedule(LOSS_MS, () -> cluster.linkBlocked = halfZoneCut);
+      cluster.time.schedule(LOSS_MS + 60_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
+      cluster.invariantChecker.faultsEndMs = 150_000;
+      cluster.time.runUntil(SCENARIO_MS);
+      assertInvariantsHoldAndAllJobsComplete(cluster, seed);
     }
   }
 
-  private static boolean even(String name) {
-    return node(name) || name.charAt(name.length() - 1) % 2 == 0;
+  private static boolean isControllerOrEvenMachine(String name) {
+    return isController(name) || name.charAt(name.length() - 1) % 2 == 0;
   }
 
   /** Jobs that may run in the lost zone only wait, and their users are told what for. */
   @org.junit.jupiter.api.Test
-  void usersAreToldThatAJobWaitsForItsZone() {
-    SimulatedCluster w = cluster(3);
-    w.loss = 0;
-    w.late = 0;
-    w.begin(24, 20_000);
-    w.time.at(LOST_MS, () -> w.linkCut = cutOff(w, ZONE));
-    SimulatedUser bound = new SimulatedUser(w, 900, 2, ZONE, true, false);
-    w.time.at(SEEN_MS, bound::submit);
-    Map<String, String> heard = new java.util.HashMap<>();
-    w.time.at(
-        SEEN_MS + 2_000,
+  void reportsThatJobWaitsForUnreachableZone() {
+    SimulatedCluster cluster = newCluster(3);
+    cluster.lossProbability = 0;
+    cluster.delayProbability = 0;
+    cluster.start(24, 20_000);
+    cluster.time.schedule(LOSS_MS, () -> cluster.linkBlocked = cutZone(cluster, ZONE));
+    SimulatedUser zoneBoundUser = new SimulatedUser(cluster, 900, 2, ZONE, true, false);
+    cluster.time.schedule(DETECTED_MS, zoneBoundUser::submit);
+    Map<String, String> received = new java.util.HashMap<>();
+    cluster.time.schedule(
+        DETECTED_MS + 2_000,
         () ->
-            w.call(
+            cluster.sendRequest(
                 "users",
                 "n0:80",
                 "GET",
-                "/v1/jobs/" + bound.uid,
+                "/v1/jobs/" + zoneBoundUser.jobId,
                 null,
                 2_000,
-                r -> heard.put("reason", w.json(r.body()).path("reason").asText())));
-    w.time.at(SEEN_MS + 30_000, () -> w.linkCut = ZoneLossTest::uncut);
-    w.time.runUntil(DAY_MS);
-    assertThat(heard).containsEntry("reason", "zone b is unreachable");
-    keepsTheRules(w, 3);
+                response ->
+                    received.put(
+                        "reason", cluster.parseJson(response.body()).path("reason").asText())));
+    cluster.time.schedule(
+        DETECTED_MS + 30_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
+    cluster.time.runUntil(SCENARIO_MS);
+    assertThat(received).containsEntry("reason", "zone b is unreachable");
+    assertInvariantsHoldAndAllJobsComplete(cluster, 3);
   }
 }
