--- a/src/test/java/dev/windbend/job/SubmissionValidatorTest.java
+++ b/src/test/java/dev/windbend/job/SubmissionValidatorTest.java
@@ -87,6 +87,10 @@
   }
 
   /** Each field: missing, null and of another type; a job that lacks one must not be accepted. */
+  /**
+   * Tests each field when it is missing, null, or of another type. Only optional fields may be
+   * missing or null.
+   */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "uid, false",
@@ -110,10 +114,6 @@
     "stow_s, false",
     "due_s, true"
   })
-  /**
-   * Tests each field when it is missing, null, or of another type. Only optional fields may be
-   * missing or null.
-   */
   void rejectsFieldThatIsMissingOrOfWrongType(String field, boolean optional) throws Exception {
     ObjectNode valid = (ObjectNode) MAPPER.readTree(json(VALID));
     assertThat(valid.has(field)).isTrue();
