--- a/src/test/java/dev/windbend/job/SubmissionValidatorTest.java
+++ b/src/test/java/dev/windbend/job/SubmissionValidatorTest.java
@@ -86,10 +86,9 @@
         .isInstanceOf(SubmissionValidator.MalformedSubmissionException.class);
   }
 
-  /** Each field: missing, null and of another type; a job that lacks one must not be accepted. */
   /**
    * Tests each field when it is missing, null, or of another type. Only optional fields may be
-   * missing or null.
+   * missing or null; a job that lacks another field must not be accepted.
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
