--- a/src/test/java/dev/windbend/ArchitecturePageTest.java
+++ b/src/test/java/dev/windbend/ArchitecturePageTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** docs/architecture.md names only classes and packages that exist. */
+/** Checks the names of classes and packages in docs/architecture.md against the main sources. */
 class ArchitecturePageTest {
   private static final Path PAGE = Path.of("docs/architecture.md");
   private static final Path SOURCES = Path.of("src/main/java/dev/windbend");
--- a/src/test/java/dev/windbend/ArchitectureTest.java
+++ b/src/test/java/dev/windbend/ArchitectureTest.java
@@ -12,16 +12,19 @@
 import com.tngtech.archunit.lang.ArchRule;
 import java.util.Set;
 
-/** Which package may depend on which, and where wire names may stand. */
+/** Checks the dependencies between packages and which types may use Jackson annotations. */
 @AnalyzeClasses(packages = "dev.windbend", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-  /** Types with wire names that are not in a message or record file yet; only gets shorter. */
+  /**
+   * Types outside of message and record files that still use Jackson annotations. Types may be
+   * removed from the set, but not added.
+   */
   private static final Set<String> JSON_ANNOTATION_EXCEPTIONS =
       Set.of("Cancellations", "JobSpec", "Urgency", "ZoneState", "ZoneStatus");
 
   private static final DescribedPredicate<JavaClass> MAY_USE_JSON_ANNOTATIONS =
       describe(
-          "in a message or record file",
+          "in a *Messages or *Record file, Json or one of JSON_ANNOTATION_EXCEPTIONS",
           type -> {
             JavaClass outer = type;
             while (outer.getEnclosingClass().isPresent()) {
--- a/src/test/java/dev/windbend/daemon/BehaviourTrace.java
+++ b/src/test/java/dev/windbend/daemon/BehaviourTrace.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.params.provider.Arguments;
 
 /**
- * Shows whether two versions of the sources behave alike: plays days of the simulated cluster with
- * every trouble that the tests know, and prints for each a digest of all that the controllers send
- * (see {@link TraceDigest}), then how many messages of each kind that were. Equal lines: equal
- * bytes, order and virtual time of all messages. It compares versions and asserts nothing; CI
- * doesn't run it. Run by hand, from the root:
+ * Compares the behaviour of two versions of the sources. Runs the simulated cluster through the
+ * fault scenarios of the tests and prints for each scenario a digest of all messages that the
+ * controllers send (see {@link TraceDigest}), and at the end the total number of messages of each
+ * kind. Equal lines mean that the bytes, the order and the virtual times of all messages are equal.
+ * The program asserts nothing and is not run by CI. Run it by hand from the repository root:
  *
  * <pre>
  * mvn -q -o -B test-compile
@@ -34,14 +34,15 @@
  *   dev.windbend.daemon.BehaviourTrace &gt; digests.txt
  * </pre>
  *
- * <p>Options: {@code --seeds N} plays each day with seeds 1 to N (1 if not given), {@code --threads
- * N} at once (4 if not given), {@code --dump FILE DAY SEED} writes the messages of one day, by its
- * name in the first column, as text to compare with another version's.
+ * <p>Options: {@code --seeds N} runs each scenario with the seeds 1 to N (default 1). {@code
+ * --threads N} runs N scenarios concurrently (default 4). {@code --dump FILE SCENARIO SEED} runs
+ * one scenario, given by its name in the first column, and writes its messages as text to the file,
+ * for comparison with the file of another version.
  */
 final class BehaviourTrace {
   private static final long SCENARIO_MS = 240_000;
   private static final long LONG_SCENARIO_MS = 360_000;
-  private static final long RESPONSE_CHECK_START_MS = 150_000;
+  private static final long FAULTS_END_MS = 150_000;
   private static final long FAULT_SEQUENCE_START_MS = 30_000;
   private static final long EXTRA_REQUESTS_INTERVAL_MS = 20_000;
   private static final long HEALTH_CHECK_INTERVAL_MS = 700;
@@ -53,10 +54,11 @@
   private static final long SEED_STEP = 7_919;
 
   /**
-   * @param name table of the tests and place in it: rewording a test's name changes no digest
-   * @param index place among all days
-   * @param newCluster a cluster of a seed, not begun
-   * @param run begins it, plays the troubles and runs the day
+   * @param name name of the test table and the row number in it; independent of the row's
+   *     description, so that rewording the description changes no line of the output
+   * @param index position in the list of all scenarios; part of the seed
+   * @param newCluster creates a cluster from a seed, without starting it
+   * @param run starts the cluster, injects the faults and runs the cluster to the end
    */
   private record Scenario(
       String name,
@@ -70,7 +72,7 @@
 
   public static void main(String[] arguments)
       throws IOException, InterruptedException, ExecutionException {
-    // Before any logger is made.
+    // Has to be set before the first logger is created.
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "off");
     List<String> options = Arrays.asList(arguments);
     int dumpIndex = options.indexOf("--dump");
@@ -90,13 +92,13 @@
 
   private static void dump(Path file, String name, long seed) throws IOException {
     Scenario scenario =
-        scenarios().stream().filter(d -> d.name().equals(name)).findFirst().orElseThrow();
+        scenarios().stream().filter(s -> s.name().equals(name)).findFirst().orElseThrow();
     try (PrintWriter out = new PrintWriter(Files.newBufferedWriter(file, StandardCharsets.UTF_8))) {
       System.out.println(run(scenario, seed, out).outputLine());
     }
   }
 
-  /** Days may be played at the same time: each is a cluster of its own, in one thread. */
+  /** Scenarios can run concurrently because each has its own cluster, used by one thread only. */
   private static void printAll(int seeds, int threads)
       throws InterruptedException, ExecutionException {
     ExecutorService pool = Executors.newFixedThreadPool(threads);
@@ -126,7 +128,8 @@
     try {
       scenario.run().accept(cluster);
     } catch (AssertionError e) {
-      // A check within a table of troubles; the tests judge it with their own seeds.
+      // An assertion made while injecting faults failed with this seed. The scenario ends here;
+      // the tests check such assertions with their own seeds.
       endNote = " ended at " + cluster.time.nowMs() + " ms by a check";
     }
     String line =
@@ -135,7 +138,7 @@
     return new Result(line, digest.messageCounts());
   }
 
-  // ---- days
+  // ---- scenarios
 
   private static List<Scenario> scenarios() {
     List<Scenario> scenarios = new ArrayList<>();
@@ -168,7 +171,7 @@
               scenarios.size(),
               newCluster,
               cluster -> {
-                cluster.invariantChecker.faultsEndMs = RESPONSE_CHECK_START_MS;
+                cluster.invariantChecker.faultsEndMs = FAULTS_END_MS;
                 faults.accept(cluster);
                 cluster.start(JOB_COUNT, JOB_SUBMISSION_PERIOD_MS);
                 cluster.time.runUntil(durationMs);
@@ -176,7 +179,10 @@
     }
   }
 
-  /** Cancellations that meet an outage; long tasks, and an owner chosen in the middle. */
+  /**
+   * Adds the scenarios in which cancellations coincide with an outage. Tasks run for a long time,
+   * and the faults affect the controller that leads shard 0 when the faults begin.
+   */
   private static void addFaultSequences(List<Scenario> scenarios) {
     for (Arguments row : ConcurrentFaultsTest.faultSequences().toList()) {
       @SuppressWarnings("unchecked")
@@ -200,18 +206,18 @@
   }
 
   private static String nextName(List<Scenario> scenarios, String table) {
-    return table + "-" + (1 + scenarios.stream().filter(d -> d.name().startsWith(table)).count());
+    return table + "-" + (1 + scenarios.stream().filter(s -> s.name().startsWith(table)).count());
   }
 
-  /** The faults of a row are in its last column. */
+  /** Returns the last column of the row, which injects the faults. */
   private static Object faults(Arguments row) {
     Object[] columns = row.get();
     return columns[columns.length - 1];
   }
 
-  // ---- visits
+  // ---- additional requests
 
-  /** Often enough to see the moment at which a controller's answer changes. */
+  /** Requests {@code /up} often enough to show when a controller's response changes. */
   private static void checkHealthPeriodically(SimulatedCluster cluster) {
     for (int n = 0; n < cluster.controllerCount; n++) {
       send(cluster, "n" + n + ":80", "GET", "/up", null);
@@ -219,7 +225,10 @@
     cluster.time.schedule(HEALTH_CHECK_INTERVAL_MS, () -> checkHealthPeriodically(cluster));
   }
 
-  /** What the days' users, workers and peers never ask: metrics, zones, faulty requests. */
+  /**
+   * Sends the requests that the users, workers and peers of a scenario never send: for metrics and
+   * zones, and invalid ones.
+   */
   private static void sendExtraRequestsPeriodically(SimulatedCluster cluster) {
     for (int index = 0; index < cluster.controllerCount; index++) {
       String controller = "n" + index;
@@ -240,7 +249,7 @@
     cluster.time.schedule(EXTRA_REQUESTS_INTERVAL_MS, () -> sendExtraRequestsPeriodically(cluster));
   }
 
-  /** A job that can't be accepted. */
+  /** A submission that the controllers reject. */
   private static String invalidJob(String team, int cores, int gpus) {
     return ("{\"uid\":\"wk-999997\",\"fleet\":\"f\",\"crew\":\"%s\",\"shape\":\"batch\","
             + "\"urgency\":\"standard\",\"drops\":1,\"cores\":%d.0,\"cards\":%d.0,\"ram_gb\":1.0,"
--- a/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
+++ b/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
@@ -29,8 +29,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * What others see of windbend beside the messages: keys, paths, headers and metrics, all as
- * literals.
+ * Checks the external interface of a controller apart from the JSON messages: keys in the state
+ * service, paths, statuses, headers and metrics. The expected values are literals, so that renaming
+ * a constant can't change the interface unnoticed.
  */
 class OuterSurfaceTest {
   private static final String ZONE_MONITORING_ENABLED = "[zone]\nenabled = true\n";
@@ -38,19 +39,19 @@
 
   private static final String KEY_PATH = "/keys/";
 
-  /** Keys written, with 0 for each number in them. */
+  /** Keys that controllers write, with 0 in place of each number. */
   private final TreeSet<String> writtenKeys = new TreeSet<>();
 
-  /** Keys read one by one, in the same form. */
+  /** Keys that controllers read one at a time, with 0 in place of each number. */
   private final TreeSet<String> readKeys = new TreeSet<>();
 
-  /** Ids of entries in pages, in the same form. */
+  /** Ids of the entries of written pages, with 0 in place of each number. */
   private final TreeSet<String> pageEntryIds = new TreeSet<>();
 
-  /** NameIndex of requests for machines, in the same form. */
+  /** Names of scale-out requests to the cloud, with 0 in place of each number. */
   private final TreeSet<String> scaleOutRequestNames = new TreeSet<>();
 
-  /** Requests that nodes send, by receiver, method and path. */
+  /** Receiver, method and path of each request that controllers send. */
   private final TreeSet<String> requests = new TreeSet<>();
 
   private SimulatedCluster newCluster(String settings) throws InvalidSettingsException {
@@ -110,7 +111,7 @@
     }
   }
 
-  /** A day with all that makes nodes write keys and send requests. */
+  /** Includes every event that makes controllers write a kind of key or send a kind of request. */
   private void runZoneLossScenario() throws InvalidSettingsException {
     SimulatedCluster cluster = newCluster(ZONE_MONITORING_ENABLED);
     cluster.delivery =
@@ -127,14 +128,13 @@
     cluster.time.runUntil(300_000);
   }
 
-  /** The keys below which the state service keeps each kind of record, and what they end in. */
   @Test
   void writesExpectedKeysAndSendsExpectedRequests() throws InvalidSettingsException {
     runZoneLossScenario();
     assertThat(writtenKeys)
         .containsExactlyInAnyOrder(
             "a/wk-0", "w/c/0", "w/h/0/g0-0-0", "w/h/0/p0-0-0", "w/j/wk-0", "w/p/0/0", "w/z/0/b");
-    assertThat(writtenKeys).as("keys read").containsAll(readKeys);
+    assertThat(writtenKeys).as("written keys include each key that is read").containsAll(readKeys);
     assertThat(readKeys).contains("a/wk-0", "w/j/wk-0");
     assertThat(pageEntryIds).containsExactlyInAnyOrder("wk-0/0", "wk-0:0");
     assertThat(scaleOutRequestNames).containsExactly("p0-0-0");
@@ -156,7 +156,7 @@
             "worker POST /commands");
   }
 
-  /** What nodes and operators ask; ControllerTest has what users and workers ask. */
+  /** Covers requests of peers and operators; ControllerTest covers those of users and workers. */
   @ParameterizedTest(name = "{0} {1} {2} {3}: {4}")
   @CsvSource(
       delimiter = '|',
@@ -198,7 +198,7 @@
     assertThat(call(cluster, "n0:" + port, method, path, requestBody).status()).isEqualTo(status);
   }
 
-  /** A user who asks for what does not exist or can't be answered gets an empty object. */
+  /** Responses without content have an empty JSON object as their body. */
   @Test
   void returnsEmptyObjectForUnknownPathAndHealthCheck() throws InvalidSettingsException {
     SimulatedCluster cluster = newCluster("");
@@ -256,7 +256,7 @@
           + "'cores':1.0,'cards':0.0,'ram_gb':1.0,'load':'i','pull_gb':1.0,'haul_s':5.0,"
           + "'together':false,'spread':false,'standby':true,'waypoint_s':0.0,'stow_s':0.0}";
 
-  /** The answers to submissions in full; ControllerTest has more cases of their status. */
+  /** Checks status and body of the response; ControllerTest checks the status in more cases. */
   @ParameterizedTest(name = "{0} -> {1}: {2} {3}")
   @CsvSource(
       delimiter = '|',
@@ -289,7 +289,10 @@
     assertThat(response.body()).asString().isEqualTo(expectedBody);
   }
 
-  /** A user whom a node can't answer for now is told to come back after a second. */
+  /**
+   * The controller gets no response to any of its requests, so it can't answer the user's request
+   * yet.
+   */
   @ParameterizedTest(name = "{0} {1}")
   @CsvSource({
     "POST,/v1/jobs",
--- a/src/test/java/dev/windbend/daemon/StoredDataTest.java
+++ b/src/test/java/dev/windbend/daemon/StoredDataTest.java
@@ -17,17 +17,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Controllers start on a state service filled by an earlier release, with a zone lost and all kinds
- * of records on it, while the machines run what they ran. {@link StoredDataWriter} wrote the file.
+ * Guards against changes that make controllers misread the records of an earlier release. The
+ * controllers start with a state service that holds records of every kind, written while a zone was
+ * lost, and the machines continue to run their tasks. {@link StoredDataWriter} wrote the file.
  */
 class StoredDataTest {
   private static final String FILE = "/dev/windbend/stored-day.json";
   private static final long SCENARIO_MS = 900_000;
 
-  /** The dead controllers' leases have ended, and their successors have taken over by then. */
+  /** Time by which the leases of the previous leaders have expired and every shard has a leader. */
   private static final long FAILOVER_DONE_MS = 30_000;
 
-  /** All machines have had an answer, or are found to be gone. */
+  /** Time by which each machine has received a response or is confirmed terminated. */
   private static final long MACHINES_RECOVERED_MS = 60_000;
 
   private static JsonNode saved;
@@ -63,57 +64,72 @@
     List<FakeWorker> machines = List.copyOf(cluster.machines.values());
     Set<String> liveJobs = idsUnderPrefix("w/j/");
     assertThat(cluster.users)
-        .as("a user for each job on record")
+        .as("users include one for each stored live job")
         .containsKeys(liveJobs.toArray(String[]::new));
     assertThat(cluster.users).containsKeys(idsUnderPrefix("a/").toArray(String[]::new));
-    assertThat(cluster.unfinishedJobs()).as("unfinished at first, seed %d", seed).isNotEmpty();
+    assertThat(cluster.unfinishedJobs())
+        .as("unfinished jobs at the start, seed %d", seed)
+        .isNotEmpty();
     for (int controller = 0; controller < cluster.controllerCount; controller++) {
       cluster.startController(controller);
     }
     cluster.time.runUntil(fromMs + FAILOVER_DONE_MS);
     for (int shard = 0; shard < cluster.controllerCount; shard++) {
       assertThat(cluster.leaderOf(shard))
-          .as("owner of shard %d, seed %d", shard, seed)
+          .as("leader of shard %d, seed %d", shard, seed)
           .matches("n[0-2]");
     }
     Map<String, String> statuses = queryStatuses(cluster, liveJobs);
-    assertThat(statuses.keySet()).as("live jobs known, seed %d", seed).isEqualTo(liveJobs);
+    assertThat(statuses.keySet())
+        .as("stored live jobs with a response, seed %d", seed)
+        .isEqualTo(liveJobs);
     assertThat(statuses.values()).isSubsetOf("pending", "running", "done", "aborted");
     cluster.time.runUntil(fromMs + MACHINES_RECOVERED_MS);
     List<String> notCommanded = new ArrayList<>();
-    for (FakeWorker m : machines) {
-      if (!m.terminated && m.fencingToken() <= initialTokens.get(m.name)) {
-        notCommanded.add(m.name);
+    for (FakeWorker machine : machines) {
+      if (!machine.terminated && machine.fencingToken() <= initialTokens.get(machine.name)) {
+        notCommanded.add(machine.name);
       }
     }
-    assertThat(notCommanded).as("machines no controller commands, seed %d", seed).isEmpty();
+    assertThat(notCommanded)
+        .as("running machines without commands from a new leader, seed %d", seed)
+        .isEmpty();
     cluster.time.runUntil(fromMs + SCENARIO_MS);
-    assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-    assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+    assertThat(cluster.invariantChecker.violations)
+        .as("violated invariants, seed %d", seed)
+        .isEmpty();
+    assertThat(cluster.unfinishedJobs()).as("unfinished jobs at the end, seed %d", seed).isEmpty();
     assertThat(cluster.expiredLeasesWithTasks)
-        .as("leases ended with tasks, seed %d", seed)
+        .as("machine leases expired with tasks on the machine, seed %d", seed)
+        .isZero();
+    assertThat(cluster.stateService.countKeys("w/j/"))
+        .as("stored live jobs at the end, seed %d", seed)
         .isZero();
-    assertThat(cluster.stateService.countKeys("w/j/")).as("live jobs left, seed %d", seed).isZero();
     assertThat(cluster.stateService.countKeys("w/z/"))
-        .as("zones on record, seed %d", seed)
+        .as("stored zones at the end, seed %d", seed)
         .isZero();
-    assertThat(cluster.machines).as("machines left, seed %d", seed).isEmpty();
+    assertThat(cluster.machines).as("machines at the end, seed %d", seed).isEmpty();
     assertNoUnexpectedStarts(cluster, seed);
     Set<String> endedJobs = idsUnderPrefix("a/");
     Map<String, String> endedJobStatuses = queryStatuses(cluster, endedJobs);
-    assertThat(endedJobStatuses).as("ended jobs, seed %d", seed).isEqualTo(storedEndedStatuses());
+    assertThat(endedJobStatuses)
+        .as("statuses of the ended jobs, seed %d", seed)
+        .isEqualTo(storedEndedStatuses());
   }
 
-  /** What ran goes on where it is, and nothing of a cancelled or ended job is started. */
+  /**
+   * Asserts that neither tasks that were running when the cluster was saved nor tasks of cancelled
+   * or ended jobs are started.
+   */
   private static void assertNoUnexpectedStarts(SimulatedCluster cluster, long seed) {
     Set<String> cancelledOrEndedJobs = idsUnderPrefix("a/");
-    for (JsonNode k : saved.get("store").get("keys")) {
-      if (k.get("value").path("cancelled").asBoolean()) {
-        cancelledOrEndedJobs.add(lastPathSegment(k));
+    for (JsonNode entry : saved.get("store").get("keys")) {
+      if (entry.get("value").path("cancelled").asBoolean()) {
+        cancelledOrEndedJobs.add(lastPathSegment(entry));
       }
     }
     assertThat(cluster.invariantChecker.startedTasks)
-        .as("starts of cancelled or ended jobs, seed %d", seed)
+        .as("started tasks, none of a cancelled or ended job, seed %d", seed)
         .noneMatch(task -> cancelledOrEndedJobs.contains(InvariantChecker.jobId(task)));
     Set<String> running = new TreeSet<>();
     for (JsonNode machine : saved.get("machines")) {
@@ -127,7 +143,7 @@
             cluster.invariantChecker.startedTasks.stream()
                 .filter(running::contains)
                 .collect(Collectors.toSet()))
-        .as("tasks that ran and were started again, seed %d", seed)
+        .as("running tasks that were started again, seed %d", seed)
         .isEmpty();
   }
 
@@ -138,9 +154,9 @@
 
   private static Set<String> idsUnderPrefix(String prefix) {
     Set<String> ids = new TreeSet<>();
-    for (JsonNode k : saved.get("store").get("keys")) {
-      if (k.get("key").asText().startsWith(prefix)) {
-        ids.add(lastPathSegment(k));
+    for (JsonNode entry : saved.get("store").get("keys")) {
+      if (entry.get("key").asText().startsWith(prefix)) {
+        ids.add(lastPathSegment(entry));
       }
     }
     return ids;
@@ -148,15 +164,18 @@
 
   private static Map<String, String> storedEndedStatuses() {
     Map<String, String> statuses = new HashMap<>();
-    for (JsonNode k : saved.get("store").get("keys")) {
-      if (k.get("key").asText().startsWith("a/")) {
-        statuses.put(lastPathSegment(k), k.get("value").get("s").asText());
+    for (JsonNode entry : saved.get("store").get("keys")) {
+      if (entry.get("key").asText().startsWith("a/")) {
+        statuses.put(lastPathSegment(entry), entry.get("value").get("s").asText());
       }
     }
     return statuses;
   }
 
-  /** Asks every node about each job; all must agree. Jobs that are not found are left out. */
+  /**
+   * Requests the status of each job from every controller. The result of a job lists the distinct
+   * responses, joined by "and", so the caller's comparison fails if controllers disagree.
+   */
   private static Map<String, String> queryStatuses(SimulatedCluster cluster, Set<String> jobs) {
     Map<String, Set<String>> statusesByJob = new TreeMap<>();
     for (String job : jobs) {
--- a/src/test/java/dev/windbend/daemon/StoredDataWriter.java
+++ b/src/test/java/dev/windbend/daemon/StoredDataWriter.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 
 /**
- * Wrote {@code stored-day.json}: a cluster in the middle of a day on which a zone is lost, at the
- * first moment at which it holds records of every kind. Not a test, and not to be run again for it:
- * the file stands for data that earlier releases have left in the state service. The one argument
- * is a file that must not exist yet.
+ * Wrote {@code stored-day.json}, the saved state of a simulated cluster during the loss of a zone,
+ * at the first time at which the cluster holds records of every kind. The file represents data that
+ * an earlier release left in the state service, so it must not be written again with a later
+ * release. The only argument is the path of the output file, which must not exist yet.
  */
 final class StoredDataWriter {
-  static final long MIN_RUN_TIME_MS = 12_000;
+  static final long ADDITIONAL_RUN_TIME_MS = 12_000;
   private static final long ZONE_LOSS_START_MS = 40_000;
   private static final long ZONE_LOSS_DURATION_MS = 60_000;
   private static final long STEP_MS = 50;
@@ -27,7 +27,7 @@
   public static void main(String[] arguments) throws IOException {
     Path file = Path.of(arguments[0]);
     if (Files.exists(file)) {
-      throw new IOException(file + " is there and stays as it is");
+      throw new IOException(file + " already exists and is not overwritten");
     }
     for (long seed = 1; seed <= MAX_SEED; seed++) {
       ObjectNode saved = runScenario(seed);
@@ -39,10 +39,10 @@
         return;
       }
     }
-    throw new IllegalStateException("no such moment");
+    throw new IllegalStateException("no seed gives a cluster with records of every kind");
   }
 
-  /** A cluster to be loaded with, or to come to, such a moment. */
+  /** Creates the cluster that is to be saved, or into which the saved state is to be loaded. */
   static SimulatedCluster newCluster(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     try {
@@ -50,11 +50,11 @@
     } catch (InvalidSettingsException e) {
       throw new AssertionError(e);
     }
-    cluster.additionalRunMs = MIN_RUN_TIME_MS;
+    cluster.additionalRunMs = ADDITIONAL_RUN_TIME_MS;
     return cluster;
   }
 
-  /** Null: it never holds records of every kind at once. */
+  /** Returns the saved cluster, or null if it never holds records of every kind at once. */
   private static ObjectNode runScenario(long seed) {
     SimulatedCluster cluster = newCluster(seed);
     cluster.cloudCapacity = 24;
--- a/src/test/java/dev/windbend/daemon/StoredDay.java
+++ b/src/test/java/dev/windbend/daemon/StoredDay.java
@@ -13,9 +13,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What a saved cluster holds, record by record: each must be read and written back unchanged. */
+/**
+ * Counts the records of a saved cluster by kind and checks that deserializing and serializing a
+ * record does not change it.
+ */
 final class StoredDay {
-  /** What the stored file must hold for the test to mean anything. */
+  /** The test is conclusive only if the saved cluster holds at least one item of each kind. */
   enum Kind {
     LIVE_JOB,
     CANCELLED_LIVE_JOB,
@@ -44,7 +47,7 @@
 
   private final Map<Kind, Integer> counts = new EnumMap<>(Kind.class);
 
-  /** The shards with a record that names the machine. */
+  /** For each machine, the shards that have a record with the machine's name. */
   private final Map<String, Set<String>> shardsByMachine = new HashMap<>();
 
   private StoredDay() {
@@ -54,9 +57,10 @@
   }
 
   /**
-   * How many there are of each kind.
+   * Counts the items of each kind.
    *
-   * @throws AssertionError if a record is of no known kind or can't be read as a whole
+   * @throws AssertionError if a record is of an unknown kind, is incomplete, or changes when it is
+   *     deserialized and serialized
    */
   static Map<Kind, Integer> count(JsonNode saved) {
     StoredDay recordCounts = new StoredDay();
@@ -90,18 +94,18 @@
         require(value.path("owner").isTextual(), key);
         increment(Kind.SHARD_CLAIM);
       }
-      default -> throw new AssertionError("of no known kind: " + key);
+      default -> throw new AssertionError("unknown kind of record, key " + key);
     }
   }
 
-  /** Nothing of it is lost or named otherwise when it is read and written back. */
+  /** Deserializes the value and checks that serializing the result gives the same JSON. */
   private static <T> T readUnchanged(String key, JsonNode value, Class<T> type) {
     T record = Json.read(value, type);
     require(record != null, key);
     String rewritten = new String(Json.write(record), StandardCharsets.UTF_8);
     require(
         rewritten.equals(value.toString()),
-        key + " holds " + value + ", written back as " + rewritten);
+        key + " with value " + value + ", serialized as " + rewritten);
     return record;
   }
 
@@ -182,7 +186,7 @@
 
   private static void require(boolean condition, String description) {
     if (!condition) {
-      throw new AssertionError("unreadable: " + description);
+      throw new AssertionError("record is incomplete or not serialized as stored: " + description);
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/TraceDigest.java
+++ b/src/test/java/dev/windbend/daemon/TraceDigest.java
@@ -12,9 +12,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Digests the messages of the controllers of one day, in their order: virtual time, ends, method,
- * path, time limit or status and Retry-After, and the bytes of the body. No name of a class or a
- * member of the sources goes into it.
+ * Computes a digest of the messages that the controllers send in one scenario, in the order of
+ * sending. For each message, the digest covers the virtual time, sender and receiver, method, path,
+ * the timeout of a request or the status and Retry-After of a response, and the bytes of the body.
+ * The digest does not depend on names of classes or members, so renaming them does not change it.
  */
 final class TraceDigest implements MessageRecorder {
   private static final byte[] NO_BODY = {};
@@ -26,8 +27,8 @@
   private int messageCount;
 
   /**
-   * @param nowMs virtual time
-   * @param dump takes each message as text; null: nobody reads them
+   * @param nowMs supplies the current virtual time
+   * @param dump receives each message as text; null if the messages are not to be written
    */
   TraceDigest(LongSupplier nowMs, PrintWriter dump) {
     this.nowMs = nowMs;
@@ -49,10 +50,10 @@
 
   @Override
   public void responseSent(
-      String controller, String client, ServerRequest request, ServerResponse response) {
+      String controller, String requester, ServerRequest request, ServerResponse response) {
     String methodAndPath = request.method() + " " + request.path();
     String status = " status=" + response.status() + " retry_after_s=" + response.retryAfterS();
-    addMessage(controller + " => " + client + " " + methodAndPath + status, response.body());
+    addMessage(controller + " => " + requester + " " + methodAndPath + status, response.body());
     countMessage(
         "answer " + request.method() + " " + pathPattern(request.path()) + " " + response.status());
   }
@@ -82,13 +83,16 @@
     return address.startsWith("host-") ? "worker" : "peer";
   }
 
-  /** The path without what differs from one job, machine or revision to the next. */
+  /**
+   * Removes what differs between jobs, machines and revisions: the query, and each path segment
+   * with a digit except {@code v1}, which is replaced by {@code *}.
+   */
   private static String pathPattern(String path) {
     String pathWithoutQuery = path.indexOf('?') < 0 ? path : path.substring(0, path.indexOf('?'));
     return pathWithoutQuery.replaceAll("/(?!v1/)[^/]*\\d[^/]*", "/*");
   }
 
-  /** Of all messages so far; nothing may be recorded after it. */
+  /** Returns the digest of all recorded messages. No message may be recorded after this call. */
   String finishHex() {
     return HexFormat.of().formatHex(digest.digest());
   }
@@ -97,7 +101,9 @@
     return messageCount;
   }
 
-  /** Messages by receiver, method and path; answers by method, path and status. */
+  /**
+   * Number of requests by receiver, method and path, and of responses by method, path and status.
+   */
   Map<String, Integer> messageCounts() {
     return messageCounts;
   }
