--- a/src/test/java/dev/windbend/JsonAssertions.java
+++ b/src/test/java/dev/windbend/JsonAssertions.java
@@ -8,34 +8,30 @@
 import java.util.stream.Collectors;
 
 /**
- * Asserts the exact JSON form of messages and stored records. Line breaks and indentation in the
- * expected JSON are ignored; every other character is compared.
+ * Compares messages and records with the exact JSON that stands for them. In the JSON line ends and
+ * the indentation of lines do not count; everything else does.
  */
 public final class JsonAssertions {
   private JsonAssertions() {}
 
-  /** Asserts that the object serializes to the JSON, both directly and through a tree. */
+  /** The object is written as these bytes, directly as well as by way of a tree. */
   public static void assertSerializesTo(Object object, String json) {
     assertThat(utf8Text(Json.write(object))).isEqualTo(toSingleLine(json));
     assertThat(utf8Text(Json.write(Json.tree(object))))
-        .as("JSON serialized through a tree")
+        .as("by way of a tree")
         .isEqualTo(toSingleLine(json));
   }
 
-  /**
-   * Asserts that the JSON deserializes to the expected object, also with an unknown field added.
-   */
+  /** These bytes are read as the object, also with a field beside them that nobody knows. */
   public static <T> void assertDeserializesTo(String json, Class<T> type, T expected) {
     assertThat(Json.read(utf8Bytes(toSingleLine(json)), type)).isEqualTo(expected);
-    assertThat(Json.read(parseTree(json), type)).as("deserialized from a tree").isEqualTo(expected);
+    assertThat(Json.read(parseTree(json), type)).as("from a tree").isEqualTo(expected);
     assertThat(Json.read(utf8Bytes(withUnknownField(json)), type))
-        .as("deserialized with an unknown field added")
+        .as("with an unknown field")
         .isEqualTo(expected);
   }
 
-  /**
-   * Asserts that the object serializes to the JSON and that the JSON deserializes to the object.
-   */
+  /** The object is written as these bytes, and they are read as the object. */
   public static <T> void assertRoundTrip(T object, String json) {
     assertSerializesTo(object, json);
     @SuppressWarnings("unchecked")
@@ -44,22 +40,23 @@
   }
 
   /**
-   * Does the same as {@link #assertRoundTrip} for records with arrays. Arrays are equal only if
-   * identical, so the deserialized object is serialized again and the bytes are compared.
+   * As {@link #assertRoundTrip}, for records with arrays, which equal only themselves: what is read
+   * is written as the same bytes.
    */
   public static void assertRoundTripOfBytes(Object object, String json) {
     assertSerializesTo(object, json);
     assertThat(utf8Text(Json.write(Json.read(utf8Bytes(toSingleLine(json)), object.getClass()))))
         .isEqualTo(toSingleLine(json));
     assertThat(utf8Text(Json.write(Json.read(parseTree(json), object.getClass()))))
-        .as("deserialized from a tree")
+        .as("from a tree")
         .isEqualTo(toSingleLine(json));
     assertThat(
             utf8Text(Json.write(Json.read(utf8Bytes(withUnknownField(json)), object.getClass()))))
-        .as("deserialized with an unknown field added")
+        .as("with an unknown field")
         .isEqualTo(toSingleLine(json));
   }
 
+  /** The tree of the JSON. */
   public static JsonNode parseTree(String json) {
     return Json.read(utf8Bytes(toSingleLine(json)), JsonNode.class);
   }
