--- a/src/test/java/dev/windbend/JsonAssertions.java
+++ b/src/test/java/dev/windbend/JsonAssertions.java
@@ -8,30 +8,34 @@
 import java.util.stream.Collectors;
 
 /**
- * Compares messages and records with the exact JSON that stands for them. In the JSON line ends and
- * the indentation of lines do not count; everything else does.
+ * Asserts the exact JSON form of messages and stored records. Line breaks and indentation in the
+ * expected JSON are ignored; every other character is compared.
  */
 public final class JsonAssertions {
   private JsonAssertions() {}
 
-  /** The object is written as these bytes, directly as well as by way of a tree. */
+  /** Asserts that the object serializes to the JSON, both directly and through a tree. */
   public static void assertSerializesTo(Object object, String json) {
     assertThat(utf8Text(Json.write(object))).isEqualTo(toSingleLine(json));
     assertThat(utf8Text(Json.write(Json.tree(object))))
-        .as("by way of a tree")
+        .as("JSON serialized through a tree")
         .isEqualTo(toSingleLine(json));
   }
 
-  /** These bytes are read as the object, also with a field beside them that nobody knows. */
+  /**
+   * Asserts that the JSON deserializes to the expected object, also with an unknown field added.
+   */
   public static <T> void assertDeserializesTo(String json, Class<T> type, T expected) {
     assertThat(Json.read(utf8Bytes(toSingleLine(json)), type)).isEqualTo(expected);
-    assertThat(Json.read(parseTree(json), type)).as("from a tree").isEqualTo(expected);
+    assertThat(Json.read(parseTree(json), type)).as("deserialized from a tree").isEqualTo(expected);
     assertThat(Json.read(utf8Bytes(withUnknownField(json)), type))
-        .as("with an unknown field")
+        .as("deserialized with an unknown field added")
         .isEqualTo(expected);
   }
 
-  /** The object is written as these bytes, and they are read as the object. */
+  /**
+   * Asserts that the object serializes to the JSON and that the JSON deserializes to the object.
+   */
   public static <T> void assertRoundTrip(T object, String json) {
     assertSerializesTo(object, json);
     @SuppressWarnings("unchecked")
@@ -40,23 +44,22 @@
   }
 
   /**
-   * As {@link #assertRoundTrip}, for records with arrays, which equal only themselves: what is read
-   * is written as the same bytes.
+   * Does the same as {@link #assertRoundTrip} for records with arrays. Arrays are equal only if
+   * identical, so the deserialized object is serialized again and the bytes are compared.
    */
   public static void assertRoundTripOfBytes(Object object, String json) {
     assertSerializesTo(object, json);
     assertThat(utf8Text(Json.write(Json.read(utf8Bytes(toSingleLine(json)), object.getClass()))))
         .isEqualTo(toSingleLine(json));
     assertThat(utf8Text(Json.write(Json.read(parseTree(json), object.getClass()))))
-        .as("from a tree")
+        .as("deserialized from a tree")
         .isEqualTo(toSingleLine(json));
     assertThat(
             utf8Text(Json.write(Json.read(utf8Bytes(withUnknownField(json)), object.getClass()))))
-        .as("with an unknown field")
+        .as("deserialized with an unknown field added")
         .isEqualTo(toSingleLine(json));
   }
 
-  /** The tree of the JSON. */
   public static JsonNode parseTree(String json) {
     return Json.read(utf8Bytes(toSingleLine(json)), JsonNode.class);
   }
