--- a/src/test/java/dev/windbend/daemon/CancellationWaveTest.java
+++ b/src/test/java/dev/windbend/daemon/CancellationWaveTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Many users cancel within a moment, and others' jobs get the room. */
+/** Many users cancel their jobs at the same time, and waiting jobs get the freed capacity. */
 class CancellationWaveTest {
   private static final int MACHINES = 60;
   private static final int JOBS = 144;
   private static final long WAITING_JOBS_FROM_MS = 60_000;
   private static final long CANCELLATIONS_MS = 90_000;
 
-  /** Guards against placements that wait until the ends of all cancelled jobs are on record. */
+  /** Guards against placement that waits until the ends of all cancelled jobs are stored. */
   @Tag("known-red")
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
@@ -49,9 +49,13 @@
             .sorted()
             .toArray();
     assertThat(waitingUsers).allMatch(user -> user.firstTaskStartedMs >= 0);
-    assertThat(waitsMs[JOBS * 3 / 4]).as("three quarters of them begin within").isLessThan(1_500);
-    assertThat(waitsMs[JOBS - 1]).as("all of them begin within").isLessThan(5_000);
-    assertThat(cluster.stateService.countKeys("w/j/")).as("live jobs").isEqualTo(JOBS);
+    assertThat(waitsMs[JOBS * 3 / 4])
+        .as("wait in ms of three quarters of the jobs after the cancellations")
+        .isLessThan(1_500);
+    assertThat(waitsMs[JOBS - 1])
+        .as("longest wait in ms after the cancellations")
+        .isLessThan(5_000);
+    assertThat(cluster.stateService.countKeys("w/j/")).as("remaining job records").isEqualTo(JOBS);
     assertThat(cluster.invariantChecker.violations).isEmpty();
   }
 }
--- a/src/test/java/dev/windbend/daemon/ConcurrentFaultsTest.java
+++ b/src/test/java/dev/windbend/daemon/ConcurrentFaultsTest.java
@@ -18,13 +18,16 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Two troubles meet: days in virtual time, named after the operators' list of such meetings. */
+/**
+ * Scenarios in virtual time with several faults at the same time, named after the operators' list
+ * of such combinations.
+ */
 class ConcurrentFaultsTest {
   private static final long SCENARIO_MS = 600_000;
   private static final long FAULTS_FROM_MS = 30_000;
   private static final long OUTAGE_MS = 62_000;
 
-  /** What else happens when cancellations meet the end of the state service's answers. */
+  /** Faults that coincide with cancellations just before an outage of the state service. */
   private static Arguments faultSequence(
       String name,
       int seedBase,
@@ -38,7 +41,10 @@
     cluster.time.schedule(durationMs, () -> machines.forEach(worker -> worker.hung = false));
   }
 
-  /** Refused alone, and 2 s later out for all. */
+  /**
+   * The state service refuses requests of the leader only; 2 s later an outage affects all
+   * controllers.
+   */
   private static void refuseThenOutage(SimulatedCluster cluster, String leader) {
     cluster.stateService.refusedControllers.add(leader);
     cluster.time.schedule(14_000, () -> cluster.stateService.refusedControllers.clear());
@@ -48,7 +54,7 @@
   static Stream<Arguments> faultSequences() {
     return Stream.of(
         faultSequence(
-            "refused alone, another node confirms, then out for all",
+            "leader refused, another controller confirms cancellations, then general outage",
             1_670_303_998,
             true,
             (cluster, leader) -> {
@@ -56,7 +62,7 @@
               cluster.time.schedule(1_000, () -> cluster.cancelRunningJobs(6, leader));
             }),
         faultSequence(
-            "cancelled at the very moment at which the owner is refused, then out for all",
+            "jobs cancelled at the moment the leader is refused, then general outage",
             985_899_756,
             true,
             (cluster, leader) -> {
@@ -64,7 +70,7 @@
               refuseThenOutage(cluster, leader);
             }),
         faultSequence(
-            "the owner knows, but its machines hang until its hold may have ended",
+            "leader knows the cancellations, machines hang until its lease may have expired",
             975_720_275,
             true,
             (cluster, leader) -> {
@@ -72,7 +78,7 @@
               cluster.time.schedule(500, () -> stateServiceOutage(cluster, OUTAGE_MS));
             }),
         faultSequence(
-            "the confirming node is back at once within the outage",
+            "the controller that confirmed cancellations restarts during the outage",
             -400_908_559,
             false,
             (cluster, leader) -> {
@@ -81,7 +87,7 @@
               for (int n = 0; n < cluster.controllerCount; n++) {
                 int controller = n;
                 if (!("n" + n).equals(leader)) {
-                  // Before the owner can have asked it anything.
+                  // Blocks the link before the leader can have queried this controller.
                   cluster.time.schedule(
                       1_020, () -> blockLinks(cluster, "n" + controller, List.of(leader)));
                   cluster.time.schedule(3_000, () -> cluster.killController(controller, 300));
@@ -90,7 +96,7 @@
               }
             }),
         faultSequence(
-            "the owner hears no other node",
+            "the leader cannot connect to any other controller",
             2_001_639_514,
             false,
             (cluster, leader) -> {
@@ -105,9 +111,10 @@
   }
 
   /**
-   * The state service refuses the owner of shards alone, another node confirms cancellations, then
-   * it is out for all for longer than {@code cancel_s}: the tasks are gone in time, and where the
-   * owner can learn which they are the others' work goes on.
+   * The state service refuses only the leader, another controller confirms cancellations, and then
+   * an outage of the state service lasts longer than {@code cancel_s}. The cancelled tasks must
+   * stop in time. Where the leader can learn which tasks were cancelled, all other tasks must keep
+   * running.
    */
   @ParameterizedTest(name = "{0}")
   @MethodSource("faultSequences")
@@ -122,9 +129,9 @@
       cluster.delayProbability = 0;
       cluster.additionalRunMs = 150_000;
       cluster.earliestCancellationMs = SCENARIO_MS;
-      // Nothing may rely on direct commands: they are a quicker way, and often get lost.
+      // Cancellation must not depend on direct commands, which are faster but often get lost.
       cluster.dropCommands = seed > 1;
-      // Enough for all teams at their limits: what is judged here is not shortage.
+      // Enough capacity for all teams at their limits: this test does not cover shortage.
       cluster.cloudCapacity = 60;
       cluster.start(30, 15_000);
       cluster.time.runUntil(FAULTS_FROM_MS);
@@ -134,12 +141,14 @@
       cluster.time.runUntil(cluster.invariantChecker.faultsEndMs);
       if (keepsOtherTasks) {
         assertThat(cluster.expiredLeasesWithTasks)
-            .as("leases, seed %d", seed)
+            .as("no machine lease expires with tasks, seed %d", seed)
             .isEqualTo(expiredLeases);
       }
       cluster.time.runUntil(3 * SCENARIO_MS);
-      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+      assertThat(cluster.invariantChecker.violations)
+          .as("no invariant is violated, seed %d", seed)
+          .isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("all jobs are finished, seed %d", seed).isEmpty();
     }
   }
 
@@ -147,8 +156,8 @@
     return Arguments.of(name, seedBase, faults);
   }
 
-  /** Takes some machines of a zone, without notice. */
-  private static void takeMachinesOfZone(SimulatedCluster cluster, String zone, int count) {
+  /** Lets the cloud reclaim up to {@code count} machines of a zone without notice. */
+  private static void reclaimMachinesOfZone(SimulatedCluster cluster, String zone, int count) {
     cluster.machines.values().stream()
         .filter(worker -> worker.zone.equals(zone))
         .limit(count)
@@ -156,7 +165,10 @@
         .forEach(cluster::reclaimMachine);
   }
 
-  /** Cut from the state service and the other nodes, not from workers and users. */
+  /**
+   * Isolates a controller from the state service and the other controllers, but not from workers
+   * and users.
+   */
   private static void isolateFromStateServiceAndPeers(
       SimulatedCluster cluster, String controller, long durationMs) {
     cluster.stateService.refusedControllers.add(controller);
@@ -173,18 +185,18 @@
         });
   }
 
-  /** The tasks of jobs just cancelled are gone soon, by direct commands. */
+  /** Asserts that direct commands have stopped all tasks of cancelled jobs after a delay. */
   private static void assertCancelledTasksStoppedAfter(
       SimulatedCluster cluster, List<FakeWorker> machines, long delayMs) {
     cluster.time.schedule(
         delayMs,
         () ->
             assertThat(cluster.cancelledJobsWithTasks())
-                .as("tasks of cancelled jobs on %d machines", machines.size())
+                .as("cancelled jobs that still have tasks, among %d machines", machines.size())
                 .isEmpty());
   }
 
-  /** Again and again the first shard's owner of that moment ends, and is back after a while. */
+  /** Repeatedly crashes the current leader of the first shard and restarts it after a delay. */
   private static void crashLeaderRepeatedly(
       SimulatedCluster cluster, long fromMs, long intervalMs, int times, long restartDelayMs) {
     repeat(
@@ -199,11 +211,11 @@
     return controller == null ? 0 : controller.charAt(1) - '0';
   }
 
-  /** The operators' list, in its order. */
+  /** The combinations of the operators' list, in the same order. */
   static Stream<Arguments> concurrentFaults() {
     return Stream.of(
         scenario(
-            "the state service answers slowly, then refuses the leader and then everybody",
+            "the state service responds slowly, then refuses the leader, then all controllers",
             800_819_197,
             cluster -> {
               cluster.time.schedule(20_000, () -> cluster.maxStateServiceDelayMs = 1_500);
@@ -212,14 +224,14 @@
               cluster.time.schedule(50_000, () -> refuseThenOutage(cluster, cluster.leaderOf(0)));
             }),
         scenario(
-            "jobs bound to one zone, arrays too, lose machines",
+            "jobs bound to one zone, including array jobs, lose machines",
             -2_034_016_510,
             cluster -> {
-              repeat(cluster, 20_000, 7_000, 10, () -> takeMachinesOfZone(cluster, "b", 3));
-              repeat(cluster, 23_000, 11_000, 6, () -> takeMachinesOfZone(cluster, "a", 2));
+              repeat(cluster, 20_000, 7_000, 10, () -> reclaimMachinesOfZone(cluster, "b", 3));
+              repeat(cluster, 23_000, 11_000, 6, () -> reclaimMachinesOfZone(cluster, "a", 2));
             }),
         scenario(
-            "a report is held back until a new leader has acted, and then arrives there",
+            "a heartbeat is delayed until a new leader has acted, and then reaches that leader",
             1_811_502_502,
             cluster -> {
               cluster.duplicateHeartbeatProbability = 0.5;
@@ -227,7 +239,7 @@
               crashLeaderRepeatedly(cluster, 20_000, 12_000, 8, 9_000);
             }),
         scenario(
-            "a team at its limit, the leader changes, machines can't be asked, jobs are cancelled",
+            "a team at its limit while leaders change, machines hang and jobs are cancelled",
             1_074_662_724,
             cluster -> {
               cluster.additionalRunMs = 20_000;
@@ -245,7 +257,7 @@
                   });
             }),
         scenario(
-            "a leader is cut from state service and nodes, jobs are cancelled through the new one",
+            "an isolated leader, with jobs cancelled through the next leader",
             1_294_540_671,
             cluster -> {
               cluster.additionalRunMs = 40_000;
@@ -261,7 +273,7 @@
                   });
             }),
         scenario(
-            "a command or its answer is held up for seconds, and the machine then goes on",
+            "a command or its response is delayed for seconds, and then the machine resumes",
             -1_703_062_844,
             cluster -> {
               cluster.maxHeartbeatDelayMs = 4_500;
@@ -274,7 +286,7 @@
               repeat(cluster, 25_000, 9_000, 6, () -> cluster.cancelRunningJobs(1, null));
             }),
         scenario(
-            "workers can't open connections to any controller",
+            "workers cannot open connections to any controller",
             -1_326_698_942,
             cluster -> {
               cluster.additionalRunMs = 20_000;
@@ -294,14 +306,14 @@
                           cluster, cluster.cancelRunningJobs(4, null), 2_000));
             }),
         scenario(
-            "more work than room, urgent and not, over slow links",
+            "more urgent and standard work than capacity, over slow links",
             421_972_189,
             cluster -> {
               cluster.cloudCapacity = 8;
               cluster.maxHeartbeatDelayMs = 1_500;
             }),
         scenario(
-            "controllers hand over and back, all end, and one returns, also within a second",
+            "leadership moves back and forth, all controllers crash, one restarts within 1 s",
             660_085_499,
             cluster -> {
               crashLeaderRepeatedly(cluster, 20_000, 8_000, 4, 5_000);
@@ -315,7 +327,7 @@
               cluster.time.schedule(95_900, () -> crashControllers(cluster, 200, 1));
             }),
         scenario(
-            "leaders change ten times in two minutes, also inside an outage",
+            "ten leader changes within two minutes, also during an outage",
             1_767_765_470,
             cluster -> {
               cluster.additionalRunMs = 10_000;
@@ -324,7 +336,7 @@
               repeat(cluster, 40_000, 9_000, 5, () -> cluster.cancelRunningJobs(1, null));
             }),
         scenario(
-            "a zone with workers and a controller is cut off for longer than a lease",
+            "a zone with workers and a controller is isolated for longer than a lease",
             1_673_882_115,
             cluster -> {
               cluster.additionalRunMs = 20_000;
@@ -351,7 +363,7 @@
                   });
             }),
         scenario(
-            "an old report arrives after newer ones, also of an earlier session or attempt",
+            "an old heartbeat, also of an earlier session or attempt, arrives after newer ones",
             611_181_345,
             cluster -> {
               cluster.duplicateHeartbeatProbability = 0.5;
@@ -370,7 +382,7 @@
                   () -> crashControllers(cluster, 300, cluster.random.nextInt(3)));
             }),
         scenario(
-            "a leader ends while machines with long tasks can't be reached or don't hear the new one",
+            "a leader crashes while machines with long tasks hang or receive no responses",
             -598_686_661,
             cluster -> {
               cluster.additionalRunMs = 30_000;
@@ -389,11 +401,11 @@
                   });
             }),
         scenario(
-            "a cancellation, a question or a repetition meets the end of a job's last task",
+            "a cancellation, a query or a repeated submission arrives as the last task ends",
             -75_479_856,
             cluster -> cluster.usersActAtJobEnd = true),
         scenario(
-            "cancelled at the moment of the refusal, and a second later it is out for all",
+            "jobs are cancelled as the leader is refused, one second before a general outage",
             -1_558_311_254,
             cluster -> {
               cluster.additionalRunMs = 60_000;
@@ -410,7 +422,7 @@
                   });
             }),
         scenario(
-            "jobs of two or three tasks end far apart across a change of leader",
+            "tasks of jobs of up to three tasks end far apart, across a leader change",
             905_131_434,
             cluster -> {
               cluster.maxTasksPerJob = 3;
@@ -418,7 +430,7 @@
               crashLeaderRepeatedly(cluster, 25_000, 20_000, 5, 8_000);
             }),
         scenario(
-            "all controllers are away for longer than a lease",
+            "all controllers are down for longer than a lease",
             8_108_286,
             cluster -> {
               cluster.additionalRunMs = 15_000;
@@ -426,7 +438,7 @@
               cluster.time.schedule(80_000, () -> crashControllers(cluster, 30_000, 0, 1, 2));
             }),
         scenario(
-            "a transaction without an answer is carried out late, after newer ones",
+            "a transaction without a response is executed late, after newer transactions",
             -1_047_322_060,
             cluster -> {
               cluster.delayedWriteProbability = 0.1;
@@ -440,7 +452,7 @@
               cluster.time.schedule(110_000, () -> cluster.delayedWriteProbability = 0);
             }),
         scenario(
-            "one-task jobs come four a second for minutes, a quarter of them cancelled",
+            "four one-task jobs per second for two minutes, a quarter of them cancelled",
             -1_505_989_216,
             cluster -> {
               cluster.cloudCapacity = 45;
@@ -457,7 +469,7 @@
                   () -> crashControllers(cluster, 3_000, cluster.random.nextInt(3)));
             }),
         scenario(
-            "a command of a leader that has ended or was deposed arrives after the new leader's",
+            "a command of a crashed or deposed leader arrives after the next leader's commands",
             -1_810_020_084,
             cluster -> {
               cluster.additionalRunMs = 20_000;
@@ -474,7 +486,7 @@
                   });
             }),
         scenario(
-            "jobs are cancelled in the seconds in which a shard changes hands",
+            "jobs are cancelled while the leader of a shard changes",
             -1_140_270_066,
             cluster -> {
               cluster.additionalRunMs = 15_000;
@@ -489,7 +501,7 @@
                   });
             }),
         scenario(
-            "all teams at their limits, cancelled jobs' machines cut off or hung, a new leader",
+            "teams at their limits, machines of cancelled jobs isolated or hung, leader changes",
             1_456_254_512,
             cluster -> {
               cluster.additionalRunMs = 40_000;
@@ -515,7 +527,7 @@
                   });
             }),
         scenario(
-            "users look at all nodes within milliseconds, mirrors lag, nodes restart or are refused",
+            "users query all controllers at once, replicas lag, controllers restart or are refused",
             -1_838_197_352,
             cluster -> {
               cluster.usersQueryAllControllers = true;
@@ -543,7 +555,7 @@
                   () -> cluster.stateService.refusedControllers.clear());
             }),
         scenario(
-            "new machines are up within two seconds while writes lag, and the leader ends",
+            "machines start within two seconds while writes are slow and the leader crashes",
             -102_219_639,
             cluster -> {
               cluster.minBootMs = 200;
@@ -558,7 +570,7 @@
                   15_000,
                   6,
                   () -> {
-                    takeMachinesOfZone(cluster, "a", 4);
+                    reclaimMachinesOfZone(cluster, "a", 4);
                     cluster.time.schedule(
                         1_500,
                         () ->
@@ -568,7 +580,7 @@
               cluster.time.schedule(120_000, () -> cluster.maxStateServiceDelayMs = 0);
             }),
         scenario(
-            "a transaction is carried out at once and only its answer is lost",
+            "a transaction is executed at once and only its response is lost",
             -1_208_034_964,
             cluster -> {
               cluster.lostWriteResponseProbability = 0.15;
@@ -584,7 +596,7 @@
               cluster.time.schedule(110_000, () -> cluster.lostWriteResponseProbability = 0);
             }),
         scenario(
-            "an old report reaches every controller just as a new leader begins",
+            "an old heartbeat reaches every controller as a new leader recovers",
             -1_497_568_344,
             cluster -> {
               cluster.additionalRunMs = 10_000;
@@ -616,10 +628,12 @@
       faults.accept(cluster);
       cluster.start(30, 90_000);
       cluster.time.runUntil(2 * SCENARIO_MS);
-      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
-      assertThat(cluster.stateService.countKeys("w/j/")).as("live jobs").isZero();
-      assertThat(cluster.machines).as("machines").isEmpty();
+      assertThat(cluster.invariantChecker.violations)
+          .as("no invariant is violated, seed %d", seed)
+          .isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("all jobs are finished, seed %d", seed).isEmpty();
+      assertThat(cluster.stateService.countKeys("w/j/")).as("remaining job records").isZero();
+      assertThat(cluster.machines).as("remaining machines").isEmpty();
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/InvariantsTest.java
+++ b/src/test/java/dev/windbend/daemon/InvariantsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Whole days in virtual time under each kind of trouble: no rule breaks, and all work ends. */
+/** Scenarios in virtual time for each kind of fault: all invariants hold, and all jobs finish. */
 class InvariantsTest {
   private static final long SCENARIO_MS = 600_000;
 
@@ -30,18 +30,18 @@
 
   static Stream<Arguments> scenarios() {
     return Stream.of(
-        scenario("quiet", 107_947_572, cluster -> {}),
+        scenario("no faults", 107_947_572, cluster -> {}),
         scenario(
-            "one node crashes",
+            "one controller crashes",
             1_507_492_337,
             cluster -> cluster.time.schedule(20_000, () -> crashControllers(cluster, 4_000, 1))),
         scenario(
-            "all crash at once",
+            "all controllers crash at once",
             -1_162_489_194,
             cluster ->
                 cluster.time.schedule(30_000, () -> crashControllers(cluster, 3_000, 0, 1, 2))),
         scenario(
-            "all are restarted in turn",
+            "all controllers restart one after the other",
             -1_011_891_365,
             cluster -> {
               for (int i = 0; i < 3; i++) {
@@ -51,7 +51,7 @@
               }
             }),
         scenario(
-            "a node comes back within a fraction of a second, again and again",
+            "controllers crash repeatedly and restart within 300 ms",
             -1_277_928_646,
             cluster ->
                 repeat(
@@ -61,7 +61,7 @@
                     8,
                     () -> crashControllers(cluster, 300, cluster.random.nextInt(3)))),
         scenario(
-            "a node is away for longer than its hold",
+            "a controller is down for longer than its lease in the state service",
             -748_645_775,
             cluster ->
                 repeat(
@@ -71,18 +71,18 @@
                     3,
                     () -> crashControllers(cluster, 20_000, cluster.random.nextInt(3)))),
         scenario(
-            "the state service is down",
+            "the state service is unavailable",
             -1_173_977_233,
             cluster -> cluster.time.schedule(25_000, () -> stateServiceOutage(cluster, 25_000))),
         scenario(
-            "a takeover in the middle of an outage",
+            "failover during an outage of the state service",
             1_890_661_602,
             cluster -> {
               cluster.time.schedule(25_000, () -> stateServiceOutage(cluster, 20_000));
               cluster.time.schedule(30_000, () -> crashControllers(cluster, 3_000, 0, 1));
             }),
         scenario(
-            "one node alone is not served",
+            "the state service refuses one controller",
             1_227_051_567,
             cluster -> {
               cluster.time.schedule(
@@ -90,14 +90,14 @@
               cluster.time.schedule(60_000, () -> cluster.stateService.refusedControllers.clear());
             }),
         scenario(
-            "machines hang up to their lease and beyond",
+            "machines hang for almost the time of their lease, and for longer",
             1_538_199_774,
             cluster -> {
               repeat(cluster, 15_000, 11_000, 8, () -> hangRandomMachine(cluster, 13_500));
               repeat(cluster, 19_000, 13_000, 6, () -> hangRandomMachine(cluster, 40_000));
             }),
         scenario(
-            "machines are taken without notice",
+            "the cloud reclaims machines without notice",
             222_921_865,
             cluster ->
                 repeat(
@@ -112,7 +112,7 @@
                       }
                     })),
         scenario(
-            "machines are taken with notice",
+            "the cloud reclaims machines with notice",
             1_782_215_353,
             cluster ->
                 repeat(
@@ -143,14 +143,14 @@
                       }
                     })),
         scenario(
-            "machines come up that nobody asked for",
+            "machines start that no controller has requested",
             -1_299_966_048,
             cluster -> {
               cluster.bootMachine("a", false);
               repeat(cluster, 20_000, 20_000, 3, () -> cluster.bootMachine("b", true));
             }),
         scenario(
-            "two nodes can't talk, and machines can't reach one",
+            "two controllers cannot reach each other, and machines cannot reach one of them",
             305_137_649,
             cluster -> {
               cluster.time.schedule(
@@ -165,14 +165,14 @@
               cluster.time.schedule(50_000, cluster.blockedLinks::clear);
             }),
         scenario(
-            "messages are lost and come late",
+            "messages are lost or delayed",
             -773_913_123,
             cluster -> {
               cluster.lossProbability = 0.03;
               cluster.delayProbability = 0.03;
             }),
         scenario(
-            "messages are lost and late while nodes crash and machines hang",
+            "messages are lost or delayed while controllers crash and machines hang",
             -1_713_428_559,
             cluster -> {
               cluster.lossProbability = 0.02;
@@ -187,7 +187,7 @@
               cluster.time.schedule(40_000, () -> stateServiceOutage(cluster, 15_000));
             }),
         scenario(
-            "machines report but no answer reaches them",
+            "machines send heartbeats but receive no responses",
             -911_363_435,
             cluster ->
                 repeat(
@@ -197,11 +197,11 @@
                     6,
                     () -> blockResponsesTo(cluster, randomMachine(cluster)))),
         scenario(
-            "copies of reports come late",
+            "delayed copies of heartbeats arrive",
             1_089_740_357,
             cluster -> cluster.duplicateHeartbeatProbability = 0.3),
         scenario(
-            "late copies while nodes crash, machines go and come back to other shards",
+            "delayed heartbeat copies, controllers crash, machines leave and rejoin other shards",
             871_582_134,
             cluster -> {
               cluster.duplicateHeartbeatProbability = 0.3;
@@ -216,7 +216,7 @@
               repeat(cluster, 21_000, 15_000, 5, () -> hangRandomMachine(cluster, 20_000));
             }),
         scenario(
-            "a node has its workers but neither the state service nor the other nodes",
+            "a controller reaches its workers but neither the state service nor its peers",
             -768_445_434,
             cluster -> {
               cluster.time.schedule(
@@ -233,7 +233,7 @@
                   });
             }),
         scenario(
-            "a node has lost its workers",
+            "a controller cannot reach its workers",
             1_684_369_254,
             cluster -> {
               cluster.time.schedule(
@@ -241,7 +241,7 @@
               cluster.time.schedule(70_000, cluster.blockedLinks::clear);
             }),
         scenario(
-            "a node has lost all but its users",
+            "a controller can be reached by users only",
             955_864_283,
             cluster -> {
               cluster.time.schedule(
@@ -259,7 +259,7 @@
                   });
             }),
         scenario(
-            "nodes refuse each other's connections, also in an outage",
+            "controllers refuse each other's connections, also during an outage",
             -1_558_155_905,
             cluster -> {
               cluster.time.schedule(
@@ -275,21 +275,21 @@
               cluster.time.schedule(70_000, cluster.refusedLinks::clear);
             }),
         scenario(
-            "a node is slow",
+            "a controller is slow",
             -1_553_804_168,
             cluster -> {
               cluster.time.schedule(20_000, () -> cluster.eventDelayMs[0] = 250);
               cluster.time.schedule(60_000, () -> cluster.eventDelayMs[0] = 0);
             }),
         scenario(
-            "all nodes are slow",
+            "all controllers are slow",
             -27_709_125,
             cluster -> {
               cluster.time.schedule(20_000, () -> Arrays.fill(cluster.eventDelayMs, 250));
               cluster.time.schedule(80_000, () -> Arrays.fill(cluster.eventDelayMs, 0));
             }),
         scenario(
-            "the nodes that take over are slow",
+            "controllers are slow during failover",
             -931_046_021,
             cluster ->
                 repeat(
@@ -303,7 +303,7 @@
                       cluster.time.schedule(20_000, () -> Arrays.fill(cluster.eventDelayMs, 0));
                     })),
         scenario(
-            "nodes stand still for longer than a lease while their clocks run on",
+            "controllers pause for longer than a lease while their clocks advance",
             -994_921_915,
             cluster -> {
               repeat(
@@ -316,7 +316,7 @@
                   cluster, 18_000, 9_000, 10, () -> cluster.reclaimMachine(randomMachine(cluster)));
             }),
         scenario(
-            "nodes are back at once, in the middle of an election",
+            "controllers crash and restart within 150 ms during an election",
             -606_780_024,
             cluster ->
                 repeat(
@@ -333,14 +333,14 @@
                       }
                     })),
         scenario(
-            "a copy of each report comes late, and capacity is short all day",
+            "delayed heartbeat copies while capacity is short throughout the scenario",
             -1_603_199_573,
             cluster -> {
               cluster.duplicateHeartbeatProbability = 0.2;
               cluster.cloudCapacity = 4;
             }),
         scenario(
-            "old changes are forgotten by the state service",
+            "the state service discards old changes",
             1_617_094_870,
             cluster -> repeat(cluster, 10_000, 10_000, 10, cluster.stateService::compactChanges)));
   }
@@ -355,20 +355,25 @@
       cluster.invariantChecker.faultsEndMs = 130_000;
       faults.accept(cluster);
       cluster.time.runUntil(SCENARIO_MS);
-      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
-      assertThat(cluster.stateService.largestValueBytes).as("bytes of a value").isLessThan(4096);
-      // Nothing is left behind: no live records of ended jobs, no machine nobody looks after.
-      assertThat(cluster.stateService.countKeys("w/j/")).as("live jobs").isZero();
-      assertThat(cluster.machines).as("machines").isEmpty();
+      assertThat(cluster.invariantChecker.violations)
+          .as("no invariant is violated, seed %d", seed)
+          .isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("all jobs are finished, seed %d", seed).isEmpty();
+      assertThat(cluster.stateService.largestValueBytes)
+          .as("bytes of the largest stored value")
+          .isLessThan(4096);
+      // Once all jobs have ended, neither job records nor machines without a leader may remain.
+      assertThat(cluster.stateService.countKeys("w/j/")).as("remaining job records").isZero();
+      assertThat(cluster.machines).as("remaining machines").isEmpty();
     }
   }
 
   /**
-   * Nodes that are cut off together hear one another, and must not take that for a general outage
-   * for so long that a job cancelled elsewhere goes on; through an outage of all, work goes on.
+   * Controllers that are isolated together still reach each other. They must not mistake the
+   * partition for a general outage for so long that a job cancelled on the other side keeps
+   * running. During a general outage, tasks must keep running.
    */
-  @ParameterizedTest(name = "{0} of 5 nodes cut off for {1} ms")
+  @ParameterizedTest(name = "{0} of 5 controllers isolated for {1} ms")
   @CsvSource({"1,10000", "1,100000", "2,10000", "2,100000", "4,100000", "5,25000", "5,60000"})
   void stopsCancelledTasksInPartitionButKeepsTasksInGeneralOutage(
       int isolatedControllers, long durationMs) {
@@ -376,7 +381,7 @@
       SimulatedCluster cluster = new SimulatedCluster(seed, 5);
       cluster.additionalRunMs = 150_000;
       cluster.earliestCancellationMs = 25_000;
-      // Enough for all teams at their limits: what is judged here is not shortage.
+      // Enough capacity for all teams at their limits: this test does not cover shortage.
       cluster.cloudCapacity = 60;
       cluster.lossProbability = 0;
       cluster.delayProbability = 0;
@@ -398,7 +403,7 @@
             if (isolatedControllers < 5) {
               others.addAll(List.of("cloud", "state"));
               isolated.forEach(name -> blockLinks(cluster, name, others));
-              // Else the others would give the machines back, and their tasks would end with them.
+              // Otherwise the other controllers would return the machines, which ends their tasks.
               blockLinks(cluster, "cloud", others);
             } else {
               cluster.stateService.outage = true;
@@ -408,21 +413,26 @@
           24_000 + durationMs,
           () -> {
             assertThat(isolatedControllers == 5 ? cluster.expiredLeasesWithTasks : 0)
-                .as("leases")
+                .as("no machine lease expires with tasks during a general outage")
                 .isEqualTo(isolatedControllers == 5 ? expiredLeases[0] : 0);
             cluster.stateService.endOutage();
             cluster.blockedLinks.clear();
           });
       cluster.invariantChecker.faultsEndMs = 24_000 + durationMs;
       cluster.time.runUntil(2 * SCENARIO_MS);
-      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+      assertThat(cluster.invariantChecker.violations)
+          .as("no invariant is violated, seed %d", seed)
+          .isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("all jobs are finished, seed %d", seed).isEmpty();
     }
   }
 
-  /** A node that its workers can't reach leaves its shard to one they can, before leases end. */
+  /**
+   * A controller that its workers cannot reach gives up the leadership of its shard to a controller
+   * that the workers can reach, before machine leases expire.
+   */
   @Test
-  void transfersShardToControllerThatWorkersReach() {
+  void changesLeaderToControllerThatWorkersReach() {
     for (long seed = 1; seed <= 3; seed++) {
       SimulatedCluster cluster = new SimulatedCluster(seed, 5);
       cluster.lossProbability = 0;
@@ -437,21 +447,23 @@
       }
       cluster.time.runUntil(75_000);
       assertThat(cluster.expiredLeasesWithTasks)
-          .as("leases, seed %d", seed)
+          .as("no machine lease expires with tasks, seed %d", seed)
           .isEqualTo(expiredLeases);
       cluster.blockedLinks.clear();
       cluster.time.runUntil(SCENARIO_MS);
-      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+      assertThat(cluster.invariantChecker.violations)
+          .as("no invariant is violated, seed %d", seed)
+          .isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("all jobs are finished, seed %d", seed).isEmpty();
     }
   }
 
-  /** Jobs that fail everywhere until they are cancelled: no machine is blamed for them. */
+  /** Jobs that fail on every machine until they are cancelled must not quarantine any machine. */
   @Test
   void quarantinesNoMachineForFailingJobs() {
     for (long seed = 1; seed <= 6; seed++) {
       SimulatedCluster cluster = new SimulatedCluster(seed);
-      // A machine two of whose answers in a row are lost is rightly given back as silent.
+      // A machine that misses two consecutive heartbeat responses is correctly returned as silent.
       cluster.lossProbability = 0;
       cluster.delayProbability = 0;
       cluster.cloudCapacity = 12;
@@ -473,17 +485,22 @@
       int returnedBefore = cluster.scaledInMachines;
       cluster.time.runUntil(150_000);
       assertThat(cluster.scaledInMachines)
-          .as("given back, seed %d", seed)
+          .as("no machine is returned because of failing jobs, seed %d", seed)
           .isEqualTo(returnedBefore);
       usersOfFailingJobs.forEach(user -> user.cancelsJob = true);
       usersOfFailingJobs.forEach(SimulatedUser::cancel);
       cluster.time.runUntil(SCENARIO_MS);
-      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+      assertThat(cluster.invariantChecker.violations)
+          .as("no invariant is violated, seed %d", seed)
+          .isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("all jobs are finished, seed %d", seed).isEmpty();
     }
   }
 
-  /** Guests have neither a guarantee nor a limit: they are served, and starve nobody. */
+  /**
+   * The guest team has neither a guarantee nor a limit: its jobs finish, and they do not starve the
+   * jobs of other teams.
+   */
   @Test
   void completesGuestJobsWithoutStarvingTeams() {
     for (long seed = 1; seed <= 3; seed++) {
@@ -504,17 +521,22 @@
         cluster.time.schedule(20_000 + 3_000 * job, user::submit);
       }
       cluster.time.runUntil(1_200_000);
-      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+      assertThat(cluster.invariantChecker.violations)
+          .as("no invariant is violated, seed %d", seed)
+          .isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("all jobs are finished, seed %d", seed).isEmpty();
       for (SimulatedUser user : teamUsers) {
         assertThat(user.firstTaskStartedMs - user.firstSubmittedMs)
-            .as("%s of %s", user.jobId, user.team)
+            .as("wait in ms until job %s of team %s starts", user.jobId, user.team)
             .isLessThan(60_000);
       }
     }
   }
 
-  /** Three times more work than machines for it, for minutes: no team, size or class starves. */
+  /**
+   * For minutes there is three times more work than the machines can run: no team, job size or
+   * class starves.
+   */
   @Test
   void startsEveryJobWithinFourMinutesWhenCapacityIsShort() {
     for (long seed = 1; seed <= 3; seed++) {
@@ -531,15 +553,17 @@
       assertThat(cluster.unfinishedJobs()).isEmpty();
       for (SimulatedUser user : cluster.users.values()) {
         assertThat(user.firstTaskStartedMs - user.firstSubmittedMs)
-            .as("%s of %s with %d tasks, seed %d", user.jobId, user.team, user.taskCount, seed)
+            .as(
+                "wait in ms until job %s of team %s with %d tasks starts, seed %d",
+                user.jobId, user.team, user.taskCount, seed)
             .isLessThan(240_000);
       }
     }
   }
 
   /**
-   * The cloud has no more machines, and those of one shard keep a long task each and room beside
-   * it, while a job of another shard, under its team's limit, waits.
+   * The cloud has no more machines. Each machine of one shard runs a long task and has free
+   * capacity beside it, and a job of another shard, within its team's limit, must be placed there.
    */
   @Test
   void placesWaitingJobOnFreeCapacityOfAnotherShard() {
--- a/src/test/java/dev/windbend/daemon/StarvedJobsTest.java
+++ b/src/test/java/dev/windbend/daemon/StarvedJobsTest.java
@@ -10,16 +10,17 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The cloud has no more machines. Those of the first shard keep a long task each and have room
- * beside it, while jobs of other shards, under their teams' limits, find none. The judge of {@link
- * SimulatedCluster} says whether any of them waits for 90 s beside such room.
+ * The cloud has no more machines. Each machine of the first shard runs a long task and has free
+ * capacity beside it, while jobs of other shards, within their teams' limits, have no machines.
+ * {@link InvariantChecker} reports a violation if such a job waits for 90 s although there is
+ * capacity for it.
  */
 class StarvedJobsTest {
   private static final long SCENARIO_MS = 900_000;
   private static final long WAITING_JOBS_FROM_MS = 60_000;
   private static final int FIRST_JOB = 0;
 
-  /** Every fourth task of the first job is long, so that one is left on each machine. */
+  /** Every fourth task of the first job is long, so that each machine keeps one long task. */
   private static long runMsWithOneLongTaskPerMachine(String task) {
     return task.startsWith("wk-000000") && SimulatedCluster.taskIndex(task) % 4 == 0
         ? 400_000
@@ -40,7 +41,7 @@
   static Stream<Arguments> scenarios() {
     return Stream.of(
         scenario("one small job", 4, cluster -> submit(cluster, 1, "blue", 1, null)),
-        scenario("one array", 6, cluster -> submit(cluster, 1, "blue", 12, null)),
+        scenario("one array job", 6, cluster -> submit(cluster, 1, "blue", 12, null)),
         scenario(
             "many small jobs",
             6,
@@ -57,16 +58,18 @@
               submit(cluster, 2, "green", 3, null);
             }),
         scenario(
-            "jobs that are bound to a zone",
+            "jobs bound to a zone",
             8,
             cluster -> {
               submit(cluster, 1, "blue", 2, "a");
               submit(cluster, 2, "green", 2, "b");
             }),
         scenario(
-            "a guest without a guarantee", 6, cluster -> submit(cluster, 1, "guests", 4, null)),
+            "a job of the guest team, which has no guarantee",
+            6,
+            cluster -> submit(cluster, 1, "guests", 4, null)),
         scenario(
-            "guests with many single tasks",
+            "many one-task jobs of the guest team",
             6,
             cluster -> {
               for (int number = 1; number <= 30; number++) {
@@ -74,7 +77,7 @@
               }
             }),
         scenario(
-            "a small job while owners restart",
+            "a small job while controllers restart",
             4,
             cluster -> {
               submit(cluster, 1, "blue", 1, null);
@@ -104,8 +107,10 @@
       cluster.time.schedule(5_000, longTaskUser::submit);
       submitWaitingJobs.accept(cluster);
       cluster.time.runUntil(SCENARIO_MS);
-      assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-      assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+      assertThat(cluster.invariantChecker.violations)
+          .as("no invariant is violated, seed %d", seed)
+          .isEmpty();
+      assertThat(cluster.unfinishedJobs()).as("all jobs are finished, seed %d", seed).isEmpty();
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/ZoneLossLoopbackTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossLoopbackTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A zone with half of a few hundred workers is lost and returns, over sockets in real time. */
+/** A zone with half of several hundred workers is lost and returns, over sockets in real time. */
 class ZoneLossLoopbackTest {
   private static final int CAPACITY = 600;
   private static final int JOBS = 180;
@@ -27,14 +27,14 @@
       cluster.start(JOBS, 20_000);
       assertThat(cluster.awaitCondition(30, () -> simulation.time.nowMs() >= 24_500)).isTrue();
       assertThat(cluster.callOnEventLoop(() -> simulation.machines.size()))
-          .as("workers")
+          .as("workers before the loss")
           .isGreaterThan(200);
       assertThat(cluster.awaitCondition(20, () -> simulation.stateService.countKeys("w/z/") > 0))
-          .as("noticed")
+          .as("the loss of the zone is recorded")
           .isTrue();
       cluster.awaitCondition(MAX_WAIT_S, () -> simulation.unfinishedJobs().isEmpty());
       assertThat(cluster.callOnEventLoop(simulation::unfinishedJobs))
-          .as("jobs not told to be over")
+          .as("jobs whose end has not been reported to the user")
           .isEmpty();
       assertThat(cluster.callOnEventLoop(() -> List.copyOf(simulation.invariantChecker.violations)))
           .isEmpty();
--- a/src/test/java/dev/windbend/daemon/ZoneLossMeasurement.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossMeasurement.java
@@ -8,8 +8,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures, in virtual time, how long after the loss of a zone its tasks run again or are done, by
- * priority, with zones looked after and without. Not a test: run by hand, as docs/zones.md says.
+ * Measures in virtual time how long after the loss of a zone its tasks run again or are completed,
+ * by priority, with zone handling on and off. Not a test: run by hand as docs/zones.md describes.
  */
 final class ZoneLossMeasurement {
   private static final long LOSS_MS = 40_000;
@@ -22,9 +22,9 @@
 
   private static final List<Scenario> SCENARIOS =
       List.of(
-          new Scenario("lost for five minutes", 300_000, 1, 0),
-          new Scenario("lost for ten seconds", 10_000, 1, 0),
-          new Scenario("three flaps in ten minutes", 40_000, 3, 150_000));
+          new Scenario("zone lost for five minutes", 300_000, 1, 0),
+          new Scenario("zone lost for ten seconds", 10_000, 1, 0),
+          new Scenario("zone lost three times within ten minutes", 40_000, 3, 150_000));
 
   private final Map<String, Histogram> recoveryMsByCategory = new TreeMap<>();
   private int violations;
@@ -47,7 +47,7 @@
       measurement.run(scenario, seed, policy);
     }
     System.out.printf(
-        "%s, part %s: rules broken %d, leases ended with tasks %d, changes %d%n",
+        "%s, zone handling %s: violations %d, leases expired with tasks %d, changes %d%n",
         scenario.name(),
         zoneHandling,
         measurement.violations,
@@ -56,7 +56,7 @@
     measurement.recoveryMsByCategory.forEach(
         (category, histogram) ->
             System.out.printf(
-                "  %s: %d tasks, run again or done after p50 %.1f s, p90 %.1f s, last %.1f s%n",
+                "  %s: %d tasks, recovered after p50 %.1f s, p90 %.1f s, max %.1f s%n",
                 category,
                 histogram.getTotalCount(),
                 histogram.getValueAtPercentile(50) / 1_000.0,
@@ -89,7 +89,7 @@
     return tasks;
   }
 
-  /** Looks again and again which of the tasks run elsewhere, or are done. */
+  /** Polls the tasks until each runs in another zone, is completed or has been cancelled. */
   private void recordRecoveries(SimulatedCluster cluster, long lossMs, List<String> tasks) {
     List<String> remaining = new ArrayList<>();
     for (String task : tasks) {
--- a/src/test/java/dev/windbend/daemon/ZoneLossTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Days in virtual time on which a zone is lost and returns: no rule breaks, and all work ends. */
+/** A zone is lost and returns, in virtual time: all invariants hold, and all jobs finish. */
 class ZoneLossTest {
   private static final long SCENARIO_MS = 900_000;
   private static final long LOSS_MS = 40_000;
 
-  /** Well after the loss, and before the shortest return. */
+  /** Late enough to detect the loss, and before the earliest return of the zone. */
   private static final long DETECTED_MS = LOSS_MS + 14_000;
 
   static final String ZONE = "b";
@@ -37,7 +37,7 @@
       widen_s = 5
       """;
 
-  private static boolean noLinkCut(String from, String to) {
+  private static boolean noLinkBlocked(String from, String to) {
     return false;
   }
 
@@ -49,23 +49,26 @@
     return name.matches("n[0-9]");
   }
 
-  /** Machines of the zone and controllers hear nothing of each other. */
-  private static BiPredicate<String, String> cutZone(SimulatedCluster cluster, String zone) {
+  /** Blocks all messages between the machines of a zone and the controllers. */
+  private static BiPredicate<String, String> zoneLinkBlocked(
+      SimulatedCluster cluster, String zone) {
     return (from, to) ->
         (cluster.isInZone(from, zone) && isController(to))
             || (isController(from) && cluster.isInZone(to, zone));
   }
 
   static void loseZone(SimulatedCluster cluster, long fromMs, long durationMs) {
-    cluster.time.schedule(fromMs, () -> cluster.linkBlocked = cutZone(cluster, ZONE));
-    cluster.time.schedule(fromMs + durationMs, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
+    cluster.time.schedule(fromMs, () -> cluster.linkBlocked = zoneLinkBlocked(cluster, ZONE));
+    cluster.time.schedule(
+        fromMs + durationMs, () -> cluster.linkBlocked = ZoneLossTest::noLinkBlocked);
   }
 
   static Stream<Arguments> scenarios() {
     return Stream.of(
-        scenario("lost for a minute", 111_310_758, cluster -> loseZone(cluster, LOSS_MS, 60_000)),
         scenario(
-            "three flaps in ten minutes",
+            "zone lost for one minute", 111_310_758, cluster -> loseZone(cluster, LOSS_MS, 60_000)),
+        scenario(
+            "zone lost three times within ten minutes",
             -230_688_923,
             cluster -> {
               for (int flap = 0; flap < 3; flap++) {
@@ -73,11 +76,11 @@
               }
             }),
         scenario(
-            "back while half of its jobs are on the move",
+            "zone returns while half of its jobs are being moved",
             -1_822_974_905,
             cluster -> loseZone(cluster, LOSS_MS, 17_000)),
         scenario(
-            "flaps every few seconds",
+            "zone lost again every few seconds",
             -85_299_088,
             cluster -> {
               for (int flap = 0; flap < 12; flap++) {
@@ -85,14 +88,14 @@
               }
             }),
         scenario(
-            "lost together with a controller",
+            "zone lost together with a controller",
             1_588_861_931,
             cluster -> {
               loseZone(cluster, LOSS_MS, 60_000);
               cluster.time.schedule(LOSS_MS, () -> crashControllers(cluster, 60_000, 1));
             }),
         scenario(
-            "an outage of the state service during evacuation",
+            "outage of the state service during evacuation",
             -2_011_724_388,
             cluster -> {
               loseZone(cluster, LOSS_MS, 60_000);
@@ -106,7 +109,7 @@
               cluster.time.schedule(DETECTED_MS, () -> crashControllers(cluster, 3_000, 0, 1, 2));
             }),
         scenario(
-            "controllers crash in turn during the return",
+            "controllers crash one after the other during the return",
             970_459_252,
             cluster -> {
               loseZone(cluster, LOSS_MS, 30_000);
@@ -118,14 +121,14 @@
               }
             }),
         scenario(
-            "an outage of the state service during the return",
+            "outage of the state service during the return",
             2_130_986_856,
             cluster -> {
               loseZone(cluster, LOSS_MS, 30_000);
               cluster.time.schedule(LOSS_MS + 37_000, () -> stateServiceOutage(cluster, 20_000));
             }),
         scenario(
-            "its reports arrive, answers and commands don't",
+            "heartbeats arrive, responses and commands do not",
             -1_215_851_440,
             cluster -> {
               cluster.time.schedule(
@@ -134,10 +137,10 @@
                       cluster.linkBlocked =
                           (from, to) -> isController(from) && cluster.isInZone(to, ZONE));
               cluster.time.schedule(
-                  LOSS_MS + 60_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
+                  LOSS_MS + 60_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkBlocked);
             }),
         scenario(
-            "commands arrive, its reports don't",
+            "commands arrive, heartbeats do not",
             350_871_508,
             cluster -> {
               Runnable muteZone =
@@ -149,21 +152,22 @@
               cluster.time.schedule(LOSS_MS + 60_000, cluster.machinesWithBlockedRequests::clear);
             }),
         scenario(
-            "lost for one controller only",
+            "zone lost for one controller only",
             -1_364_984_541,
             cluster -> {
-              BiPredicate<String, String> zoneCut = cutZone(cluster, ZONE);
+              BiPredicate<String, String> blockedForZone = zoneLinkBlocked(cluster, ZONE);
               cluster.time.schedule(
                   LOSS_MS,
                   () ->
                       cluster.linkBlocked =
                           (from, to) ->
-                              (from.equals("n1") || to.equals("n1")) && zoneCut.test(from, to));
+                              (from.equals("n1") || to.equals("n1"))
+                                  && blockedForZone.test(from, to));
               cluster.time.schedule(
-                  LOSS_MS + 60_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
+                  LOSS_MS + 60_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkBlocked);
             }),
         scenario(
-            "the cloud has nothing elsewhere",
+            "the cloud has no more machines",
             -2_032_921_637,
             cluster -> {
               loseZone(cluster, LOSS_MS, 60_000);
@@ -173,14 +177,15 @@
             "all zones lost one after the other",
             -1_212_698_945,
             cluster -> {
-              cluster.time.schedule(LOSS_MS, () -> cluster.linkBlocked = cutZone(cluster, ZONE));
               cluster.time.schedule(
-                  LOSS_MS + 50_000, () -> cluster.linkBlocked = cutZone(cluster, "a"));
+                  LOSS_MS, () -> cluster.linkBlocked = zoneLinkBlocked(cluster, ZONE));
+              cluster.time.schedule(
+                  LOSS_MS + 50_000, () -> cluster.linkBlocked = zoneLinkBlocked(cluster, "a"));
               cluster.time.schedule(
-                  LOSS_MS + 100_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
+                  LOSS_MS + 100_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkBlocked);
             }),
         scenario(
-            "late copies of reports after the return",
+            "delayed copies of heartbeats after the return",
             1_272_297_178,
             cluster -> {
               cluster.duplicateHeartbeatProbability = 0.3;
@@ -188,7 +193,7 @@
               loseZone(cluster, LOSS_MS, 40_000);
             }),
         scenario(
-            "jobs are cancelled during the move",
+            "jobs are cancelled during evacuation",
             776_680_250,
             cluster -> {
               loseZone(cluster, LOSS_MS, 60_000);
@@ -213,11 +218,15 @@
   }
 
   private static void assertInvariantsHoldAndAllJobsComplete(SimulatedCluster cluster, long seed) {
-    assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-    assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
-    assertThat(cluster.stateService.largestValueBytes).as("bytes of a value").isLessThan(4096);
-    assertThat(cluster.stateService.countKeys("w/j/")).as("live jobs").isZero();
-    assertThat(cluster.machines).as("machines").isEmpty();
+    assertThat(cluster.invariantChecker.violations)
+        .as("no invariant is violated, seed %d", seed)
+        .isEmpty();
+    assertThat(cluster.unfinishedJobs()).as("all jobs are finished, seed %d", seed).isEmpty();
+    assertThat(cluster.stateService.largestValueBytes)
+        .as("bytes of the largest stored value")
+        .isLessThan(4096);
+    assertThat(cluster.stateService.countKeys("w/j/")).as("remaining job records").isZero();
+    assertThat(cluster.machines).as("remaining machines").isEmpty();
   }
 
   @ParameterizedTest(name = "{0}")
@@ -231,32 +240,35 @@
       cluster.invariantChecker.faultsEndMs = 460_000;
       faults.accept(cluster);
       cluster.time.runUntil(LOSS_MS - 1);
-      assertThat(cluster.stateService.countKeys("w/z/")).as("records while all is well").isZero();
+      assertThat(cluster.stateService.countKeys("w/z/"))
+          .as("zone records before the loss")
+          .isZero();
       cluster.time.runUntil(DETECTED_MS);
       lossRecords += cluster.stateService.countKeys("w/z/");
       cluster.time.runUntil(SCENARIO_MS);
       assertInvariantsHoldAndAllJobsComplete(cluster, seed);
       assertThat(cluster.stateService.countKeys("w/z/"))
-          .as("records once the backoff has decayed")
+          .as("zone records once the backoff has decayed")
           .isZero();
     }
-    assertThat(lossRecords).as("losses on record").isPositive();
+    assertThat(lossRecords).as("recorded losses").isPositive();
   }
 
-  /** Half of a zone: its machines are judged one by one, and the zone is not given up. */
+  /** If half of a zone is lost, its machines are handled one by one and the zone is kept. */
   @org.junit.jupiter.api.Test
   void completesAllJobsWhenHalfAZoneIsUnreachable() {
     for (long seed = 1; seed <= 4; seed++) {
       SimulatedCluster cluster = newCluster(seed);
       cluster.start(30, 90_000);
-      BiPredicate<String, String> zoneCut = cutZone(cluster, ZONE);
-      BiPredicate<String, String> halfZoneCut =
+      BiPredicate<String, String> blockedForZone = zoneLinkBlocked(cluster, ZONE);
+      BiPredicate<String, String> blockedForHalfZone =
           (from, to) ->
               isControllerOrEvenMachine(from)
                   && isControllerOrEvenMachine(to)
-                  && zoneCut.test(from, to);
-      cluster.time.schedule(LOSS_MS, () -> cluster.linkBlocked = halfZoneCut);
-      cluster.time.schedule(LOSS_MS + 60_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
+                  && blockedForZone.test(from, to);
+      cluster.time.schedule(LOSS_MS, () -> cluster.linkBlocked = blockedForHalfZone);
+      cluster.time.schedule(
+          LOSS_MS + 60_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkBlocked);
       cluster.invariantChecker.faultsEndMs = 150_000;
       cluster.time.runUntil(SCENARIO_MS);
       assertInvariantsHoldAndAllJobsComplete(cluster, seed);
@@ -267,14 +279,17 @@
     return isController(name) || name.charAt(name.length() - 1) % 2 == 0;
   }
 
-  /** Jobs that may run in the lost zone only wait, and their users are told what for. */
+  /**
+   * A job that may run only in the lost zone waits, and its status gives the unreachable zone as
+   * the reason.
+   */
   @org.junit.jupiter.api.Test
   void reportsThatJobWaitsForUnreachableZone() {
     SimulatedCluster cluster = newCluster(3);
     cluster.lossProbability = 0;
     cluster.delayProbability = 0;
     cluster.start(24, 20_000);
-    cluster.time.schedule(LOSS_MS, () -> cluster.linkBlocked = cutZone(cluster, ZONE));
+    cluster.time.schedule(LOSS_MS, () -> cluster.linkBlocked = zoneLinkBlocked(cluster, ZONE));
     SimulatedUser zoneBoundUser = new SimulatedUser(cluster, 900, 2, ZONE, true, false);
     cluster.time.schedule(DETECTED_MS, zoneBoundUser::submit);
     Map<String, String> received = new java.util.HashMap<>();
@@ -292,7 +307,7 @@
                     received.put(
                         "reason", cluster.parseJson(response.body()).path("reason").asText())));
     cluster.time.schedule(
-        DETECTED_MS + 30_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkCut);
+        DETECTED_MS + 30_000, () -> cluster.linkBlocked = ZoneLossTest::noLinkBlocked);
     cluster.time.runUntil(SCENARIO_MS);
     assertThat(received).containsEntry("reason", "zone b is unreachable");
     assertInvariantsHoldAndAllJobsComplete(cluster, 3);
