--- a/src/test/java/dev/windbend/ArchitecturePageTest.java
+++ b/src/test/java/dev/windbend/ArchitecturePageTest.java
@@ -21,13 +21,13 @@
   private static final Pattern PACKAGE_ROW = Pattern.compile("(?m)^\\| `([a-z]+)` \\|");
 
   @Test
-  void namesOnlyClassesThatExist() throws IOException {
-    Set<String> named = matches(CLASS_NAME);
-    assertThat(named).hasSizeGreaterThan(20).isSubsetOf(classNames());
+  void namesOnlyExistingClasses() throws IOException {
+    Set<String> namedClasses = matches(CLASS_NAME);
+    assertThat(namedClasses).hasSizeGreaterThan(20).isSubsetOf(classNames());
   }
 
   @Test
-  void listsEveryPackage() throws IOException {
+  void listsAllPackagesAndNoOthers() throws IOException {
     assertThat(matches(PACKAGE_ROW)).isEqualTo(packageNames());
   }
 
--- a/src/test/java/dev/windbend/ArchitectureTest.java
+++ b/src/test/java/dev/windbend/ArchitectureTest.java
@@ -16,10 +16,10 @@
 @AnalyzeClasses(packages = "dev.windbend", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
   /** Types with wire names that are not in a message or record file yet; only gets shorter. */
-  private static final Set<String> WIRE_NAMES_PENDING =
+  private static final Set<String> JSON_ANNOTATION_EXCEPTIONS =
       Set.of("Cancellations", "JobSpec", "Urgency", "ZoneState", "ZoneStatus");
 
-  private static final DescribedPredicate<JavaClass> MESSAGE_OR_RECORD_FILE =
+  private static final DescribedPredicate<JavaClass> MAY_USE_JSON_ANNOTATIONS =
       describe(
           "in a message or record file",
           type -> {
@@ -31,23 +31,23 @@
             return name.endsWith("Messages")
                 || name.endsWith("Record")
                 || name.equals("Json")
-                || WIRE_NAMES_PENDING.contains(name);
+                || JSON_ANNOTATION_EXCEPTIONS.contains(name);
           });
 
   @ArchTest
-  static final ArchRule WIRE_NAMES_STAND_IN_MESSAGES_AND_RECORDS_ONLY =
+  static final ArchRule ONLY_MESSAGES_AND_RECORDS_USE_JSON_ANNOTATIONS =
       noClasses()
-          .that(DescribedPredicate.not(MESSAGE_OR_RECORD_FILE))
+          .that(DescribedPredicate.not(MAY_USE_JSON_ANNOTATIONS))
           .should()
           .dependOnClassesThat()
           .resideInAPackage("com.fasterxml.jackson.annotation..");
 
   @ArchTest
-  static final ArchRule PACKAGES_ARE_FREE_OF_CYCLES =
+  static final ArchRule PACKAGE_DEPENDENCIES_HAVE_NO_CYCLES =
       slices().matching("dev.windbend.(*)..").should().beFreeOfCycles();
 
   @ArchTest
-  static final ArchRule PLANNER_IS_PURE =
+  static final ArchRule PLANNER_DEPENDS_ONLY_ON_JAVA_AND_FASTUTIL =
       noClasses()
           .that()
           .resideInAPackage("dev.windbend.plan..")
@@ -65,7 +65,7 @@
                   }));
 
   @ArchTest
-  static final ArchRule NOBODY_DEPENDS_ON_THE_DAEMON =
+  static final ArchRule NO_OTHER_PACKAGE_DEPENDS_ON_DAEMON =
       noClasses()
           .that()
           .resideOutsideOfPackage("dev.windbend.daemon..")
@@ -74,7 +74,7 @@
           .resideInAPackage("dev.windbend.daemon..");
 
   @ArchTest
-  static final ArchRule THE_RUNTIME_DEPENDS_ON_NO_OTHER_PACKAGE =
+  static final ArchRule RUNTIME_DEPENDS_ON_NO_OTHER_PACKAGE =
       noClasses()
           .that()
           .resideInAPackage("dev.windbend.runtime..")
--- a/src/test/java/dev/windbend/daemon/BehaviourTrace.java
+++ b/src/test/java/dev/windbend/daemon/BehaviourTrace.java
@@ -39,32 +39,32 @@
  * name in the first column, as text to compare with another version's.
  */
 final class BehaviourTrace {
-  private static final long DAY_MS = 240_000;
-  private static final long LONG_DAY_MS = 360_000;
-  private static final long CALM_FROM_MS = 150_000;
-  private static final long GAP_FROM_MS = 30_000;
-  private static final long VISIT_MS = 20_000;
-  private static final long HEALTH_CHECK_MS = 700;
-  private static final long VISIT_LIMIT_MS = 2_000;
-  private static final int JOBS = 30;
-  private static final long JOBS_SPAN_MS = 90_000;
+  private static final long SCENARIO_MS = 240_000;
+  private static final long LONG_SCENARIO_MS = 360_000;
+  private static final long RESPONSE_CHECK_START_MS = 150_000;
+  private static final long FAULT_SEQUENCE_START_MS = 30_000;
+  private static final long EXTRA_REQUESTS_INTERVAL_MS = 20_000;
+  private static final long HEALTH_CHECK_INTERVAL_MS = 700;
+  private static final long EXTRA_REQUEST_TIMEOUT_MS = 2_000;
+  private static final int JOB_COUNT = 30;
+  private static final long JOB_SUBMISSION_PERIOD_MS = 90_000;
   private static final int DEFAULT_SEEDS = 1;
   private static final int DEFAULT_THREADS = 4;
   private static final long SEED_STEP = 7_919;
 
   /**
    * @param name table of the tests and place in it: rewording a test's name changes no digest
-   * @param number place among all days
-   * @param cluster a cluster of a seed, not begun
-   * @param play begins it, plays the troubles and runs the day
+   * @param index place among all days
+   * @param newCluster a cluster of a seed, not begun
+   * @param run begins it, plays the troubles and runs the day
    */
-  private record Day(
+  private record Scenario(
       String name,
-      int number,
-      LongFunction<SimulatedCluster> cluster,
-      Consumer<SimulatedCluster> play) {}
+      int index,
+      LongFunction<SimulatedCluster> newCluster,
+      Consumer<SimulatedCluster> run) {}
 
-  private record Result(String line, Map<String, Integer> counts) {}
+  private record Result(String outputLine, Map<String, Integer> messageCounts) {}
 
   private BehaviourTrace() {}
 
@@ -73,25 +73,26 @@
     // Before any logger is made.
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "off");
     List<String> options = Arrays.asList(arguments);
-    int dump = options.indexOf("--dump");
-    if (dump >= 0) {
-      long seed = Long.parseLong(options.get(dump + 3));
-      dump(Path.of(options.get(dump + 1)), options.get(dump + 2), seed);
+    int dumpIndex = options.indexOf("--dump");
+    if (dumpIndex >= 0) {
+      long seed = Long.parseLong(options.get(dumpIndex + 3));
+      dump(Path.of(options.get(dumpIndex + 1)), options.get(dumpIndex + 2), seed);
     } else {
-      int seeds = number(options, "--seeds", DEFAULT_SEEDS);
-      printAll(seeds, number(options, "--threads", DEFAULT_THREADS));
+      int seeds = intOption(options, "--seeds", DEFAULT_SEEDS);
+      printAll(seeds, intOption(options, "--threads", DEFAULT_THREADS));
     }
   }
 
-  private static int number(List<String> options, String name, int usual) {
-    int at = options.indexOf(name);
-    return at < 0 ? usual : Integer.parseInt(options.get(at + 1));
+  private static int intOption(List<String> options, String name, int defaultValue) {
+    int index = options.indexOf(name);
+    return index < 0 ? defaultValue : Integer.parseInt(options.get(index + 1));
   }
 
   private static void dump(Path file, String name, long seed) throws IOException {
-    Day day = days().stream().filter(d -> d.name().equals(name)).findFirst().orElseThrow();
+    Scenario scenario =
+        scenarios().stream().filter(d -> d.name().equals(name)).findFirst().orElseThrow();
     try (PrintWriter out = new PrintWriter(Files.newBufferedWriter(file, StandardCharsets.UTF_8))) {
-      System.out.println(play(day, seed, out).line());
+      System.out.println(run(scenario, seed, out).outputLine());
     }
   }
 
@@ -100,104 +101,106 @@
       throws InterruptedException, ExecutionException {
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     List<Future<Result>> results = new ArrayList<>();
-    for (Day day : days()) {
+    for (Scenario scenario : scenarios()) {
       for (long seed = 1; seed <= seeds; seed++) {
-        long thisSeed = seed;
-        results.add(pool.submit(() -> play(day, thisSeed, null)));
+        long scenarioSeed = seed;
+        results.add(pool.submit(() -> run(scenario, scenarioSeed, null)));
       }
     }
     pool.shutdown();
     Map<String, Integer> counts = new TreeMap<>();
     for (Future<Result> result : results) {
-      System.out.println(result.get().line());
-      result.get().counts().forEach((kind, n) -> counts.merge(kind, n, Integer::sum));
+      System.out.println(result.get().outputLine());
+      result.get().messageCounts().forEach((kind, n) -> counts.merge(kind, n, Integer::sum));
     }
     counts.forEach((kind, n) -> System.out.printf("%9d %s%n", n, kind));
   }
 
-  private static Result play(Day day, long seed, PrintWriter dump) {
-    SimulatedCluster cluster = day.cluster().apply(seed * SEED_STEP + day.number());
+  private static Result run(Scenario scenario, long seed, PrintWriter dump) {
+    SimulatedCluster cluster = scenario.newCluster().apply(seed * SEED_STEP + scenario.index());
     TraceDigest digest = new TraceDigest(cluster.time::nowMs, dump);
     cluster.recorder = digest;
-    cluster.time.schedule(VISIT_MS, () -> visit(cluster));
-    cluster.time.schedule(HEALTH_CHECK_MS, () -> checkHealth(cluster));
-    String end = "";
+    cluster.time.schedule(EXTRA_REQUESTS_INTERVAL_MS, () -> sendExtraRequestsPeriodically(cluster));
+    cluster.time.schedule(HEALTH_CHECK_INTERVAL_MS, () -> checkHealthPeriodically(cluster));
+    String endNote = "";
     try {
-      day.play().accept(cluster);
+      scenario.run().accept(cluster);
     } catch (AssertionError e) {
       // A check within a table of troubles; the tests judge it with their own seeds.
-      end = " ended at " + cluster.time.nowMs() + " ms by a check";
+      endNote = " ended at " + cluster.time.nowMs() + " ms by a check";
     }
     String line =
         "%-14s seed %d %s %6d messages%s"
-            .formatted(day.name(), seed, digest.hex(), digest.messages(), end);
-    return new Result(line, digest.counts());
+            .formatted(scenario.name(), seed, digest.finishHex(), digest.messageCount(), endNote);
+    return new Result(line, digest.messageCounts());
   }
 
   // ---- days
 
-  private static List<Day> days() {
-    List<Day> all = new ArrayList<>();
-    addDays(all, "rules", InvariantsTest.scenarios(), DAY_MS, SimulatedCluster::new);
-    addDays(
-        all,
+  private static List<Scenario> scenarios() {
+    List<Scenario> scenarios = new ArrayList<>();
+    addScenarios(
+        scenarios, "rules", InvariantsTest.scenarios(), SCENARIO_MS, SimulatedCluster::new);
+    addScenarios(
+        scenarios,
         "meetings",
         ConcurrentFaultsTest.concurrentFaults(),
-        LONG_DAY_MS,
+        LONG_SCENARIO_MS,
         SimulatedCluster::new);
-    addDays(all, "zones", ZoneLossTest.scenarios(), LONG_DAY_MS, ZoneLossTest::newCluster);
-    addGaps(all);
-    return all;
+    addScenarios(
+        scenarios, "zones", ZoneLossTest.scenarios(), LONG_SCENARIO_MS, ZoneLossTest::newCluster);
+    addFaultSequences(scenarios);
+    return scenarios;
   }
 
-  private static void addDays(
-      List<Day> all,
+  private static void addScenarios(
+      List<Scenario> scenarios,
       String table,
       Stream<Arguments> rows,
-      long dayMs,
-      LongFunction<SimulatedCluster> cluster) {
+      long durationMs,
+      LongFunction<SimulatedCluster> newCluster) {
     for (Arguments row : rows.toList()) {
       @SuppressWarnings("unchecked")
       Consumer<SimulatedCluster> faults = (Consumer<SimulatedCluster>) faults(row);
-      all.add(
-          new Day(
-              name(all, table),
-              all.size(),
-              cluster,
-              c -> {
-                c.invariantChecker.faultsEndMs = CALM_FROM_MS;
-                faults.accept(c);
-                c.start(JOBS, JOBS_SPAN_MS);
-                c.time.runUntil(dayMs);
+      scenarios.add(
+          new Scenario(
+              nextName(scenarios, table),
+              scenarios.size(),
+              newCluster,
+              cluster -> {
+                cluster.invariantChecker.faultsEndMs = RESPONSE_CHECK_START_MS;
+                faults.accept(cluster);
+                cluster.start(JOB_COUNT, JOB_SUBMISSION_PERIOD_MS);
+                cluster.time.runUntil(durationMs);
               }));
     }
   }
 
   /** Cancellations that meet an outage; long tasks, and an owner chosen in the middle. */
-  private static void addGaps(List<Day> all) {
+  private static void addFaultSequences(List<Scenario> scenarios) {
     for (Arguments row : ConcurrentFaultsTest.faultSequences().toList()) {
       @SuppressWarnings("unchecked")
       BiConsumer<SimulatedCluster, String> faults =
           (BiConsumer<SimulatedCluster, String>) faults(row);
-      all.add(
-          new Day(
-              name(all, "gaps"),
-              all.size(),
+      scenarios.add(
+          new Scenario(
+              nextName(scenarios, "gaps"),
+              scenarios.size(),
               SimulatedCluster::new,
-              c -> {
-                c.additionalRunMs = 150_000;
-                c.earliestCancellationMs = LONG_DAY_MS;
-                c.cloudCapacity = 60;
-                c.start(JOBS, 15_000);
-                c.time.runUntil(GAP_FROM_MS);
-                faults.accept(c, c.leaderOf(0));
-                c.time.runUntil(LONG_DAY_MS);
+              cluster -> {
+                cluster.additionalRunMs = 150_000;
+                cluster.earliestCancellationMs = LONG_SCENARIO_MS;
+                cluster.cloudCapacity = 60;
+                cluster.start(JOB_COUNT, 15_000);
+                cluster.time.runUntil(FAULT_SEQUENCE_START_MS);
+                faults.accept(cluster, cluster.leaderOf(0));
+                cluster.time.runUntil(LONG_SCENARIO_MS);
               }));
     }
   }
 
-  private static String name(List<Day> all, String table) {
-    return table + "-" + (1 + all.stream().filter(d -> d.name().startsWith(table)).count());
+  private static String nextName(List<Scenario> scenarios, String table) {
+    return table + "-" + (1 + scenarios.stream().filter(d -> d.name().startsWith(table)).count());
   }
 
   /** The faults of a row are in its last column. */
@@ -209,36 +212,36 @@
   // ---- visits
 
   /** Often enough to see the moment at which a controller's answer changes. */
-  private static void checkHealth(SimulatedCluster c) {
-    for (int n = 0; n < c.controllerCount; n++) {
-      ask(c, "n" + n + ":80", "GET", "/up", null);
+  private static void checkHealthPeriodically(SimulatedCluster cluster) {
+    for (int n = 0; n < cluster.controllerCount; n++) {
+      send(cluster, "n" + n + ":80", "GET", "/up", null);
     }
-    c.time.schedule(HEALTH_CHECK_MS, () -> checkHealth(c));
+    cluster.time.schedule(HEALTH_CHECK_INTERVAL_MS, () -> checkHealthPeriodically(cluster));
   }
 
   /** What the days' users, workers and peers never ask: metrics, zones, faulty requests. */
-  private static void visit(SimulatedCluster c) {
-    for (int n = 0; n < c.controllerCount; n++) {
-      String node = "n" + n;
+  private static void sendExtraRequestsPeriodically(SimulatedCluster cluster) {
+    for (int index = 0; index < cluster.controllerCount; index++) {
+      String controller = "n" + index;
       for (String path : List.of("/v1/jobs/wk-999998", "/v1/unknown", "/v1/jobs")) {
-        ask(c, node + ":80", "GET", path, null);
+        send(cluster, controller + ":80", "GET", path, null);
       }
       for (String path : List.of("/metrics", "/zones", "/unknown")) {
-        ask(c, node + ":81", "GET", path, null);
+        send(cluster, controller + ":81", "GET", path, null);
       }
-      ask(c, node + ":80", "POST", "/hello", "{}");
-      ask(c, node + ":80", "GET", "/hello", null);
-      ask(c, node + ":80", "POST", "/v1/jobs", "{\"uid\":");
-      ask(c, node + ":80", "POST", "/v1/jobs", job("nobody", 1, 0));
-      ask(c, node + ":80", "POST", "/v1/jobs", job("red", 1_000, 0));
-      ask(c, node + ":80", "POST", "/v1/jobs", job("guests", 1, 5));
-      ask(c, node + ":80", "POST", "/v1/jobs/wk-999998/cancel", "");
+      send(cluster, controller + ":80", "POST", "/hello", "{}");
+      send(cluster, controller + ":80", "GET", "/hello", null);
+      send(cluster, controller + ":80", "POST", "/v1/jobs", "{\"uid\":");
+      send(cluster, controller + ":80", "POST", "/v1/jobs", invalidJob("nobody", 1, 0));
+      send(cluster, controller + ":80", "POST", "/v1/jobs", invalidJob("red", 1_000, 0));
+      send(cluster, controller + ":80", "POST", "/v1/jobs", invalidJob("guests", 1, 5));
+      send(cluster, controller + ":80", "POST", "/v1/jobs/wk-999998/cancel", "");
     }
-    c.time.schedule(VISIT_MS, () -> visit(c));
+    cluster.time.schedule(EXTRA_REQUESTS_INTERVAL_MS, () -> sendExtraRequestsPeriodically(cluster));
   }
 
   /** A job that can't be accepted. */
-  private static String job(String team, int cores, int gpus) {
+  private static String invalidJob(String team, int cores, int gpus) {
     return ("{\"uid\":\"wk-999997\",\"fleet\":\"f\",\"crew\":\"%s\",\"shape\":\"batch\","
             + "\"urgency\":\"standard\",\"drops\":1,\"cores\":%d.0,\"cards\":%d.0,\"ram_gb\":1.0,"
             + "\"load\":\"img\",\"pull_gb\":0.1,\"yard\":null,\"together\":false,"
@@ -247,9 +250,9 @@
         .formatted(team, cores, gpus);
   }
 
-  private static void ask(
-      SimulatedCluster c, String address, String method, String path, String body) {
+  private static void send(
+      SimulatedCluster cluster, String address, String method, String path, String body) {
     byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
-    c.sendRequest("visitor", address, method, path, bytes, VISIT_LIMIT_MS, r -> {});
+    cluster.sendRequest("visitor", address, method, path, bytes, EXTRA_REQUEST_TIMEOUT_MS, r -> {});
   }
 }
--- a/src/test/java/dev/windbend/daemon/CancellationWaveTest.java
+++ b/src/test/java/dev/windbend/daemon/CancellationWaveTest.java
@@ -25,7 +25,7 @@
     cluster.teamMaxCores = 1_000;
     cluster.lossProbability = 0;
     cluster.delayProbability = 0;
-    cluster.runs = task -> 200_000;
+    cluster.taskRunTimeMs = task -> 200_000;
     cluster.start(0, 1);
     List<SimulatedUser> cancellingUsers = new ArrayList<>();
     List<SimulatedUser> waitingUsers = new ArrayList<>();
--- a/src/test/java/dev/windbend/daemon/FakeStateService.java
+++ b/src/test/java/dev/windbend/daemon/FakeStateService.java
@@ -23,12 +23,12 @@
   private static final int MAX_CONDITIONS_PER_OPERATION = 4;
   private static final int MAX_VALUE_BYTES = 4_096;
 
-  private record Value(JsonNode value, long version, long leaseId) {}
+  private record Entry(JsonNode value, long version, long leaseId) {}
 
   private record Change(String key, JsonNode value, long revision) {}
 
   private final VirtualTime time;
-  private final TreeMap<String, Value> entries = new TreeMap<>();
+  private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
   private final Map<Long, long[]> leases = new HashMap<>();
   private final List<Runnable> followers = new ArrayList<>();
@@ -60,14 +60,14 @@
 
   /** The value of a key, null if there is none. */
   JsonNode value(String key) {
-    Value entry = entries.get(key);
+    Entry entry = entries.get(key);
     return entry == null ? null : entry.value;
   }
 
   /** How often a text stands in the values below a prefix. */
   int countOccurrences(String prefix, String text) {
     int count = 0;
-    for (Value entry : entries.subMap(prefix, prefix + '\uffff').values()) {
+    for (Entry entry : entries.subMap(prefix, prefix + '\uffff').values()) {
       count += entry.value.toString().split(text, -1).length - 1;
     }
     return count;
@@ -104,8 +104,8 @@
     compactedRevision = revision;
     nextLeaseId = saved.get("next_lease").asLong();
     for (JsonNode savedKey : saved.get("keys")) {
-      Value entry =
-          new Value(
+      Entry entry =
+          new Entry(
               savedKey.get("value"),
               savedKey.get("version").asLong(),
               savedKey.get("lease").asLong());
@@ -164,7 +164,7 @@
       ObjectNode page = JSON.createObjectNode();
       ArrayNode pairs = page.putArray("pairs");
       boolean hasNext = false;
-      for (Map.Entry<String, Value> entry : entries.tailMap(prefix, true).entrySet()) {
+      for (Map.Entry<String, Entry> entry : entries.tailMap(prefix, true).entrySet()) {
         if (!entry.getKey().startsWith(prefix) || entry.getKey().compareTo(after) <= 0) {
           continue;
         }
@@ -178,7 +178,7 @@
       return jsonResponse(200, page);
     }
     if (path.startsWith("/keys/")) {
-      Value entry = entries.get(path.substring(6));
+      Entry entry = entries.get(path.substring(6));
       return entry == null
           ? jsonResponse(404, JSON.createObjectNode().put("ledger", revision))
           : jsonResponse(200, toJson(path.substring(6), entry));
@@ -224,7 +224,7 @@
     ObjectNode response = JSON.createObjectNode();
     ArrayNode failedKeys = JSON.createArrayNode();
     for (JsonNode c : transaction.path("when")) {
-      Value entry = entries.get(c.get("path").asText());
+      Entry entry = entries.get(c.get("path").asText());
       if ((entry == null ? 0 : entry.version) != c.get("stamp").asLong()) {
         failedKeys.add(c.get("path"));
       }
@@ -249,7 +249,7 @@
       if (c.has("set")) {
         String key = c.get("set").asText();
         largestValueBytes = Math.max(largestValueBytes, c.get("v").toString().length());
-        entries.put(key, new Value(c.get("v"), revision, c.path("permit").asLong(-1)));
+        entries.put(key, new Entry(c.get("v"), revision, c.path("permit").asLong(-1)));
         changes.add(new Change(key, c.get("v"), revision));
       } else {
         String key = c.get("remove").asText();
@@ -356,7 +356,7 @@
     List.copyOf(followers).forEach(follower -> time.schedule(0, follower));
   }
 
-  private static JsonNode toJson(String key, Value entry) {
+  private static JsonNode toJson(String key, Entry entry) {
     ObjectNode json = JSON.createObjectNode().put("path", key).put("stamp", entry.version);
     json.set("v", entry.value);
     return json;
--- a/src/test/java/dev/windbend/daemon/InvariantsTest.java
+++ b/src/test/java/dev/windbend/daemon/InvariantsTest.java
@@ -467,7 +467,7 @@
       cluster.lossProbability = 0;
       cluster.delayProbability = 0;
       cluster.cloudCapacity = 12;
-      cluster.runs = task -> 200_000;
+      cluster.taskRunTimeMs = task -> 200_000;
       cluster.start(0, 1);
       for (int job = 0; job < 6; job++) {
         SimulatedUser user = new SimulatedUser(cluster, job, 4, null, false, false);
@@ -571,7 +571,7 @@
     cluster.cloudCapacity = 4;
     cluster.lossProbability = 0;
     cluster.delayProbability = 0;
-    cluster.runs =
+    cluster.taskRunTimeMs =
         task ->
             task.startsWith("wk-000000") && SimulatedCluster.taskIndex(task) % 4 == 0
                 ? 300_000
--- a/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
+++ b/src/test/java/dev/windbend/daemon/OuterSurfaceTest.java
@@ -33,48 +33,49 @@
  * literals.
  */
 class OuterSurfaceTest {
-  private static final String ZONES_LOOKED_AFTER = "[zone]\nenabled = true\n";
+  private static final String ZONE_MONITORING_ENABLED = "[zone]\nenabled = true\n";
   private static final List<String> ZONES = List.of("a", "b");
 
   private static final String KEY_PATH = "/keys/";
 
   /** Keys written, with 0 for each number in them. */
-  private final TreeSet<String> keys = new TreeSet<>();
+  private final TreeSet<String> writtenKeys = new TreeSet<>();
 
   /** Keys read one by one, in the same form. */
-  private final TreeSet<String> keysRead = new TreeSet<>();
+  private final TreeSet<String> readKeys = new TreeSet<>();
 
   /** Ids of entries in pages, in the same form. */
-  private final TreeSet<String> entries = new TreeSet<>();
+  private final TreeSet<String> pageEntryIds = new TreeSet<>();
 
   /** NameIndex of requests for machines, in the same form. */
-  private final TreeSet<String> rentals = new TreeSet<>();
+  private final TreeSet<String> scaleOutRequestNames = new TreeSet<>();
 
   /** Requests that nodes send, by receiver, method and path. */
   private final TreeSet<String> requests = new TreeSet<>();
 
-  private SimulatedCluster cluster(String settings) throws InvalidSettingsException {
-    SimulatedCluster w = new SimulatedCluster(5);
-    w.lossProbability = 0;
-    w.delayProbability = 0;
-    w.policy = OperatorSettings.parse(settings, ZONES);
-    return w;
+  private SimulatedCluster newCluster(String settings) throws InvalidSettingsException {
+    SimulatedCluster cluster = new SimulatedCluster(5);
+    cluster.lossProbability = 0;
+    cluster.delayProbability = 0;
+    cluster.policy = OperatorSettings.parse(settings, ZONES);
+    return cluster;
   }
 
-  private static ClientResponse ask(
-      SimulatedCluster w, String address, String method, String path, String body) {
-    ClientResponse[] got = {ClientResponse.NO_RESPONSE};
+  private static ClientResponse call(
+      SimulatedCluster cluster, String address, String method, String path, String body) {
+    ClientResponse[] response = {ClientResponse.NO_RESPONSE};
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-    w.sendRequest("users", address, method, path, bytes, 5_000, r -> got[0] = r);
-    w.time.runUntil(w.time.nowMs() + 1_000);
-    return got[0];
+    cluster.sendRequest("users", address, method, path, bytes, 5_000, r -> response[0] = r);
+    cluster.time.runUntil(cluster.time.nowMs() + 1_000);
+    return response[0];
   }
 
-  private static String shape(String text) {
+  private static String replaceNumbersWithZero(String text) {
     return text.replaceAll("[0-9]+", "0");
   }
 
-  private void note(SimulatedCluster w, String address, String method, String path, byte[] body) {
+  private void recordRequest(
+      SimulatedCluster cluster, String address, String method, String path, byte[] body) {
     String receiver =
         switch (address) {
           case "state:1" -> "state";
@@ -85,53 +86,58 @@
       return;
     }
     if (path.startsWith(KEY_PATH)) {
-      keysRead.add(shape(path.substring(KEY_PATH.length())));
+      readKeys.add(replaceNumbersWithZero(path.substring(KEY_PATH.length())));
       requests.add(receiver + " " + method + " " + KEY_PATH + "{key}");
     } else {
       requests.add(receiver + " " + method + " " + path.replaceAll("(from=|/holds/)[0-9]+", "$10"));
     }
     if (path.equals("/hosts")) {
-      rentals.add(shape(w.parseJson(body).path("hire").asText()));
+      scaleOutRequestNames.add(
+          replaceNumbersWithZero(cluster.parseJson(body).path("hire").asText()));
     }
     if (path.equals("/txn")) {
-      for (JsonNode change : w.parseJson(body).path("then")) {
+      for (JsonNode change : cluster.parseJson(body).path("then")) {
         String key = change.has("set") ? change.get("set").asText() : change.get("remove").asText();
-        keys.add(shape(key));
+        writtenKeys.add(replaceNumbersWithZero(key));
         if (key.startsWith("w/p/")) {
-          change.path("v").path("e").fieldNames().forEachRemaining(id -> entries.add(shape(id)));
+          change
+              .path("v")
+              .path("e")
+              .fieldNames()
+              .forEachRemaining(id -> pageEntryIds.add(replaceNumbersWithZero(id)));
         }
       }
     }
   }
 
   /** A day with all that makes nodes write keys and send requests. */
-  private void watchADay() throws InvalidSettingsException {
-    SimulatedCluster w = cluster(ZONES_LOOKED_AFTER);
-    w.delivery =
+  private void runZoneLossScenario() throws InvalidSettingsException {
+    SimulatedCluster cluster = newCluster(ZONE_MONITORING_ENABLED);
+    cluster.delivery =
         (from, address, method, path, body, done) -> {
-          note(w, address, method, path, body);
-          w.deliver(from, address, method, path, body, done);
+          recordRequest(cluster, address, method, path, body);
+          cluster.deliver(from, address, method, path, body, done);
         };
-    w.additionalRunMs = 12_000;
-    w.start(40, 60_000);
-    w.time.schedule(30_000, () -> w.cancelRunningJobs(5, ""));
-    ZoneLossTest.loseZone(w, 40_000, 60_000);
-    w.time.schedule(130_000, () -> w.stateService.outage = true);
-    w.time.schedule(140_000, w.stateService::endOutage);
-    w.time.runUntil(300_000);
+    cluster.additionalRunMs = 12_000;
+    cluster.start(40, 60_000);
+    cluster.time.schedule(30_000, () -> cluster.cancelRunningJobs(5, ""));
+    ZoneLossTest.loseZone(cluster, 40_000, 60_000);
+    cluster.time.schedule(130_000, () -> cluster.stateService.outage = true);
+    cluster.time.schedule(140_000, cluster.stateService::endOutage);
+    cluster.time.runUntil(300_000);
   }
 
   /** The keys below which the state service keeps each kind of record, and what they end in. */
   @Test
-  void writesTheseKeysAndSendsTheseRequests() throws InvalidSettingsException {
-    watchADay();
-    assertThat(keys)
+  void writesExpectedKeysAndSendsExpectedRequests() throws InvalidSettingsException {
+    runZoneLossScenario();
+    assertThat(writtenKeys)
         .containsExactlyInAnyOrder(
             "a/wk-0", "w/c/0", "w/h/0/g0-0-0", "w/h/0/p0-0-0", "w/j/wk-0", "w/p/0/0", "w/z/0/b");
-    assertThat(keys).as("keys read").containsAll(keysRead);
-    assertThat(keysRead).contains("a/wk-0", "w/j/wk-0");
-    assertThat(entries).containsExactlyInAnyOrder("wk-0/0", "wk-0:0");
-    assertThat(rentals).containsExactly("p0-0-0");
+    assertThat(writtenKeys).as("keys read").containsAll(readKeys);
+    assertThat(readKeys).contains("a/wk-0", "w/j/wk-0");
+    assertThat(pageEntryIds).containsExactlyInAnyOrder("wk-0/0", "wk-0:0");
+    assertThat(scaleOutRequestNames).containsExactly("p0-0-0");
     assertThat(requests)
         .containsExactlyInAnyOrder(
             "cloud GET /hosts?limit=500",
@@ -182,33 +188,34 @@
         "80|POST|/peer/cancelled|{}|404",
         "80|POST|/peer/lend|{}|404",
       })
-  void servesPaths(int port, String method, String path, String body, int status)
+  void returnsExpectedStatusForEachPath(
+      int port, String method, String path, String body, int status)
       throws InvalidSettingsException {
-    SimulatedCluster w = cluster("");
-    w.start(0, 1);
-    w.time.runUntil(4_000);
-    String text = body == null ? "" : body;
-    assertThat(ask(w, "n0:" + port, method, path, text).status()).isEqualTo(status);
+    SimulatedCluster cluster = newCluster("");
+    cluster.start(0, 1);
+    cluster.time.runUntil(4_000);
+    String requestBody = body == null ? "" : body;
+    assertThat(call(cluster, "n0:" + port, method, path, requestBody).status()).isEqualTo(status);
   }
 
   /** A user who asks for what does not exist or can't be answered gets an empty object. */
   @Test
-  void answersWithoutAMessageWithAnEmptyObject() throws InvalidSettingsException {
-    SimulatedCluster w = cluster("");
-    w.start(0, 1);
-    w.time.runUntil(4_000);
-    assertThat(ask(w, "n0:80", "GET", "/nothing", "").body()).asString().isEqualTo("{}");
-    assertThat(ask(w, "n0:80", "GET", "/up", "").body()).asString().isEqualTo("{}");
+  void returnsEmptyObjectForUnknownPathAndHealthCheck() throws InvalidSettingsException {
+    SimulatedCluster cluster = newCluster("");
+    cluster.start(0, 1);
+    cluster.time.runUntil(4_000);
+    assertThat(call(cluster, "n0:80", "GET", "/nothing", "").body()).asString().isEqualTo("{}");
+    assertThat(call(cluster, "n0:80", "GET", "/up", "").body()).asString().isEqualTo("{}");
   }
 
   @Test
-  void showsTheseMetrics() throws InvalidSettingsException {
-    SimulatedCluster w = cluster("");
-    w.start(0, 1);
-    w.time.runUntil(4_000);
-    ask(w, "n0:80", "GET", "/up", "");
-    ask(w, "n0:80", "GET", "/nothing", "");
-    assertThat(metricNames(w))
+  void exposesExpectedMetrics() throws InvalidSettingsException {
+    SimulatedCluster cluster = newCluster("");
+    cluster.start(0, 1);
+    cluster.time.runUntil(4_000);
+    call(cluster, "n0:80", "GET", "/up", "");
+    call(cluster, "n0:80", "GET", "/nothing", "");
+    assertThat(metricNames(cluster))
         .containsExactly(
             "windbend.answers.200.count",
             "windbend.answers.404.count",
@@ -220,11 +227,11 @@
   }
 
   @Test
-  void showsTheseMetricsWhereZonesAreLookedAfter() throws InvalidSettingsException {
-    SimulatedCluster w = cluster(ZONES_LOOKED_AFTER);
-    w.start(0, 1);
-    w.time.runUntil(4_000);
-    assertThat(metricNames(w))
+  void exposesZoneMetricsWhenZoneMonitoringIsEnabled() throws InvalidSettingsException {
+    SimulatedCluster cluster = newCluster(ZONE_MONITORING_ENABLED);
+    cluster.start(0, 1);
+    cluster.time.runUntil(4_000);
+    assertThat(metricNames(cluster))
         .containsExactly(
             "windbend.jobs.live.value",
             "windbend.machines.value",
@@ -237,14 +244,14 @@
             "windbend.zone.taken_back");
   }
 
-  private static List<String> metricNames(SimulatedCluster w) {
-    JsonNode all = w.parseJson(ask(w, "n0:81", "GET", "/metrics", "").body());
+  private static List<String> metricNames(SimulatedCluster cluster) {
+    JsonNode metrics = cluster.parseJson(call(cluster, "n0:81", "GET", "/metrics", "").body());
     TreeSet<String> names = new TreeSet<>();
-    all.fieldNames().forEachRemaining(names::add);
+    metrics.fieldNames().forEachRemaining(names::add);
     return List.copyOf(names);
   }
 
-  private static final String JOB =
+  private static final String JOB_JSON =
       "{'uid':'wk-000001','fleet':'k','crew':'red','shape':'batch','urgency':'idle','drops':2,"
           + "'cores':1.0,'cards':0.0,'ram_gb':1.0,'load':'i','pull_gb':1.0,'haul_s':5.0,"
           + "'together':false,'spread':false,'standby':true,'waypoint_s':0.0,'stow_s':0.0}";
@@ -264,16 +271,22 @@
         "'cores':1.0|'cores':5.0|422|{\"error\":\"a task fits no allowed machine type\"}",
         "{'uid'|['uid'|400|{\"error\":\"not a JSON object\"}",
       })
-  void answersSubmissions(String from, String to, int status, String answer)
+  void returnsExpectedResponseToSubmission(
+      String replacedText, String replacement, int status, String expectedBody)
       throws InvalidSettingsException {
-    SimulatedCluster w = cluster("");
-    w.start(0, 1);
-    w.time.runUntil(4_000);
-    assertThat(JOB).contains(from);
-    ClientResponse reply =
-        ask(w, "n0:80", "POST", "/v1/jobs", JOB.replace(from, to).replace('\'', '"'));
-    assertThat(reply.status()).isEqualTo(status);
-    assertThat(reply.body()).asString().isEqualTo(answer);
+    SimulatedCluster cluster = newCluster("");
+    cluster.start(0, 1);
+    cluster.time.runUntil(4_000);
+    assertThat(JOB_JSON).contains(replacedText);
+    ClientResponse response =
+        call(
+            cluster,
+            "n0:80",
+            "POST",
+            "/v1/jobs",
+            JOB_JSON.replace(replacedText, replacement).replace('\'', '"'));
+    assertThat(response.status()).isEqualTo(status);
+    assertThat(response.body()).asString().isEqualTo(expectedBody);
   }
 
   /** A user whom a node can't answer for now is told to come back after a second. */
@@ -283,30 +296,32 @@
     "GET,/v1/jobs/wk-000001",
     "POST,/v1/jobs/wk-000001/cancel",
   })
-  void sendsUsersAwayForASecondIfItIsNotAnswered(String method, String path)
+  void returns503WithRetryAfterOfOneSecondWhenOtherServicesDoNotRespond(String method, String path)
       throws InvalidSettingsException {
-    SimulatedCluster w = cluster("");
-    Controller node =
+    SimulatedCluster cluster = newCluster("");
+    Controller controller =
         new Controller(
-            SettingsReader.parse(w.controllerSettings(0)),
-            w.policy,
-            w.time.new ProcessLoop(0, 0, () -> 0L),
+            SettingsReader.parse(cluster.controllerSettings(0)),
+            cluster.policy,
+            cluster.time.new ProcessLoop(0, 0, () -> 0L),
             (address, callMethod, callPath, body, limitMs, done) ->
-                w.time.schedule(limitMs, () -> done.accept(ClientResponse.NO_RESPONSE)));
-    List<ServerResponse> answers = new ArrayList<>();
-    byte[] body = JOB.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-    node.clientEndpoints().handle(new ServerRequest(method, path, Map.of(), body), answers::add);
-    w.time.runUntil(30_000);
-    assertThat(answers).hasSize(1);
-    assertThat(answers.get(0).status()).isEqualTo(503);
-    assertThat(answers.get(0).retryAfterS()).isEqualTo(1);
-    assertThat(answers.get(0).body()).asString().isEqualTo("{}");
+                cluster.time.schedule(limitMs, () -> done.accept(ClientResponse.NO_RESPONSE)));
+    List<ServerResponse> responses = new ArrayList<>();
+    byte[] body = JOB_JSON.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
+    controller
+        .clientEndpoints()
+        .handle(new ServerRequest(method, path, Map.of(), body), responses::add);
+    cluster.time.runUntil(30_000);
+    assertThat(responses).hasSize(1);
+    assertThat(responses.get(0).status()).isEqualTo(503);
+    assertThat(responses.get(0).retryAfterS()).isEqualTo(1);
+    assertThat(responses.get(0).body()).asString().isEqualTo("{}");
   }
 
   // ---- headers
 
   @Test
-  void sendsHeaders() throws IOException, InterruptedException {
+  void sendsExpectedHeadersAndRejectsBodyOver64KiB() throws IOException, InterruptedException {
     XnioWorker worker =
         Xnio.getInstance()
             .createWorker(
@@ -327,14 +342,15 @@
                       request.path().equals("/later")
                           ? ServerResponse.retryAfter(7)
                           : ServerResponse.ofStatus(200)));
-      HttpResponse<String> later = post(address, "/later", 2);
-      assertThat(later.statusCode()).isEqualTo(503);
-      assertThat(later.headers().firstValue("Retry-After")).hasValue("7");
-      assertThat(later.headers().firstValue("Content-Type")).hasValue("application/json");
-      assertThat(later.body()).isEqualTo("{}");
-      HttpResponse<String> now = post(address, "/now", 64 * 1024);
-      assertThat(now.statusCode()).isEqualTo(200);
-      assertThat(now.headers().map().keySet())
+      HttpResponse<String> retryLaterResponse = post(address, "/later", 2);
+      assertThat(retryLaterResponse.statusCode()).isEqualTo(503);
+      assertThat(retryLaterResponse.headers().firstValue("Retry-After")).hasValue("7");
+      assertThat(retryLaterResponse.headers().firstValue("Content-Type"))
+          .hasValue("application/json");
+      assertThat(retryLaterResponse.body()).isEqualTo("{}");
+      HttpResponse<String> okResponse = post(address, "/now", 64 * 1024);
+      assertThat(okResponse.statusCode()).isEqualTo(200);
+      assertThat(okResponse.headers().map().keySet())
           .containsExactlyInAnyOrder("content-type", "content-length");
       assertThat(post(address, "/now", 64 * 1024 + 1).statusCode()).isEqualTo(413);
     } finally {
@@ -343,14 +359,14 @@
     }
   }
 
-  private static HttpResponse<String> post(InetSocketAddress to, String path, int bytes)
+  private static HttpResponse<String> post(InetSocketAddress server, String path, int bodyBytes)
       throws IOException, InterruptedException {
     return HttpClient.newBuilder()
         .version(HttpClient.Version.HTTP_1_1)
         .build()
         .send(
-            HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + to.getPort() + path))
-                .POST(HttpRequest.BodyPublishers.ofString("x".repeat(bytes)))
+            HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + server.getPort() + path))
+                .POST(HttpRequest.BodyPublishers.ofString("x".repeat(bodyBytes)))
                 .build(),
             HttpResponse.BodyHandlers.ofString());
   }
--- a/src/test/java/dev/windbend/daemon/SimulatedCluster.java
+++ b/src/test/java/dev/windbend/daemon/SimulatedCluster.java
@@ -124,7 +124,7 @@
   long runTimeStepMs;
 
   /** How long a task runs. */
-  ToLongFunction<String> runs = this::defaultTaskRunMs;
+  ToLongFunction<String> taskRunTimeMs = this::defaultTaskRunMs;
 
   /** Jobs have so many tasks at most. */
   int maxTasksPerJob = 12;
@@ -518,7 +518,7 @@
   }
 
   long taskRunMs(String task) {
-    return runs.applyAsLong(task);
+    return taskRunTimeMs.applyAsLong(task);
   }
 
   static int taskIndex(String task) {
--- a/src/test/java/dev/windbend/daemon/StarvedJobsTest.java
+++ b/src/test/java/dev/windbend/daemon/StarvedJobsTest.java
@@ -100,7 +100,7 @@
       cluster.lossProbability = 0;
       cluster.delayProbability = 0;
       cluster.invariantChecker.faultsEndMs = 0;
-      cluster.runs = StarvedJobsTest::runMsWithOneLongTaskPerMachine;
+      cluster.taskRunTimeMs = StarvedJobsTest::runMsWithOneLongTaskPerMachine;
       cluster.start(0, 1);
       SimulatedUser longTaskUser =
           new SimulatedUser(cluster, FIRST_JOB, "red", 4 * machines, null, true, false);
--- a/src/test/java/dev/windbend/daemon/StoredDataTest.java
+++ b/src/test/java/dev/windbend/daemon/StoredDataTest.java
@@ -22,13 +22,13 @@
  */
 class StoredDataTest {
   private static final String FILE = "/dev/windbend/stored-day.json";
-  private static final long DAY_MS = 900_000;
+  private static final long SCENARIO_MS = 900_000;
 
   /** The dead controllers' leases have ended, and their successors have taken over by then. */
-  private static final long TAKEN_OVER_MS = 30_000;
+  private static final long FAILOVER_DONE_MS = 30_000;
 
   /** All machines have had an answer, or are found to be gone. */
-  private static final long KNOWN_MS = 60_000;
+  private static final long MACHINES_RECOVERED_MS = 60_000;
 
   private static JsonNode saved;
 
@@ -40,75 +40,81 @@
   }
 
   @Test
-  void everyRecordIsReadAndWrittenBackUnchanged() {
+  void readsAndRewritesEveryStoredRecordUnchanged() {
     assertThat(StoredDay.count(saved)).doesNotContainValue(0);
   }
 
   @Test
-  void controllersGoOnFromTheStoredRecords() {
+  void completesStoredJobsWithoutRestartingRunningTasks() {
     for (long seed = 1; seed <= 3; seed++) {
-      goOn(seed);
+      runFromStoredRecords(seed);
     }
   }
 
-  private static void goOn(long seed) {
-    SimulatedCluster w = StoredDataWriter.cluster(seed);
-    w.lossProbability = 0;
-    w.delayProbability = 0;
-    w.load(saved);
-    w.invariantChecker.faultsEndMs = w.time.nowMs() + 2 * KNOWN_MS;
-    long fromMs = w.time.nowMs();
-    Map<String, Long> tokens = new TreeMap<>();
-    w.machines.values().forEach(m -> tokens.put(m.name, m.fencingToken()));
-    List<FakeWorker> machines = List.copyOf(w.machines.values());
-    Set<String> live = keysBelow("w/j/");
-    assertThat(w.users)
+  private static void runFromStoredRecords(long seed) {
+    SimulatedCluster cluster = StoredDataWriter.newCluster(seed);
+    cluster.lossProbability = 0;
+    cluster.delayProbability = 0;
+    cluster.load(saved);
+    cluster.invariantChecker.faultsEndMs = cluster.time.nowMs() + 2 * MACHINES_RECOVERED_MS;
+    long fromMs = cluster.time.nowMs();
+    Map<String, Long> initialTokens = new TreeMap<>();
+    cluster.machines.values().forEach(m -> initialTokens.put(m.name, m.fencingToken()));
+    List<FakeWorker> machines = List.copyOf(cluster.machines.values());
+    Set<String> liveJobs = idsUnderPrefix("w/j/");
+    assertThat(cluster.users)
         .as("a user for each job on record")
-        .containsKeys(live.toArray(String[]::new));
-    assertThat(w.users).containsKeys(keysBelow("a/").toArray(String[]::new));
-    assertThat(w.unfinishedJobs()).as("unfinished at first, seed %d", seed).isNotEmpty();
-    for (int node = 0; node < w.controllerCount; node++) {
-      w.startController(node);
+        .containsKeys(liveJobs.toArray(String[]::new));
+    assertThat(cluster.users).containsKeys(idsUnderPrefix("a/").toArray(String[]::new));
+    assertThat(cluster.unfinishedJobs()).as("unfinished at first, seed %d", seed).isNotEmpty();
+    for (int controller = 0; controller < cluster.controllerCount; controller++) {
+      cluster.startController(controller);
     }
-    w.time.runUntil(fromMs + TAKEN_OVER_MS);
-    for (int shard = 0; shard < w.controllerCount; shard++) {
-      assertThat(w.leaderOf(shard)).as("owner of shard %d, seed %d", shard, seed).matches("n[0-2]");
+    cluster.time.runUntil(fromMs + FAILOVER_DONE_MS);
+    for (int shard = 0; shard < cluster.controllerCount; shard++) {
+      assertThat(cluster.leaderOf(shard))
+          .as("owner of shard %d, seed %d", shard, seed)
+          .matches("n[0-2]");
     }
-    Map<String, String> statuses = ask(w, live);
-    assertThat(statuses.keySet()).as("live jobs known, seed %d", seed).isEqualTo(live);
+    Map<String, String> statuses = queryStatuses(cluster, liveJobs);
+    assertThat(statuses.keySet()).as("live jobs known, seed %d", seed).isEqualTo(liveJobs);
     assertThat(statuses.values()).isSubsetOf("pending", "running", "done", "aborted");
-    w.time.runUntil(fromMs + KNOWN_MS);
-    List<String> unknown = new ArrayList<>();
+    cluster.time.runUntil(fromMs + MACHINES_RECOVERED_MS);
+    List<String> notCommanded = new ArrayList<>();
     for (FakeWorker m : machines) {
-      if (!m.terminated && m.fencingToken() <= tokens.get(m.name)) {
-        unknown.add(m.name);
+      if (!m.terminated && m.fencingToken() <= initialTokens.get(m.name)) {
+        notCommanded.add(m.name);
       }
     }
-    assertThat(unknown).as("machines no controller commands, seed %d", seed).isEmpty();
-    w.time.runUntil(fromMs + DAY_MS);
-    assertThat(w.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
-    assertThat(w.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
-    assertThat(w.expiredLeasesWithTasks).as("leases ended with tasks, seed %d", seed).isZero();
-    assertThat(w.stateService.countKeys("w/j/")).as("live jobs left, seed %d", seed).isZero();
-    assertThat(w.stateService.countKeys("w/z/")).as("zones on record, seed %d", seed).isZero();
-    assertThat(w.machines).as("machines left, seed %d", seed).isEmpty();
-    assertStarts(w, seed);
-    Set<String> ended = keysBelow("a/");
-    Map<String, String> answers = ask(w, ended);
-    assertThat(answers).as("ended jobs, seed %d", seed).isEqualTo(endedStatuses());
+    assertThat(notCommanded).as("machines no controller commands, seed %d", seed).isEmpty();
+    cluster.time.runUntil(fromMs + SCENARIO_MS);
+    assertThat(cluster.invariantChecker.violations).as("rules, seed %d", seed).isEmpty();
+    assertThat(cluster.unfinishedJobs()).as("unfinished, seed %d", seed).isEmpty();
+    assertThat(cluster.expiredLeasesWithTasks)
+        .as("leases ended with tasks, seed %d", seed)
+        .isZero();
+    assertThat(cluster.stateService.countKeys("w/j/")).as("live jobs left, seed %d", seed).isZero();
+    assertThat(cluster.stateService.countKeys("w/z/"))
+        .as("zones on record, seed %d", seed)
+        .isZero();
+    assertThat(cluster.machines).as("machines left, seed %d", seed).isEmpty();
+    assertNoUnexpectedStarts(cluster, seed);
+    Set<String> endedJobs = idsUnderPrefix("a/");
+    Map<String, String> endedJobStatuses = queryStatuses(cluster, endedJobs);
+    assertThat(endedJobStatuses).as("ended jobs, seed %d", seed).isEqualTo(storedEndedStatuses());
   }
 
   /** What ran goes on where it is, and nothing of a cancelled or ended job is started. */
-  private static void assertStarts(SimulatedCluster w, long seed) {
-    Set<String> over = keysBelow("a/");
+  private static void assertNoUnexpectedStarts(SimulatedCluster cluster, long seed) {
+    Set<String> cancelledOrEndedJobs = idsUnderPrefix("a/");
     for (JsonNode k : saved.get("store").get("keys")) {
       if (k.get("value").path("cancelled").asBoolean()) {
-        over.add(name(k));
+        cancelledOrEndedJobs.add(lastPathSegment(k));
       }
     }
-    assertThat(w.invariantChecker.startedTasks)
+    assertThat(cluster.invariantChecker.startedTasks)
         .as("starts of cancelled or ended jobs, seed %d", seed)
-        .noneMatch(task -> over.contains(InvariantChecker.jobId(task)));
+        .noneMatch(task -> cancelledOrEndedJobs.contains(InvariantChecker.jobId(task)));
     Set<String> running = new TreeSet<>();
     for (JsonNode machine : saved.get("machines")) {
       for (JsonNode task : machine.get("tasks")) {
@@ -118,61 +124,62 @@
       }
     }
     assertThat(
-            w.invariantChecker.startedTasks.stream()
+            cluster.invariantChecker.startedTasks.stream()
                 .filter(running::contains)
                 .collect(Collectors.toSet()))
         .as("tasks that ran and were started again, seed %d", seed)
         .isEmpty();
   }
 
-  private static String name(JsonNode key) {
-    String path = key.get("key").asText();
+  private static String lastPathSegment(JsonNode entry) {
+    String path = entry.get("key").asText();
     return path.substring(path.lastIndexOf('/') + 1);
   }
 
-  private static Set<String> keysBelow(String prefix) {
-    Set<String> all = new TreeSet<>();
+  private static Set<String> idsUnderPrefix(String prefix) {
+    Set<String> ids = new TreeSet<>();
     for (JsonNode k : saved.get("store").get("keys")) {
       if (k.get("key").asText().startsWith(prefix)) {
-        all.add(name(k));
+        ids.add(lastPathSegment(k));
       }
     }
-    return all;
+    return ids;
   }
 
-  private static Map<String, String> endedStatuses() {
-    Map<String, String> all = new HashMap<>();
+  private static Map<String, String> storedEndedStatuses() {
+    Map<String, String> statuses = new HashMap<>();
     for (JsonNode k : saved.get("store").get("keys")) {
       if (k.get("key").asText().startsWith("a/")) {
-        all.put(name(k), k.get("value").get("s").asText());
+        statuses.put(lastPathSegment(k), k.get("value").get("s").asText());
       }
     }
-    return all;
+    return statuses;
   }
 
   /** Asks every node about each job; all must agree. Jobs that are not found are left out. */
-  private static Map<String, String> ask(SimulatedCluster w, Set<String> jobs) {
-    Map<String, Set<String>> heard = new TreeMap<>();
+  private static Map<String, String> queryStatuses(SimulatedCluster cluster, Set<String> jobs) {
+    Map<String, Set<String>> statusesByJob = new TreeMap<>();
     for (String job : jobs) {
-      for (int node = 0; node < w.controllerCount; node++) {
-        w.sendRequest(
+      for (int controller = 0; controller < cluster.controllerCount; controller++) {
+        cluster.sendRequest(
             "users",
-            "n" + node + ":80",
+            "n" + controller + ":80",
             "GET",
             "/v1/jobs/" + job,
             null,
             4_000,
-            r -> {
-              String status = w.parseJson(r.body()).path("status").asText();
-              heard
+            response -> {
+              String status = cluster.parseJson(response.body()).path("status").asText();
+              statusesByJob
                   .computeIfAbsent(job, j -> new TreeSet<>())
-                  .add(r.status() == 200 ? status : "answer " + r.status());
+                  .add(response.status() == 200 ? status : "answer " + response.status());
             });
       }
     }
-    w.time.runUntil(w.time.nowMs() + 5_000);
-    Map<String, String> all = new TreeMap<>();
-    heard.forEach((job, statuses) -> all.put(job, String.join(" and ", statuses)));
-    return all;
+    cluster.time.runUntil(cluster.time.nowMs() + 5_000);
+    Map<String, String> joinedStatuses = new TreeMap<>();
+    statusesByJob.forEach(
+        (job, statuses) -> joinedStatuses.put(job, String.join(" and ", statuses)));
+    return joinedStatuses;
   }
 }
--- a/src/test/java/dev/windbend/daemon/StoredDataWriter.java
+++ b/src/test/java/dev/windbend/daemon/StoredDataWriter.java
@@ -16,11 +16,11 @@
  * is a file that must not exist yet.
  */
 final class StoredDataWriter {
-  static final long LEAST_RUN_MS = 12_000;
-  private static final long LOST_MS = 40_000;
-  private static final long LOST_FOR_MS = 60_000;
+  static final long MIN_RUN_TIME_MS = 12_000;
+  private static final long ZONE_LOSS_START_MS = 40_000;
+  private static final long ZONE_LOSS_DURATION_MS = 60_000;
   private static final long STEP_MS = 50;
-  private static final int SEEDS = 400;
+  private static final int MAX_SEED = 400;
 
   private StoredDataWriter() {}
 
@@ -29,8 +29,8 @@
     if (Files.exists(file)) {
       throw new IOException(file + " is there and stays as it is");
     }
-    for (long seed = 1; seed <= SEEDS; seed++) {
-      ObjectNode saved = day(seed);
+    for (long seed = 1; seed <= MAX_SEED; seed++) {
+      ObjectNode saved = runScenario(seed);
       if (saved != null) {
         System.out.printf("seed %d, %s%n", seed, StoredDay.count(saved));
         ObjectWriter writer = FakeStateService.JSON.writerWithDefaultPrettyPrinter();
@@ -43,33 +43,41 @@
   }
 
   /** A cluster to be loaded with, or to come to, such a moment. */
-  static SimulatedCluster cluster(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed);
+  static SimulatedCluster newCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed);
     try {
-      w.policy = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
+      cluster.policy = OperatorSettings.parse(ZoneLossTest.SETTINGS, List.of("a", "b"));
     } catch (InvalidSettingsException e) {
       throw new AssertionError(e);
     }
-    w.additionalRunMs = LEAST_RUN_MS;
-    return w;
+    cluster.additionalRunMs = MIN_RUN_TIME_MS;
+    return cluster;
   }
 
   /** Null: it never holds records of every kind at once. */
-  private static ObjectNode day(long seed) {
-    SimulatedCluster w = cluster(seed);
-    w.cloudCapacity = 24;
-    w.start(40, 70_000);
-    w.users.values().stream().filter(u -> u.taskCount % 3 == 0).forEach(u -> u.machineType = "t4");
-    ZoneLossTest.loseZone(w, LOST_MS, LOST_FOR_MS);
-    w.time.runUntil(LOST_MS);
+  private static ObjectNode runScenario(long seed) {
+    SimulatedCluster cluster = newCluster(seed);
+    cluster.cloudCapacity = 24;
+    cluster.start(40, 70_000);
+    cluster.users.values().stream()
+        .filter(u -> u.taskCount % 3 == 0)
+        .forEach(u -> u.machineType = "t4");
+    ZoneLossTest.loseZone(cluster, ZONE_LOSS_START_MS, ZONE_LOSS_DURATION_MS);
+    cluster.time.runUntil(ZONE_LOSS_START_MS);
     FaultInjection.repeat(
-        w, 0, 1_000, (int) (LOST_FOR_MS / 1_000), () -> w.cancelRunningJobs(1, null));
-    for (long now = LOST_MS; now < LOST_MS + LOST_FOR_MS; now += STEP_MS) {
-      w.time.runUntil(now);
-      if (w.stateService.countKeys("w/z/") == 0) {
+        cluster,
+        0,
+        1_000,
+        (int) (ZONE_LOSS_DURATION_MS / 1_000),
+        () -> cluster.cancelRunningJobs(1, null));
+    for (long nowMs = ZONE_LOSS_START_MS;
+        nowMs < ZONE_LOSS_START_MS + ZONE_LOSS_DURATION_MS;
+        nowMs += STEP_MS) {
+      cluster.time.runUntil(nowMs);
+      if (cluster.stateService.countKeys("w/z/") == 0) {
         continue;
       }
-      ObjectNode saved = w.save();
+      ObjectNode saved = cluster.save();
       Map<StoredDay.Kind, Integer> counts = StoredDay.count(saved);
       if (!counts.containsValue(0)) {
         return saved;
--- a/src/test/java/dev/windbend/daemon/StoredDay.java
+++ b/src/test/java/dev/windbend/daemon/StoredDay.java
@@ -19,18 +19,18 @@
   enum Kind {
     LIVE_JOB,
     CANCELLED_LIVE_JOB,
-    JOB_WITH_TYPES,
+    JOB_WITH_MACHINE_TYPES,
     JOB_WITH_ZONE,
     JOB_WITH_DUE_TIME,
-    DONE_JOB,
-    CANCELLED_ENDED_JOB,
+    COMPLETED_JOB,
+    CANCELLED_AND_ENDED_JOB,
     PAGE,
-    DONE_TASKS,
-    PLACEMENTS,
-    OPEN_RENTAL,
-    RENTAL,
+    COMPLETED_TASKS,
+    PLACEMENT_BATCH,
+    UNANSWERED_SCALE_OUT,
+    ANSWERED_SCALE_OUT,
     TRANSFER,
-    MACHINE_BETWEEN_SHARDS,
+    MACHINE_RECORDED_IN_SEVERAL_SHARDS,
     UNREACHABLE_ZONE,
     DISPLACED_JOBS,
     SHARD_CLAIM,
@@ -40,12 +40,12 @@
     EXITED_TASK
   }
 
-  private static final char BATCH_MARK = ':';
+  private static final char PLACEMENT_BATCH_SEPARATOR = ':';
 
   private final Map<Kind, Integer> counts = new EnumMap<>(Kind.class);
 
   /** The shards with a record that names the machine. */
-  private final Map<String, Set<String>> shardsOf = new HashMap<>();
+  private final Map<String, Set<String>> shardsByMachine = new HashMap<>();
 
   private StoredDay() {
     for (Kind kind : Kind.values()) {
@@ -59,119 +59,130 @@
    * @throws AssertionError if a record is of no known kind or can't be read as a whole
    */
   static Map<Kind, Integer> count(JsonNode saved) {
-    StoredDay day = new StoredDay();
-    for (JsonNode k : saved.get("store").get("keys")) {
-      day.record(k.get("key").asText(), k.get("value"));
+    StoredDay recordCounts = new StoredDay();
+    for (JsonNode entry : saved.get("store").get("keys")) {
+      recordCounts.countRecord(entry.get("key").asText(), entry.get("value"));
     }
-    day.counts.put(Kind.LEASE, saved.get("store").get("leases").size());
-    day.counts.put(
-        Kind.MACHINE_BETWEEN_SHARDS,
-        (int) day.shardsOf.values().stream().filter(shards -> shards.size() > 1).count());
+    recordCounts.counts.put(Kind.LEASE, saved.get("store").get("leases").size());
+    recordCounts.counts.put(
+        Kind.MACHINE_RECORDED_IN_SEVERAL_SHARDS,
+        (int)
+            recordCounts.shardsByMachine.values().stream()
+                .filter(shards -> shards.size() > 1)
+                .count());
     for (JsonNode machine : saved.get("machines")) {
-      machine.get("tasks").forEach(day::task);
+      machine.get("tasks").forEach(recordCounts::countTask);
     }
-    return day.counts;
+    return recordCounts.counts;
   }
 
-  private void record(String key, JsonNode value) {
+  private void countRecord(String key, JsonNode value) {
     String[] path = key.split("/", -1);
     String family = path[0] + (path.length > 2 ? "/" + path[1] : "");
     switch (family) {
-      case "w/j" -> live(key, read(key, value, JobRecord.Live.class));
-      case "a" -> ended(key, read(key, value, JobRecord.Ended.class));
-      case "w/p" -> page(key, read(key, value, PageRecord.class));
-      case "w/h" -> machines(key, path[2], read(key, value, ScaleOutRecord.class));
-      case "w/z" -> zone(key, read(key, value, ZoneRecord.class));
+      case "w/j" -> countLiveJob(key, readUnchanged(key, value, JobRecord.Live.class));
+      case "a" -> countEndedJob(key, readUnchanged(key, value, JobRecord.Ended.class));
+      case "w/p" -> countPage(key, readUnchanged(key, value, PageRecord.class));
+      case "w/h" ->
+          countMachineRecord(key, path[2], readUnchanged(key, value, ScaleOutRecord.class));
+      case "w/z" -> countZone(key, readUnchanged(key, value, ZoneRecord.class));
       case "w/c" -> {
         require(value.path("owner").isTextual(), key);
-        add(Kind.SHARD_CLAIM);
+        increment(Kind.SHARD_CLAIM);
       }
       default -> throw new AssertionError("of no known kind: " + key);
     }
   }
 
   /** Nothing of it is lost or named otherwise when it is read and written back. */
-  private static <T> T read(String key, JsonNode value, Class<T> type) {
+  private static <T> T readUnchanged(String key, JsonNode value, Class<T> type) {
     T record = Json.read(value, type);
     require(record != null, key);
-    String back = new String(Json.write(record), StandardCharsets.UTF_8);
-    require(back.equals(value.toString()), key + " holds " + value + ", written back as " + back);
+    String rewritten = new String(Json.write(record), StandardCharsets.UTF_8);
+    require(
+        rewritten.equals(value.toString()),
+        key + " holds " + value + ", written back as " + rewritten);
     return record;
   }
 
-  private void live(String key, JobRecord.Live record) {
+  private void countLiveJob(String key, JobRecord.Live record) {
     require(record.spec() != null && key.endsWith("/" + record.spec().uid()), key);
     require(record.spec().tasks() > 0 && record.submittedWallMs() > 0, key);
     require(record.spec().team() != null && record.spec().urgency() != null, key);
-    add(record.cancelled() ? Kind.CANCELLED_LIVE_JOB : Kind.LIVE_JOB);
-    addIf(record.spec().types() != null, Kind.JOB_WITH_TYPES);
-    addIf(record.spec().zone() != null, Kind.JOB_WITH_ZONE);
-    addIf(record.spec().dueSeconds() != null, Kind.JOB_WITH_DUE_TIME);
+    increment(record.cancelled() ? Kind.CANCELLED_LIVE_JOB : Kind.LIVE_JOB);
+    incrementIf(record.spec().types() != null, Kind.JOB_WITH_MACHINE_TYPES);
+    incrementIf(record.spec().zone() != null, Kind.JOB_WITH_ZONE);
+    incrementIf(record.spec().dueSeconds() != null, Kind.JOB_WITH_DUE_TIME);
   }
 
-  private void ended(String key, JobRecord.Ended record) {
+  private void countEndedJob(String key, JobRecord.Ended record) {
     switch (record.status()) {
-      case "done" -> add(Kind.DONE_JOB);
-      case "aborted" -> add(Kind.CANCELLED_ENDED_JOB);
+      case "done" -> increment(Kind.COMPLETED_JOB);
+      case "aborted" -> increment(Kind.CANCELLED_AND_ENDED_JOB);
       default -> throw new AssertionError(key);
     }
   }
 
-  private void page(String key, PageRecord page) {
-    add(Kind.PAGE);
+  private void countPage(String key, PageRecord page) {
+    increment(Kind.PAGE);
     require(page.entries() != null, key);
     page.entries()
         .forEach(
             (id, value) -> {
-              if (id.indexOf(BATCH_MARK) >= 0) {
-                JobRecord.PlacementBatch batch = read(id, value, JobRecord.PlacementBatch.class);
+              if (id.indexOf(PLACEMENT_BATCH_SEPARATOR) >= 0) {
+                JobRecord.PlacementBatch batch =
+                    readUnchanged(id, value, JobRecord.PlacementBatch.class);
                 require(batch.attempt() > 0 && batch.namePrefix() != null, id);
                 require(batch.nameSuffixes() != null && batch.runData() != null, id);
-                add(Kind.PLACEMENTS);
+                increment(Kind.PLACEMENT_BATCH);
               } else {
-                require(read(id, value, JobRecord.CompletedTasks.class).completed() != null, id);
-                add(Kind.DONE_TASKS);
+                require(
+                    readUnchanged(id, value, JobRecord.CompletedTasks.class).completed() != null,
+                    id);
+                increment(Kind.COMPLETED_TASKS);
               }
             });
   }
 
-  private void machines(String key, String shard, ScaleOutRecord record) {
+  private void countMachineRecord(String key, String shard, ScaleOutRecord record) {
     require(record.type() != null && record.zone() != null, key);
     if (record.unanswered()) {
-      add(Kind.OPEN_RENTAL);
+      increment(Kind.UNANSWERED_SCALE_OUT);
       return;
     }
-    add(record.fence() == null ? Kind.RENTAL : Kind.TRANSFER);
-    record.machines().forEach(m -> shardsOf.computeIfAbsent(m, n -> new HashSet<>()).add(shard));
+    increment(record.fence() == null ? Kind.ANSWERED_SCALE_OUT : Kind.TRANSFER);
+    record
+        .machines()
+        .forEach(m -> shardsByMachine.computeIfAbsent(m, n -> new HashSet<>()).add(shard));
   }
 
-  private void zone(String key, ZoneRecord record) {
+  private void countZone(String key, ZoneRecord record) {
     require(record.state() != null && record.stateSinceWallMs() > 0, key);
     counts.merge(Kind.DISPLACED_JOBS, record.displacedUids().size(), Integer::sum);
-    addIf(record.state().label().equals("unreachable"), Kind.UNREACHABLE_ZONE);
+    incrementIf(record.state().label().equals("unreachable"), Kind.UNREACHABLE_ZONE);
   }
 
-  private void task(JsonNode task) {
+  private void countTask(JsonNode task) {
     switch (task.get("status").asText()) {
-      case "pulling" -> add(Kind.STARTING_TASK);
-      case "running" -> add(Kind.RUNNING_TASK);
-      default -> add(Kind.EXITED_TASK);
+      case "pulling" -> increment(Kind.STARTING_TASK);
+      case "running" -> increment(Kind.RUNNING_TASK);
+      default -> increment(Kind.EXITED_TASK);
     }
   }
 
-  private void addIf(boolean counts, Kind kind) {
-    if (counts) {
-      add(kind);
+  private void incrementIf(boolean condition, Kind kind) {
+    if (condition) {
+      increment(kind);
     }
   }
 
-  private void add(Kind kind) {
+  private void increment(Kind kind) {
     counts.merge(kind, 1, Integer::sum);
   }
 
-  private static void require(boolean holds, String what) {
-    if (!holds) {
-      throw new AssertionError("unreadable: " + what);
+  private static void require(boolean condition, String description) {
+    if (!condition) {
+      throw new AssertionError("unreadable: " + description);
     }
   }
 }
--- a/src/test/java/dev/windbend/daemon/TraceDigest.java
+++ b/src/test/java/dev/windbend/daemon/TraceDigest.java
@@ -22,8 +22,8 @@
   private final LongSupplier nowMs;
   private final PrintWriter dump;
   private final MessageDigest digest;
-  private final Map<String, Integer> counts = new TreeMap<>();
-  private int messages;
+  private final Map<String, Integer> messageCounts = new TreeMap<>();
+  private int messageCount;
 
   /**
    * @param nowMs virtual time
@@ -41,39 +41,41 @@
 
   @Override
   public void requestSent(
-      String node, String address, String method, String path, byte[] body, long limitMs) {
-    add(node + " -> " + address + " " + method + " " + path + " limit_ms=" + limitMs, body);
-    count(receiver(address) + " " + method + " " + shape(path));
+      String controller, String address, String method, String path, byte[] body, long timeoutMs) {
+    addMessage(
+        controller + " -> " + address + " " + method + " " + path + " limit_ms=" + timeoutMs, body);
+    countMessage(receiverKind(address) + " " + method + " " + pathPattern(path));
   }
 
   @Override
   public void responseSent(
-      String node, String asker, ServerRequest request, ServerResponse answer) {
-    String asked = request.method() + " " + request.path();
-    String status = " status=" + answer.status() + " retry_after_s=" + answer.retryAfterS();
-    add(node + " => " + asker + " " + asked + status, answer.body());
-    count("answer " + request.method() + " " + shape(request.path()) + " " + answer.status());
+      String controller, String client, ServerRequest request, ServerResponse response) {
+    String methodAndPath = request.method() + " " + request.path();
+    String status = " status=" + response.status() + " retry_after_s=" + response.retryAfterS();
+    addMessage(controller + " => " + client + " " + methodAndPath + status, response.body());
+    countMessage(
+        "answer " + request.method() + " " + pathPattern(request.path()) + " " + response.status());
   }
 
-  private void add(String message, byte[] body) {
+  private void addMessage(String message, byte[] body) {
     byte[] bytes = body == null ? NO_BODY : body;
     String length = body == null ? "none" : Integer.toString(bytes.length);
     String line = nowMs.getAsLong() + " " + message + " body_bytes=" + length + "\n";
     digest.update(line.getBytes(StandardCharsets.UTF_8));
     digest.update(bytes);
     digest.update((byte) '\n');
-    messages++;
+    messageCount++;
     if (dump != null) {
       dump.print(line);
       dump.println("    " + new String(bytes, StandardCharsets.UTF_8));
     }
   }
 
-  private void count(String kind) {
-    counts.merge(kind, 1, Integer::sum);
+  private void countMessage(String kind) {
+    messageCounts.merge(kind, 1, Integer::sum);
   }
 
-  private static String receiver(String address) {
+  private static String receiverKind(String address) {
     if (address.startsWith("state:") || address.startsWith("cloud:")) {
       return SimulatedCluster.hostOf(address);
     }
@@ -81,22 +83,22 @@
   }
 
   /** The path without what differs from one job, machine or revision to the next. */
-  private static String shape(String path) {
-    String plain = path.indexOf('?') < 0 ? path : path.substring(0, path.indexOf('?'));
-    return plain.replaceAll("/(?!v1/)[^/]*\\d[^/]*", "/*");
+  private static String pathPattern(String path) {
+    String pathWithoutQuery = path.indexOf('?') < 0 ? path : path.substring(0, path.indexOf('?'));
+    return pathWithoutQuery.replaceAll("/(?!v1/)[^/]*\\d[^/]*", "/*");
   }
 
   /** Of all messages so far; nothing may be recorded after it. */
-  String hex() {
+  String finishHex() {
     return HexFormat.of().formatHex(digest.digest());
   }
 
-  int messages() {
-    return messages;
+  int messageCount() {
+    return messageCount;
   }
 
   /** Messages by receiver, method and path; answers by method, path and status. */
-  Map<String, Integer> counts() {
-    return counts;
+  Map<String, Integer> messageCounts() {
+    return messageCounts;
   }
 }
--- a/src/test/java/dev/windbend/daemon/VirtualTime.java
+++ b/src/test/java/dev/windbend/daemon/VirtualTime.java
@@ -6,9 +6,9 @@
 
 /** Simulated time: everything happens in one thread, in the same order every time. */
 final class VirtualTime {
-  private record Event(long atMs, long sequence, Runnable task) {}
+  private record ScheduledTask(long atMs, long sequence, Runnable task) {}
 
-  private final PriorityQueue<Event> events =
+  private final PriorityQueue<ScheduledTask> events =
       new PriorityQueue<>(
           (a, b) ->
               a.atMs != b.atMs
@@ -22,14 +22,14 @@
   }
 
   void schedule(long delayMs, Runnable task) {
-    events.add(new Event(nowMs + Math.max(0, delayMs), nextSequence++, task));
+    events.add(new ScheduledTask(nowMs + Math.max(0, delayMs), nextSequence++, task));
   }
 
   void runUntil(long endMs) {
     while (!events.isEmpty() && events.peek().atMs <= endMs) {
-      Event event = events.poll();
-      nowMs = event.atMs;
-      event.task.run();
+      ScheduledTask next = events.poll();
+      nowMs = next.atMs;
+      next.task.run();
     }
     nowMs = endMs;
   }
--- a/src/test/java/dev/windbend/daemon/ZoneLossTest.java
+++ b/src/test/java/dev/windbend/daemon/ZoneLossTest.java
@@ -255,8 +255,8 @@
   }
 
   /**
-   * Half of a zone is unreachable: each of its machines is handled on its own, and the zone does not
-   * count as lost.
+   * Half of a zone is unreachable: each of its machines is handled on its own, and the zone does
+   * not count as lost.
    */
   @org.junit.jupiter.api.Test
   void completesAllJobsWhenHalfAZoneIsUnreachable() {
--- a/src/test/java/dev/windbend/job/JobRecordTest.java
+++ b/src/test/java/dev/windbend/job/JobRecordTest.java
@@ -1,9 +1,9 @@
 package dev.windbend.job;
 
-import static dev.windbend.JsonPins.assertPinned;
-import static dev.windbend.JsonPins.assertPinnedWithArrays;
-import static dev.windbend.JsonPins.assertRead;
-import static dev.windbend.JsonPins.assertWritten;
+import static dev.windbend.JsonAssertions.assertDeserializesTo;
+import static dev.windbend.JsonAssertions.assertRoundTrip;
+import static dev.windbend.JsonAssertions.assertRoundTripOfBytes;
+import static dev.windbend.JsonAssertions.assertSerializesTo;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
@@ -99,7 +99,7 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("records")
   void matchesStoredFormat(String name, Object object, String json) {
-    assertPinned(object, json);
+    assertRoundTrip(object, json);
   }
 
   static Stream<Arguments> recordsWithArrays() {
@@ -137,7 +137,7 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("recordsWithArrays")
   void matchesStoredFormatOfArrays(String name, Object object, String json) {
-    assertPinnedWithArrays(object, json);
+    assertRoundTripOfBytes(object, json);
   }
 
   @Test
@@ -165,7 +165,7 @@
   void storesUrgencyInUpperCase(String stored, int rank) {
     Urgency urgency = read("\"" + stored + "\"", Urgency.class);
     assertThat(urgency.rank()).isEqualTo(rank);
-    assertWritten(urgency, "\"" + stored + "\"");
+    assertSerializesTo(urgency, "\"" + stored + "\"");
   }
 
   @Test
@@ -181,14 +181,14 @@
         new JobSpec(
             null, null, null, null, 0, 0, 0, 0, null, 0, null, null, false, false, false, 0, 0, 0,
             null);
-    assertRead("{}", JobSpec.class, empty);
-    assertRead(
+    assertDeserializesTo("{}", JobSpec.class, empty);
+    assertDeserializesTo(
         """
         {"uid":null,"kind":null,"team":null,"urgency":null,"tasks":null,"cores":null,
         "types":null,"zone":null,"together":null,"dueS":null}""",
         JobSpec.class,
         empty);
-    assertRead("{}", JobRecord.Live.class, new JobRecord.Live(null, 0, false));
-    assertRead("{}", JobRecord.Ended.class, new JobRecord.Ended(null, 0));
+    assertDeserializesTo("{}", JobRecord.Live.class, new JobRecord.Live(null, 0, false));
+    assertDeserializesTo("{}", JobRecord.Ended.class, new JobRecord.Ended(null, 0));
   }
 }
--- a/src/test/java/dev/windbend/job/UserMessagesTest.java
+++ b/src/test/java/dev/windbend/job/UserMessagesTest.java
@@ -1,8 +1,8 @@
 package dev.windbend.job;
 
-import static dev.windbend.JsonPins.assertPinned;
-import static dev.windbend.JsonPins.assertRead;
-import static dev.windbend.JsonPins.tree;
+import static dev.windbend.JsonAssertions.assertDeserializesTo;
+import static dev.windbend.JsonAssertions.assertRoundTrip;
+import static dev.windbend.JsonAssertions.parseTree;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
@@ -30,26 +30,26 @@
         arguments(
             "submission",
             new UserMessages.Submission(
-                tree("\"wk-000412\""),
-                tree("\"train\""),
-                tree("\"vision\""),
-                tree("\"batch\""),
-                tree("\"urgent\""),
-                tree("16"),
-                tree("8.5"),
-                tree("1.25"),
-                tree("64.0"),
-                tree("\"img-07\""),
-                tree("6.2"),
-                tree("[\"g8\"]"),
-                tree("\"a\""),
-                tree("true"),
-                tree("false"),
-                tree("true"),
-                tree("240.0"),
-                tree("30.0"),
-                tree("4.0"),
-                tree("900.0")),
+                parseTree("\"wk-000412\""),
+                parseTree("\"train\""),
+                parseTree("\"vision\""),
+                parseTree("\"batch\""),
+                parseTree("\"urgent\""),
+                parseTree("16"),
+                parseTree("8.5"),
+                parseTree("1.25"),
+                parseTree("64.0"),
+                parseTree("\"img-07\""),
+                parseTree("6.2"),
+                parseTree("[\"g8\"]"),
+                parseTree("\"a\""),
+                parseTree("true"),
+                parseTree("false"),
+                parseTree("true"),
+                parseTree("240.0"),
+                parseTree("30.0"),
+                parseTree("4.0"),
+                parseTree("900.0")),
             SUBMISSION),
         arguments(
             "status",
@@ -73,13 +73,13 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
   void matchesWireFormat(String name, Object object, String json) {
-    assertPinned(object, json);
+    assertRoundTrip(object, json);
   }
 
   /** A missing field is read as Java null, and a null field as a JSON null node. */
   @Test
   void readsSubmissionsWithMissingFields() {
-    assertRead(
+    assertDeserializesTo(
         "{\"yard\":null}",
         UserMessages.Submission.class,
         new UserMessages.Submission(
--- a/src/test/java/dev/windbend/machine/CloudMessagesTest.java
+++ b/src/test/java/dev/windbend/machine/CloudMessagesTest.java
@@ -1,7 +1,7 @@
 package dev.windbend.machine;
 
-import static dev.windbend.JsonPins.assertPinned;
-import static dev.windbend.JsonPins.assertRead;
+import static dev.windbend.JsonAssertions.assertDeserializesTo;
+import static dev.windbend.JsonAssertions.assertRoundTrip;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
 import java.util.List;
@@ -75,26 +75,28 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
   void matchesPinnedJson(String name, Object object, String json) {
-    assertPinned(object, json);
+    assertRoundTrip(object, json);
   }
 
   @Test
   void readsMessagesWithMissingFields() {
-    assertRead("{}", CloudMessages.Types.class, new CloudMessages.Types(null));
-    assertRead(
+    assertDeserializesTo("{}", CloudMessages.Types.class, new CloudMessages.Types(null));
+    assertDeserializesTo(
         "{}", CloudMessages.Type.class, new CloudMessages.Type(null, 0, 0, 0, 0, 0, 0, 0, 0, null));
-    assertRead("{}", CloudMessages.InstanceNames.class, new CloudMessages.InstanceNames(null));
-    assertRead("{}", CloudMessages.InstancePage.class, new CloudMessages.InstancePage(null, false));
-    assertRead(
+    assertDeserializesTo(
+        "{}", CloudMessages.InstanceNames.class, new CloudMessages.InstanceNames(null));
+    assertDeserializesTo(
+        "{}", CloudMessages.InstancePage.class, new CloudMessages.InstancePage(null, false));
+    assertDeserializesTo(
         "{}",
         CloudMessages.Instance.class,
         new CloudMessages.Instance(null, null, null, false, null, 0));
-    assertRead(
+    assertDeserializesTo(
         "{\"machines\":null,\"fence\":null}",
         ScaleOutRecord.class,
         new ScaleOutRecord(null, null, false, 0, null, null));
     // Unknown fields of an instance, such as its address, are ignored.
-    assertRead(
+    assertDeserializesTo(
         """
         {"uid":"host-000231","addr":"10.1.0.232:9000","rig":"g8","yard":"a","standby":true,
         "status":"booting","age_s":61}""",
--- a/src/test/java/dev/windbend/peer/PeerMessagesTest.java
+++ b/src/test/java/dev/windbend/peer/PeerMessagesTest.java
@@ -1,7 +1,7 @@
 package dev.windbend.peer;
 
-import static dev.windbend.JsonPins.assertPinned;
-import static dev.windbend.JsonPins.assertRead;
+import static dev.windbend.JsonAssertions.assertDeserializesTo;
+import static dev.windbend.JsonAssertions.assertRoundTrip;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
 import dev.windbend.job.Cancellations.Cancelled;
@@ -87,29 +87,31 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
   void writesAndReadsExpectedJson(String name, Object object, String json) {
-    assertPinned(object, json);
+    assertRoundTrip(object, json);
   }
 
   @Test
   void readsMessagesWithMissingFields() {
-    assertRead("{}", PeerMessages.StoreStatusRequest.class, new PeerMessages.StoreStatusRequest(0));
-    assertRead(
+    assertDeserializesTo(
+        "{}", PeerMessages.StoreStatusRequest.class, new PeerMessages.StoreStatusRequest(0));
+    assertDeserializesTo(
         "{\"cancelled\":null}",
         PeerMessages.StoreStatus.class,
         new PeerMessages.StoreStatus(0, null));
-    assertRead(
+    assertDeserializesTo(
         "{}",
         PeerMessages.ConfirmedCancellations.class,
         new PeerMessages.ConfirmedCancellations(null));
-    assertRead("{}", Cancelled.class, new Cancelled(null, 0));
-    assertRead(
+    assertDeserializesTo("{}", Cancelled.class, new Cancelled(null, 0));
+    assertDeserializesTo(
         "{}",
         MachineTransferMessages.RoutedRequest.class,
         new MachineTransferMessages.RoutedRequest(0, 0, null));
-    assertRead(
+    assertDeserializesTo(
         "{\"overdue\":null}",
         MachineTransferMessages.Request.class,
         new MachineTransferMessages.Request(0, 0, null));
-    assertRead("{}", MachineTransferMessages.Reply.class, new MachineTransferMessages.Reply(0, 0));
+    assertDeserializesTo(
+        "{}", MachineTransferMessages.Reply.class, new MachineTransferMessages.Reply(0, 0));
   }
 }
--- a/src/test/java/dev/windbend/shard/ShardLeaderRecordTest.java
+++ b/src/test/java/dev/windbend/shard/ShardLeaderRecordTest.java
@@ -1,7 +1,7 @@
 package dev.windbend.shard;
 
-import static dev.windbend.JsonPins.assertPinned;
-import static dev.windbend.JsonPins.assertRead;
+import static dev.windbend.JsonAssertions.assertDeserializesTo;
+import static dev.windbend.JsonAssertions.assertRoundTrip;
 
 import org.junit.jupiter.api.Test;
 
@@ -9,8 +9,8 @@
 class ShardLeaderRecordTest {
   @Test
   void storedFormIsUnchanged() {
-    assertPinned(new ShardLeaderRecord("mast-0"), "{\"owner\":\"mast-0\"}");
-    assertRead("{}", ShardLeaderRecord.class, new ShardLeaderRecord(null));
-    assertRead("{\"owner\":null}", ShardLeaderRecord.class, new ShardLeaderRecord(null));
+    assertRoundTrip(new ShardLeaderRecord("mast-0"), "{\"owner\":\"mast-0\"}");
+    assertDeserializesTo("{}", ShardLeaderRecord.class, new ShardLeaderRecord(null));
+    assertDeserializesTo("{\"owner\":null}", ShardLeaderRecord.class, new ShardLeaderRecord(null));
   }
 }
--- a/src/test/java/dev/windbend/store/StoreMessagesTest.java
+++ b/src/test/java/dev/windbend/store/StoreMessagesTest.java
@@ -1,9 +1,9 @@
 package dev.windbend.store;
 
-import static dev.windbend.JsonPins.assertPinned;
-import static dev.windbend.JsonPins.assertRead;
-import static dev.windbend.JsonPins.assertWritten;
-import static dev.windbend.JsonPins.tree;
+import static dev.windbend.JsonAssertions.assertDeserializesTo;
+import static dev.windbend.JsonAssertions.assertRoundTrip;
+import static dev.windbend.JsonAssertions.assertSerializesTo;
+import static dev.windbend.JsonAssertions.parseTree;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -22,13 +22,13 @@
     return Stream.of(
         arguments(
             "stored key",
-            new StoreMessages.StoredKey("a/b", tree("{\"k\":1}"), 412),
+            new StoreMessages.StoredKey("a/b", parseTree("{\"k\":1}"), 412),
             """
             {"path":"a/b","v":{"k":1},"stamp":412}"""),
         arguments(
             "key list",
             new StoreMessages.KeyList(
-                List.of(new StoreMessages.StoredKey("c/8", tree("true"), 430)), true, 431),
+                List.of(new StoreMessages.StoredKey("c/8", parseTree("true"), 430)), true, 431),
             """
             {"pairs":[{"path":"c/8","v":true,"stamp":430}],"has_next":true,"ledger":431}"""),
         arguments(
@@ -47,8 +47,8 @@
                 List.of(
                     new StoreMessages.Condition("a/b", 0), new StoreMessages.Condition("a/c", 412)),
                 List.of(
-                    new StoreMessages.Write("a/b", tree("{\"k\":1}"), 7L, null, null),
-                    new StoreMessages.Write("a/c", tree("[2]"), null, null, null),
+                    new StoreMessages.Write("a/b", parseTree("{\"k\":1}"), 7L, null, null),
+                    new StoreMessages.Write("a/c", parseTree("[2]"), null, null, null),
                     new StoreMessages.Write(null, null, null, "c/d", null))),
             """
             {"when":[{"path":"a/b","stamp":0},{"path":"a/c","stamp":412}],
@@ -74,7 +74,7 @@
             new StoreMessages.WatchEvents(
                 433,
                 List.of(
-                    new StoreMessages.Write("c/9", tree("{\"k\":1}"), null, null, 433L),
+                    new StoreMessages.Write("c/9", parseTree("{\"k\":1}"), null, null, 433L),
                     new StoreMessages.Write(null, null, null, "c/d", 432L))),
             """
             {"ledger":433,
@@ -91,34 +91,37 @@
   private static Map<String, JsonNode> entries(
       String id, String json, String otherId, String otherJson) {
     Map<String, JsonNode> all = new LinkedHashMap<>();
-    all.put(id, tree(json));
-    all.put(otherId, tree(otherJson));
+    all.put(id, parseTree(json));
+    all.put(otherId, parseTree(otherJson));
     return all;
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
   void matchesWireFormat(String name, Object object, String json) {
-    assertPinned(object, json);
+    assertRoundTrip(object, json);
   }
 
   @Test
   void readsMessagesWithMissingFields() {
-    assertRead("{}", StoreMessages.StoredKey.class, new StoreMessages.StoredKey(null, null, 0));
-    assertRead("{}", StoreMessages.KeyList.class, new StoreMessages.KeyList(null, false, 0));
-    assertRead(
+    assertDeserializesTo(
+        "{}", StoreMessages.StoredKey.class, new StoreMessages.StoredKey(null, null, 0));
+    assertDeserializesTo(
+        "{}", StoreMessages.KeyList.class, new StoreMessages.KeyList(null, false, 0));
+    assertDeserializesTo(
         "{}", StoreMessages.TransactionResult.class, new StoreMessages.TransactionResult(0, null));
-    assertRead("{}", StoreMessages.LeaseGrant.class, new StoreMessages.LeaseGrant(0));
-    assertRead("{}", StoreMessages.WatchEvents.class, new StoreMessages.WatchEvents(0, null));
-    assertRead(
+    assertDeserializesTo("{}", StoreMessages.LeaseGrant.class, new StoreMessages.LeaseGrant(0));
+    assertDeserializesTo(
+        "{}", StoreMessages.WatchEvents.class, new StoreMessages.WatchEvents(0, null));
+    assertDeserializesTo(
         "{\"set\":null,\"permit\":null,\"remove\":null,\"stamp\":null}",
         StoreMessages.Write.class,
         new StoreMessages.Write(null, null, null, null, null));
     // The state service also sends fields that the client does not use, such as the lease.
-    assertRead(
+    assertDeserializesTo(
         "{\"path\":\"a/b\",\"v\":{\"k\":1},\"stamp\":412,\"permit\":7}",
         StoreMessages.StoredKey.class,
-        new StoreMessages.StoredKey("a/b", tree("{\"k\":1}"), 412));
+        new StoreMessages.StoredKey("a/b", parseTree("{\"k\":1}"), 412));
   }
 
   /** Null fields are omitted, also within values. Of two conditions on a key the first is kept. */
@@ -131,7 +134,7 @@
             .putWithLease("a", new StoreMessages.TransactionResult(1, null), 9)
             .put("b", new StoreMessages.LeaseGrant(2))
             .delete("c");
-    assertWritten(
+    assertSerializesTo(
         transaction.build(),
         """
         {"when":[{"path":"a","stamp":3}],
--- a/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
+++ b/src/test/java/dev/windbend/worker/WorkerMessagesTest.java
@@ -1,7 +1,7 @@
 package dev.windbend.worker;
 
-import static dev.windbend.JsonPins.assertPinned;
-import static dev.windbend.JsonPins.assertRead;
+import static dev.windbend.JsonAssertions.assertDeserializesTo;
+import static dev.windbend.JsonAssertions.assertRoundTrip;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
 import java.util.List;
@@ -79,23 +79,24 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
   void writesAndReadsExpectedJson(String name, Object object, String json) {
-    assertPinned(object, json);
+    assertRoundTrip(object, json);
   }
 
   @Test
   void readsMessagesWithMissingFields() {
-    assertRead(
+    assertDeserializesTo(
         "{}",
         WorkerMessages.Heartbeat.class,
         new WorkerMessages.Heartbeat(null, null, null, null, false, 0, 0, 0, null, null));
-    assertRead(
+    assertDeserializesTo(
         "{\"drop\":null,\"run\":null,\"status\":null,\"cause\":null,\"saved\":null}",
         WorkerMessages.TaskState.class,
         new WorkerMessages.TaskState(null, 0, null, null, null));
-    assertRead(
+    assertDeserializesTo(
         "{}",
         WorkerMessages.HeartbeatResponse.class,
         new WorkerMessages.HeartbeatResponse(0, null));
-    assertRead("{}", WorkerMessages.Command.class, new WorkerMessages.Command(null, null, 0, null));
+    assertDeserializesTo(
+        "{}", WorkerMessages.Command.class, new WorkerMessages.Command(null, null, 0, null));
   }
 }
--- a/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
+++ b/src/test/java/dev/windbend/zone/ZoneMessagesTest.java
@@ -1,9 +1,9 @@
 package dev.windbend.zone;
 
-import static dev.windbend.JsonPins.assertPinned;
-import static dev.windbend.JsonPins.assertRead;
-import static dev.windbend.JsonPins.assertWritten;
-import static dev.windbend.JsonPins.tree;
+import static dev.windbend.JsonAssertions.assertDeserializesTo;
+import static dev.windbend.JsonAssertions.assertRoundTrip;
+import static dev.windbend.JsonAssertions.assertSerializesTo;
+import static dev.windbend.JsonAssertions.parseTree;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
@@ -50,13 +50,13 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("messages")
   void matchesWireFormat(String description, Object object, String json) {
-    assertPinned(object, json);
+    assertRoundTrip(object, json);
   }
 
   @Test
   void readsRecordWithMissingFields() {
-    assertRead("{}", ZoneRecord.class, new ZoneRecord(null, 0, 0, List.of()));
-    assertRead(
+    assertDeserializesTo("{}", ZoneRecord.class, new ZoneRecord(null, 0, 0, List.of()));
+    assertDeserializesTo(
         "{\"state\":null,\"displaced\":null}",
         ZoneRecord.class,
         new ZoneRecord(null, 0, 0, List.of()));
@@ -65,8 +65,9 @@
   /** A record of a later version, with a state that this one lacks, counts as none. */
   @Test
   void treatsRecordWithUnknownOrMissingStateAsAbsent() {
-    assertThat(ZoneRecord.read(new VersionedValue(tree("{\"state\":\"frozen\"}"), 1))).isNull();
-    assertThat(ZoneRecord.read(new VersionedValue(tree("{\"losses\":1}"), 1))).isNull();
+    assertThat(ZoneRecord.read(new VersionedValue(parseTree("{\"state\":\"frozen\"}"), 1)))
+        .isNull();
+    assertThat(ZoneRecord.read(new VersionedValue(parseTree("{\"losses\":1}"), 1))).isNull();
     assertThat(ZoneRecord.read(null)).isNull();
   }
 
@@ -86,8 +87,8 @@
   @ParameterizedTest
   @MethodSource("states")
   void writesAndReadsStateByItsLabel(ZoneState state, String label) {
-    assertWritten(state, "\"" + label + "\"");
-    assertThat(Json.read(tree("\"" + label + "\""), ZoneState.class)).isEqualTo(state);
+    assertSerializesTo(state, "\"" + label + "\"");
+    assertThat(Json.read(parseTree("\"" + label + "\""), ZoneState.class)).isEqualTo(state);
     assertThat(state.label()).isEqualTo(label);
   }
 
