--- a/src/main/java/dev/windbend/zone/ZoneMetrics.java
+++ b/src/main/java/dev/windbend/zone/ZoneMetrics.java
@@ -6,9 +6,9 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What a node counts and measures of lost zones, over all its shards. */
+/** Metrics of zone losses, over all shards that the controller leads. */
 public final class ZoneMetrics {
-  /** Longer ones count as this long. */
+  /** Longer times are recorded as this value. */
   private static final long MAX_RECORDED_MS = 3_600_000;
 
   private static final int SIGNIFICANT_DIGITS = 2;
@@ -18,8 +18,8 @@
   private final Map<Urgency, Histogram> restartTimesMs = new EnumMap<>(Urgency.class);
   private long losses;
   private long lossesWhileReturning;
-  private long evacuated;
-  private long takenBack;
+  private long evacuatedMachines;
+  private long readmittedMachines;
 
   void recordLoss(boolean whileReturning) {
     losses++;
@@ -27,27 +27,31 @@
   }
 
   void recordEvacuatedMachines(int machines) {
-    evacuated += machines;
+    evacuatedMachines += machines;
   }
 
   void recordReadmittedMachines(int machines) {
-    takenBack += machines;
+    readmittedMachines += machines;
   }
 
-  /** All tasks of a displaced job run again, so long after the loss of the zone. */
+  /**
+   * Records that all tasks of a displaced job run again.
+   *
+   * @param restartTimeMs time since the loss of the zone
+   */
   void recordJobRestarted(Urgency urgency, long restartTimeMs) {
     restartTimesMs
         .computeIfAbsent(urgency, u -> new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS))
         .recordValue(Math.min(MAX_RECORDED_MS, Math.max(0, restartTimeMs)));
   }
 
-  /** By name, for operators. */
+  /** Returns the metrics by name, for operators. */
   public Map<String, Double> values() {
     Map<String, Double> values = new TreeMap<>();
     values.put("windbend.zone.losses", (double) losses);
     values.put("windbend.zone.relapses", (double) lossesWhileReturning);
-    values.put("windbend.zone.evacuated", (double) evacuated);
-    values.put("windbend.zone.taken_back", (double) takenBack);
+    values.put("windbend.zone.evacuated", (double) evacuatedMachines);
+    values.put("windbend.zone.taken_back", (double) readmittedMachines);
     restartTimesMs.forEach(
         (urgency, histogram) -> {
           String name =
