--- a/src/main/java/dev/windbend/daemon/StartupProperties.java
+++ b/src/main/java/dev/windbend/daemon/StartupProperties.java
@@ -43,8 +43,7 @@
     System.setProperty("javax.management.builder.initial", NoMBeanServer.class.getName());
     System.setProperty("jboss.threads.eqe.register-mbean", "false");
     // Jackson initializes date formats, which windbend does not use. By default they are loaded
-    // from
-    // the larger of the JDK's two sets of locale data.
+    // from the larger of the JDK's two sets of locale data.
     System.setProperty("java.locale.providers", "COMPAT");
   }
 
